--- a/packages/core/src/gateway/__tests__/arrival_meter.test.ts
+++ b/packages/core/src/gateway/__tests__/arrival_meter.test.ts
@@ -6,11 +6,11 @@
 
 describe("the work of the last second", () => {
   /**
-   * Symptom: a busy region looks calm to others, with less than no work at the worst.
-   * Sequence: requests wait for over a second and are passed on to another region.
-   * Cause: their work was taken off the present second, which does not hold it.
+   * Guards against a busy region that reports too little work, or even less than none. Requests waited for over
+   * a second and were then relayed to another region. Their work was subtracted from the current second, which
+   * no longer contained it.
    */
-  it("is not less for what has gone from it by itself", () => {
+  it("does not subtract work whose bucket has already expired", () => {
     const meter = new ArrivalMeter();
     meter.add(POOL, 200, instant(0));
     meter.add(POOL, 70, instant(1_400));
@@ -18,7 +18,7 @@
     expect(meter.lastSecond(POOL, instant(1_500))).toBe(70);
   });
 
-  it("is less for what was passed on in time, until that would have gone", () => {
+  it("subtracts relayed work while that would still count", () => {
     const meter = new ArrivalMeter();
     meter.add(POOL, 200, instant(0));
     meter.add(POOL, 70, instant(400));
--- a/packages/core/src/gateway/__tests__/call_controller.test.ts
+++ b/packages/core/src/gateway/__tests__/call_controller.test.ts
@@ -19,7 +19,7 @@
   type RoutingDocument,
 } from "../../routes/index.ts";
 import { CallController } from "../call_controller.ts";
-import type { CallRouter, Way } from "../call_router.ts";
+import type { CallRouter, RoutingDecision } from "../call_router.ts";
 import { ColdAllowance } from "../cold_allowance.ts";
 import { EndpointState } from "../endpoint_state.ts";
 import type { CallAnswer, GatewayBounds, GatewayEffect } from "../messages.ts";
@@ -69,24 +69,24 @@
   keyLifetime: undefined,
 };
 
-/** A controller whose router says what the test says, and counts. */
+/** Builds a controller with a stub router that returns the given decision and counts its calls. */
 function build(route = ROUTE): {
   controller: CallController;
   effects: GatewayEffect[];
-  asked: { count: number; way: Way };
+  asked: { count: number; decision: RoutingDecision };
 } {
-  const asked: { count: number; way: Way } = {
+  const asked: { count: number; decision: RoutingDecision } = {
     count: 0,
-    way: { kind: "wait", wait: milliseconds(1), reason: "busy" },
+    decision: { kind: "wait", wait: milliseconds(1), reason: "busy" },
   };
   const effects: GatewayEffect[] = [];
   const router = {
     next: () => {
       asked.count++;
-      return asked.way;
+      return asked.decision;
     },
     targetOf: () => ({ kind: "endpoint" }),
-    stillFits: () => true,
+    isStillEligible: () => true,
   } as unknown as CallRouter;
   const controller = new CallController({
     emit: (effect) => effects.push(effect),
@@ -143,11 +143,11 @@
 
 describe("waiting requests", () => {
   /**
-   * Symptom: under overload an entry answers late and sends requests on whose callers have left.
-   * Sequence: some hundred requests wait; each event of a stream asks for a place for each of them.
-   * Cause: the work for an event grows with the queue, and takes the whole processor.
+   * Guards against an overloaded entry that answers late and sends requests whose callers have left. Some
+   * hundred requests waited, and each event of a stream looked for capacity for all of them: the work for an
+   * event grew with the queue and used up the processor.
    */
-  it("cost no more the more there are", () => {
+  it("are not all checked on each tick, however many there are", () => {
     const { controller, asked } = build();
     for (let index = 0; index < 300; index++) {
       arrive(controller, `long-${index}`, 8_000);
@@ -159,7 +159,7 @@
     expect(asked.count).toBeLessThanOrEqual(2);
   });
 
-  it("all get a place once there are places", () => {
+  it("are all sent once there is capacity", () => {
     const { controller, effects, asked } = build();
     arrive(controller, "a", 8_000);
     arrive(controller, "b", 500);
@@ -176,7 +176,7 @@
       life: undefined,
       sequence: 1,
     };
-    asked.way = {
+    asked.decision = {
       kind: "endpoint",
       placement: {
         kind: "chosen",
@@ -191,7 +191,7 @@
     expect(effects.filter(({ kind }) => kind === "send").length).toBe(2);
   });
 
-  it("are gone with their callers", () => {
+  it("are removed when their callers leave", () => {
     const { controller } = build();
     arrive(controller, "a", 8_000);
     controller.callerGone("a" as RequestId, instant(10));
@@ -200,7 +200,7 @@
   });
 });
 
-describe("a stream that is held back for its caller", () => {
+describe("a stream under backpressure from its caller", () => {
   const ANSWER: CallAnswer = {
     status: 200,
     notRun: false,
@@ -214,16 +214,16 @@
     events: true,
   };
 
-  // A caller that did not read for 1.5 s had its stream run again elsewhere: nothing was heard from the
-  // endpoint, because nothing was read. What is read again has the full time to say something.
-  it("is not silent, and is once nothing comes after it is read again", () => {
+  // The stream of a caller that did not read for 1.5 s was run again elsewhere: nothing had arrived from the
+  // endpoint, because nothing had been read. Once reading resumes, the endpoint has the full time to send.
+  it("counts as silent only if nothing arrives after reading has resumed", () => {
     const { controller, effects, asked } = build({
       ...ROUTE,
       attempts: 2,
       public: false,
       resumable: true,
     });
-    asked.way = {
+    asked.decision = {
       kind: "endpoint",
       placement: {
         kind: "chosen",
--- a/packages/core/src/gateway/__tests__/call_queue.test.ts
+++ b/packages/core/src/gateway/__tests__/call_queue.test.ts
@@ -69,11 +69,11 @@
   });
 
   /**
-   * Symptom: each long request gets its place when its objective is nearly over, and begins late.
-   * Sequence: a queue under overload; reading takes a tenth of a second, the objective has less left.
-   * Cause: what an engine takes to begin did not count where on time and late were told apart.
+   * Guards against long requests that are sent when their objective is nearly over, and begin late. In an
+   * overloaded queue, reading a prompt took a tenth of a second and the objective had less than that left. The
+   * time to begin an answer was not counted when requests on time and late ones were told apart.
    */
-  it("puts what cannot begin in time any more last, reading included", () => {
+  it("puts requests last that cannot begin in time, including the time to read their prompts", () => {
     const calls = [
       waiting("hopeless", { at: 0 }),
       waiting("in time", { at: 500 }),
@@ -84,12 +84,11 @@
   });
 
   /**
-   * Symptom: under overload engines read prompts whose shared part none keeps, while others wait whose
-   * part is kept.
-   * Sequence: both wait; the costly one came a moment earlier.
-   * Cause: arrival alone decided, and fewer were served for the same reading.
+   * Guards against engines that read uncached prompts under overload, while requests with a cached prefix wait.
+   * A costly request had arrived a moment earlier than a cheap one. As order of arrival alone decided, fewer
+   * requests were served with the same amount of reading.
    */
-  it("lets cheap ones pass costly ones that came a little earlier", () => {
+  it("lets cheap requests overtake costly ones that arrived a little earlier", () => {
     const costly = waiting("costly", { at: 0 });
     const cheap = waiting("cheap", { at: 100, unread: 700 });
     expect(order([costly, cheap], 200)).toEqual(["cheap", "costly"]);
@@ -99,9 +98,9 @@
 });
 
 describe("customers of one rank", () => {
-  // One customer's burst of 40 questions, within its limit, stood before everything that came in the next four
-  // seconds: the others' requests were late for it alone.
-  it("do not wait for a loud one's whole burst", () => {
+  // A customer's burst of 40 questions, within its limit, was served before everything that arrived in the next
+  // four seconds, so that it alone made the requests of the others late.
+  it("do not wait for the whole burst of another customer", () => {
     const loud = Array.from(
       { length: 20 },
       (_, index) => waiting(`loud-${index}`, { at: index, customer: "loud" }),
@@ -112,21 +111,21 @@
     expect(found[0]).toBe("loud-0");
   });
 
-  it("are served in order of arrival where none is loud", () => {
+  it("are served in order of arrival if none sends a burst", () => {
     const calls = ["a", "b", "c"].map((name, index) =>
       waiting(name, { at: index * 10, customer: name })
     );
     expect(order(calls, 100)).toEqual(["a", "b", "c"]);
   });
 
-  it("are told apart by their rank before that", () => {
+  it("are ordered by rank first", () => {
     const urgent = waiting("urgent", { at: 90, priority: 0, customer: "loud" });
     const calm = waiting("calm", { at: 0, customer: "calm" });
     expect(order([calm, urgent], 100)).toEqual(["urgent", "calm"]);
   });
 });
 
-describe("tokens that go before a request", () => {
+describe("tokens that are read before those of a request", () => {
   it("are those of its own rank and of more urgent ones", () => {
     const queue = new CallQueue();
     queue.add(waiting("a", { priority: 0, tokens: 100 }));
--- a/packages/core/src/gateway/__tests__/call_trace.test.ts
+++ b/packages/core/src/gateway/__tests__/call_trace.test.ts
@@ -42,16 +42,16 @@
       prefixFrom: undefined,
     },
     state: engine("e1"),
-    madeAt: instant(0),
+    createdAt: instant(0),
     sentAt: undefined,
     heardAt: undefined,
-    heldSince: undefined,
+    backpressureSince: undefined,
     failed: false,
-    unfinished: 0,
+    partialEventBytes: 0,
   };
 }
 
-describe("the cause of a request served badly", () => {
+describe("the cause of a late or unserved request", () => {
   let call: Call;
 
   beforeEach(() => {
@@ -77,58 +77,58 @@
   const cause = (served: boolean, at: number): string | undefined =>
     call.trace.cause(call, served, instant(at));
 
-  it("is none where it was on time", () => {
-    call.trace.sent(instant(10));
-    [300, 600, 900].forEach((at) => call.trace.heard(instant(at)));
+  it("is none if the request was on time", () => {
+    call.trace.noteSent(instant(10));
+    [300, 600, 900].forEach((at) => call.trace.noteBytes(instant(at)));
     expect(cause(true, 900)).toBe(undefined);
   });
 
-  it("is the wait where no place was found", () => {
+  it("is the wait for capacity if there was none in time", () => {
     expect(cause(false, 4_000)).toBe("waited");
-    call.trace.sent(instant(900));
-    call.trace.heard(instant(1_200));
+    call.trace.noteSent(instant(900));
+    call.trace.noteBytes(instant(1_200));
     expect(cause(true, 1_300)).toBe("waited");
   });
 
-  it("is the engine's start where it was sent early", () => {
-    call.trace.sent(instant(100));
+  it("is the engine's slow start if the request was sent early", () => {
+    call.trace.noteSent(instant(100));
     expect(cause(false, 2_000)).toBe("slow_start");
-    call.trace.heard(instant(1_200));
+    call.trace.noteBytes(instant(1_200));
     expect(cause(true, 1_300)).toBe("slow_start");
   });
 
-  // A request that was sent at once to an endpoint that stayed silent, and then to one that served it, was
-  // told as one that had waited for a place: the time of its last send counted as that of its first.
-  it("is the engine's start where the first one was left for another", () => {
-    call.trace.sent(instant(10));
-    call.trace.sent(instant(1_510));
+  // A request was sent at once to an endpoint that stayed silent, and then to one that served it. The log said
+  // that it had waited for capacity, because the time of its last send was taken for that of its first.
+  it("is the engine's slow start if the first engine was abandoned for another", () => {
+    call.trace.noteSent(instant(10));
+    call.trace.noteSent(instant(1_510));
     expect(cause(false, 2_400)).toBe("slow_start");
-    call.trace.heard(instant(2_000));
+    call.trace.noteBytes(instant(2_000));
     expect(cause(true, 2_400)).toBe("slow_start");
   });
 
-  it("is a pause, also the one that was still under way", () => {
-    call.trace.sent(instant(10));
-    call.trace.heard(instant(300));
-    call.trace.heard(instant(400));
+  it("is a pause between events, including one that has not ended", () => {
+    call.trace.noteSent(instant(10));
+    call.trace.noteBytes(instant(300));
+    call.trace.noteBytes(instant(400));
     expect(cause(false, 1_000)).toBe("paused");
-    call.trace.heard(instant(1_000));
+    call.trace.noteBytes(instant(1_000));
     expect(cause(true, 1_000)).toBe("paused");
   });
 
-  it("is starvation where events came and the time ran out", () => {
-    call.trace.sent(instant(10));
+  it("is starvation if events came until the time ran out", () => {
+    call.trace.noteSent(instant(10));
     for (let at = 300; at <= 9_900; at += 400) {
-      call.trace.heard(instant(at));
+      call.trace.noteBytes(instant(at));
     }
     expect(cause(false, 10_000)).toBe("starved");
   });
 
-  it("is no pause while its caller had no room, and the caller where that was most of its time", () => {
-    call.trace.sent(instant(10));
-    call.trace.heard(instant(300));
-    call.trace.held(milliseconds(1_500), instant(1_800));
-    call.trace.heard(instant(1_900));
+  it("is no pause during backpressure, and a slow caller if that took most of the time", () => {
+    call.trace.noteSent(instant(10));
+    call.trace.noteBytes(instant(300));
+    call.trace.noteBackpressure(milliseconds(1_500), instant(1_800));
+    call.trace.noteBytes(instant(1_900));
     expect(cause(true, 1_900)).toBe(undefined);
     expect(call.trace.fields(call, instant(1_900))).toMatchObject({
       pauseMs: 100,
@@ -136,21 +136,21 @@
     });
     expect(cause(false, 2_000)).toBe("slow_caller");
     for (let at = 2_300; at <= 9_900; at += 400) {
-      call.trace.heard(instant(at));
+      call.trace.noteBytes(instant(at));
     }
     expect(cause(false, 10_000)).toBe("starved");
   });
 
-  it("comes with what was known when it was placed", () => {
+  it("is logged with what was known when the request was placed", () => {
     const open = attempt();
     open.state!.begin(
       "other" as AttemptId,
       { prefill: 2_000, tokens: 2_500 },
       instant(0),
     );
-    call.trace.placed(open);
-    call.trace.reads(700);
-    call.trace.sent(instant(20));
+    call.trace.notePlaced(open);
+    call.trace.notePrefill(700);
+    call.trace.noteSent(instant(20));
     expect(call.trace.fields(call, instant(50))).toMatchObject({
       endpoint: "e1",
       backlog: 2_000,
@@ -162,16 +162,16 @@
   });
 });
 
-describe("the line of a stream that goes on elsewhere", () => {
-  it("says where it was, why that was left, and what was dropped", () => {
+describe("the log line of a resumed stream", () => {
+  it("names the former endpoint, why it was abandoned and how many bytes were dropped", () => {
     const trace = new CallTrace();
-    trace.placed(attempt());
-    trace.interrupted({ ...attempt(), unfinished: 7 }, "Silent");
-    trace.placed({
+    trace.notePlaced(attempt());
+    trace.noteInterrupted({ ...attempt(), partialEventBytes: 7 }, "Silent");
+    trace.notePlaced({
       ...attempt(),
       target: { ...attempt().target, endpoint: "e2" as EndpointId } as never,
     });
-    expect(trace.interruption()).toEqual({
+    expect(trace.interruptionFields()).toEqual({
       from: "e1",
       leftFor: "Silent",
       droppedBytes: 7,
--- a/packages/core/src/gateway/__tests__/resume_fixture.ts
+++ b/packages/core/src/gateway/__tests__/resume_fixture.ts
@@ -13,7 +13,7 @@
 import { engine, POOL } from "./engine_fixture.ts";
 import { fingerprint } from "./quarantine_fixture.ts";
 
-/** The zone and region of all that stands here. */
+/** Availability zone and region of all entries and endpoints in these tests. */
 export const ZONE = "z1" as ZoneId;
 export const REGION = "r" as RegionId;
 export const PEER = "b1" as Incarnation;
@@ -33,7 +33,7 @@
   public: false,
   resumable: true,
 };
-/** A published picture with one route of streams before two engines. */
+/** A catalogue with one streaming route and two engines. */
 export const SNAPSHOT: CatalogueSnapshot = {
   revision: 1 as Revision,
   document: {
--- a/packages/core/src/gateway/__tests__/stalls.test.ts
+++ b/packages/core/src/gateway/__tests__/stalls.test.ts
@@ -14,20 +14,20 @@
 import { startGateway } from "./gateway_fixture.ts";
 import { HEAD, PEER, REGION, SNAPSHOT, ZONE } from "./resume_fixture.ts";
 
-// An entry stands still for seconds: it is stopped, its loop is blocked, or its machine gives it short
-// turns. What others sent meanwhile lies in its sockets, and the timer comes before they are read. A clock
-// that ran on says then that nobody was heard for so long, and of 64 streams all ran twice.
-describe("an entry that stood still", () => {
+// An entry stalls for seconds because the process is stopped, its event loop is blocked, or its machine gives it
+// little processor time. What others sent meanwhile is unread in its sockets, and the timer fires first. By the
+// elapsed time alone nobody had sent anything for that long, and all of 64 streams were run twice.
+describe("an entry that was stalled", () => {
   let gateway: Gateway;
   let now: number;
   let effects: GatewayEffect[];
 
   const handle = (event: GatewayEvent): GatewayEffect[] => {
-    const news = gateway.handle(event, instant(now));
-    effects.push(...news);
-    return news;
+    const emitted = gateway.handle(event, instant(now));
+    effects.push(...emitted);
+    return emitted;
   };
-  /** Lets it run as its shell would. */
+  /** Lets the gateway run and tick as its shell would. */
   const run = (time: number): void => {
     const end = now + time;
     while (now < end) {
@@ -35,7 +35,7 @@
       now += gateway.tickPause;
     }
   };
-  /** Its timer is the first that it serves after a while without a turn. */
+  /** Lets time pass without a tick; the timer is the first event that is handled afterwards. */
   const stall = (time: number): void => {
     now += time;
     handle({ kind: "tick" });
@@ -64,7 +64,7 @@
       message: { kind: "announce", from, holdings },
     });
   };
-  /** A stream is sent and has its first event. */
+  /** Sends a stream's request and receives its first event. */
   const begin = (): AttemptId => {
     const [sent] = handle({ kind: "arrived", head: HEAD }).flatMap((effect) =>
       effect.kind === "send" ? [effect.attempt] : []
@@ -109,8 +109,8 @@
     run(100);
   });
 
-  describe("leaves a stream where it is", () => {
-    it("after a long pause", () => {
+  describe("leaves a stream at its endpoint", () => {
+    it("after a long stall", () => {
       const attempt = begin();
       run(100);
       stall(3_000);
@@ -118,7 +118,7 @@
       expect(kinds()).not.toContain("abort");
     });
 
-    it("after several pauses in a row", () => {
+    it("after several stalls in a row", () => {
       const attempt = begin();
       for (let pause = 0; pause < 4; pause++) {
         run(200);
@@ -128,7 +128,7 @@
       expect(kinds()).not.toContain("abort");
     });
 
-    it("while it gets a short turn each second", () => {
+    it("while it gets a little processor time each second", () => {
       const attempt = begin();
       for (let turn = 0; turn < 3; turn++) {
         stall(900);
@@ -138,7 +138,7 @@
       expect(kinds()).not.toContain("abort");
     });
 
-    it("until it has heard nothing for as long as ever", () => {
+    it("until it has listened in vain for the full silence limit", () => {
       begin();
       run(100);
       stall(3_000);
@@ -148,7 +148,7 @@
     });
   });
 
-  it("takes no endpoint for ended whose answer it has not read", () => {
+  it("does not count an endpoint as ended whose answer is unread", () => {
     const attempt = begin();
     handle({
       kind: "catalogueChanged",
@@ -164,10 +164,10 @@
     expect(texts()).not.toContain("Endpoint has ended.");
   });
 
-  // The record of a running endpoint was away for a while, as the platform's hiccups have it, and its one
-  // stream was not read because its caller had no room. Nothing was heard because nothing was read, and
-  // the request counted as one that ends endpoints.
-  it("takes no endpoint for ended that it does not read", () => {
+  // The record of a running endpoint was missing for a while, as happens with short faults of the platform, and
+  // its only stream was not read because the caller's connection was full. Nothing had arrived because nothing
+  // was read, yet the request was counted as one that crashes endpoints.
+  it("does not count an endpoint as ended that is not read due to backpressure", () => {
     const attempt = begin();
     handle({ kind: "held", attempt, held: true });
     handle({
@@ -186,7 +186,7 @@
     expect(texts()).toContain("Endpoint has ended.");
   });
 
-  it("counts on what a peer has in flight", () => {
+  it("keeps counting what a peer has in flight", () => {
     hearPeer();
     handle({
       kind: "datagram",
@@ -209,7 +209,7 @@
     expect(gateway.endpoints.hasReport(PEER)).toBe(false);
   });
 
-  it("holds no peer for dead whose denial it has not read", () => {
+  it("does not declare a suspected peer dead whose denial is unread", () => {
     hearPeer();
     const health = (): string =>
       gateway.fleet.live().length > 0
@@ -226,7 +226,7 @@
     expect(health()).toBe("dead");
   });
 
-  it("suspects no peer whose answer it has not read", () => {
+  it("does not suspect a peer whose answer is unread", () => {
     hearPeer();
     while (!kinds().includes("datagram")) {
       run(25);
@@ -236,8 +236,8 @@
     expect(gateway.fleet.live().length).toBe(1);
   });
 
-  // Where a whole machine stands still, endpoints could not renew their records either, and are back soon.
-  it("keeps endpoints whose records ran out meanwhile, for a while", () => {
+  // Where a whole machine stalls, its endpoints could not renew their records either, and return soon.
+  it("keeps endpoints whose records expired meanwhile for a grace period", () => {
     const id = "e1" as EndpointId;
     run(1_500);
     stall(2_500);
@@ -253,9 +253,9 @@
     expect(gateway.catalogue.endpoints.has(id)).toBe(false);
   });
 
-  // Its read of changes had been answered while it stood still. That answer counted as the read that a woken
-  // entry makes at once, and what was evacuated meanwhile was served for another 1.2 s.
-  it("reads the picture anew, whatever an answer from before says", () => {
+  // A read of changes had been answered while the entry was stalled. That answer was taken for the read that an
+  // entry makes right after a stall, and an evacuated zone was served for another 1.2 s.
+  it("reads the catalogue again, even if an answer from before the stall arrives", () => {
     const reads = (): number =>
       kinds().filter((kind) => kind === "readCatalogue").length;
     run(1_500);
@@ -269,7 +269,7 @@
     expect(reads()).toBe(before + 1);
   });
 
-  it("does not end its process before it has read callers' requests", () => {
+  it("does not exit before it has read its callers' requests", () => {
     run(100);
     handle({ kind: "stop" });
     run(2_000);
--- a/packages/core/src/gateway/arrival_hold.ts
+++ b/packages/core/src/gateway/arrival_hold.ts
@@ -1,77 +1,77 @@
 /**
- * Requests that arrive before the published picture is read: in the first moments of a process, and at an
- * entry that stood by and read it seldom.
+ * Requests that wait because they cannot be judged yet: the catalogue has not been read since the process
+ * started, or the copy of an entry on standby, which reads it seldom, is too old.
  *
  * @module
  */
 import { after, type Instant, type RequestId } from "../ids/index.ts";
 import type { CallHead } from "./messages.ts";
 
-/** A caller that names no time is held for so long at the most. */
-const MOST_HOLD_MS = 1_000;
-/** Part of a caller's time that it is held for at the most. */
-const HOLD_PART = 0.25;
+/** Longest time for which a request is held, with or without a timeout from its caller. */
+const MAX_HOLD_MS = 1_000;
+/** Largest fraction of a caller's timeout for which its request is held. */
+const MAX_HOLD_FRACTION = 0.25;
 
-/** One request that is held. */
-export interface HeldCall {
+/** A request that waits for a decision. */
+export interface PendingCall {
   readonly head: CallHead;
   readonly arrivedAt: Instant;
-  /** From then on it is refused. */
+  /** Time at which the hold ends at the latest. */
   readonly until: Instant;
 }
 
 /**
- * Holds requests until the first read of the picture ends.
+ * Requests that wait until the data needed to judge them has arrived, such as the first read of the catalogue.
  *
- * A started entry listens some milliseconds before it has read the picture, a third of a second where
- * the platform is a region away. Callers that are refused then come back once, to the next entry that
- * has just started, and are refused for good: after a restart of all entries a tenth of the requests of
- * two seconds were. One notices by refusals for want of a document right after "Listening". Only the
- * first read is waited for: once it has failed nobody knows when the picture comes.
+ * A new entry accepts connections some milliseconds before it has read the catalogue, a third of a second
+ * where the platform is in another region. A caller that is refused in this time retries once, reaches another
+ * entry that has just started, and fails for good: without the hold, a restart of all entries refused a tenth
+ * of the requests of two seconds, with the reason `no_document` right after the log line "Listening.". Only
+ * the first read is waited for: once it has failed, nobody knows when the catalogue will be available.
  */
-export class ArrivalHold {
-  readonly #held = new Map<RequestId, HeldCall>();
+export class PendingCalls {
+  readonly #calls = new Map<RequestId, PendingCall>();
 
   get size(): number {
-    return this.#held.size;
+    return this.#calls.size;
   }
 
   add(head: CallHead, now: Instant): void {
-    this.keep(heldFrom(head, now));
+    this.put(createPendingCall(head, now));
   }
 
-  /** Holds what was held before, no longer than it would have been. */
-  keep(held: HeldCall): void {
-    this.#held.set(held.head.id, held);
+  /** Adds a request without changing the time at which its hold ends. */
+  put(pending: PendingCall): void {
+    this.#calls.set(pending.head.id, pending);
   }
 
-  /** The caller has left; whether it was held. */
+  /** Removes the request of a caller that left. Returns whether it was here. */
   remove(id: RequestId): boolean {
-    return this.#held.delete(id);
+    return this.#calls.delete(id);
   }
 
-  /** All, in order of arrival; none is held any more. */
-  takeAll(): HeldCall[] {
-    const all = [...this.#held.values()];
-    this.#held.clear();
+  /** Removes and returns all requests, in order of arrival. */
+  takeAll(): PendingCall[] {
+    const all = [...this.#calls.values()];
+    this.#calls.clear();
     return all;
   }
 
-  /** Those that have been held for long enough. */
-  takeOverdue(now: Instant): HeldCall[] {
-    const overdue = [...this.#held.values()].filter(({ until }) =>
+  /** Removes and returns the requests whose time has expired. */
+  takeExpired(now: Instant): PendingCall[] {
+    const expired = [...this.#calls.values()].filter(({ until }) =>
       now >= until
     );
-    overdue.forEach(({ head }) => this.#held.delete(head.id));
-    return overdue;
+    expired.forEach(({ head }) => this.#calls.delete(head.id));
+    return expired;
   }
 }
 
-/** A request that arrives now. */
-export function heldFrom(head: CallHead, now: Instant): HeldCall {
-  const time = Math.min(
-    MOST_HOLD_MS,
-    (head.timeLeft ?? Infinity) * HOLD_PART,
+/** Creates the record of a request that arrives now, with the time until which it may be held. */
+export function createPendingCall(head: CallHead, now: Instant): PendingCall {
+  const maxHoldMs = Math.min(
+    MAX_HOLD_MS,
+    (head.timeLeft ?? Infinity) * MAX_HOLD_FRACTION,
   );
-  return { head, arrivedAt: now, until: after(now, time) };
+  return { head, arrivedAt: now, until: after(now, maxHoldMs) };
 }
--- a/packages/core/src/gateway/arrival_meter.ts
+++ b/packages/core/src/gateway/arrival_meter.ts
@@ -1,5 +1,5 @@
 /**
- * Work that arrives, by service, over the last second.
+ * Measures the work that arrived within the last second, for each service.
  *
  * @module
  */
@@ -10,50 +10,53 @@
 
 interface Buckets {
   readonly work: number[];
-  at: number;
+  currentBucket: number;
 }
 
-/** Counts endpoint milliseconds. */
+/** Sums of arrived work in buckets of a tenth of a second. Work is endpoint milliseconds, or a count of requests. */
 export class ArrivalMeter {
   readonly #services = new Map<ServiceId, Buckets>();
 
   add(service: ServiceId, work: number, now: Instant): void {
-    const buckets = this.#turn(service, now);
-    buckets.work[buckets.at % BUCKETS]! += work;
+    const buckets = this.#advance(service, now);
+    buckets.work[buckets.currentBucket % BUCKETS]! += work;
   }
 
-  /** Takes off what was added at `at`, if that still counts: what is older has gone by itself. */
+  /** Subtracts work that was added at `at`, unless its bucket has already expired. */
   takeOff(service: ServiceId, work: number, at: Instant, now: Instant): void {
-    const buckets = this.#turn(service, now);
+    const buckets = this.#advance(service, now);
     const bucket = Math.floor(at / BUCKET_MS);
-    if (buckets.at - bucket < BUCKETS) {
+    if (buckets.currentBucket - bucket < BUCKETS) {
       buckets.work[bucket % BUCKETS]! -= work;
     }
   }
 
-  /** Work of the last second. */
+  /** Returns the work that arrived within the last second. */
   lastSecond(service: ServiceId, now: Instant): number {
-    return this.#turn(service, now).work.reduce((sum, item) => sum + item, 0);
+    return this.#advance(service, now).work.reduce(
+      (sum, item) => sum + item,
+      0,
+    );
   }
 
   services(): Iterable<ServiceId> {
     return this.#services.keys();
   }
 
-  #turn(service: ServiceId, now: Instant): Buckets {
+  #advance(service: ServiceId, now: Instant): Buckets {
     const bucket = Math.floor(now / BUCKET_MS);
     let buckets = this.#services.get(service);
     if (buckets === undefined) {
-      buckets = { work: new Array(BUCKETS).fill(0), at: bucket };
+      buckets = { work: new Array(BUCKETS).fill(0), currentBucket: bucket };
       this.#services.set(service, buckets);
     }
-    for (let next = buckets.at + 1; next <= bucket; next++) {
+    for (let next = buckets.currentBucket + 1; next <= bucket; next++) {
       buckets.work[next % BUCKETS] = 0;
-      if (next - buckets.at > BUCKETS) {
+      if (next - buckets.currentBucket > BUCKETS) {
         break;
       }
     }
-    buckets.at = bucket;
+    buckets.currentBucket = bucket;
     return buckets;
   }
 }
--- a/packages/core/src/gateway/call.ts
+++ b/packages/core/src/gateway/call.ts
@@ -1,5 +1,5 @@
 /**
- * One request of a caller on its way through this entry.
+ * State of one caller's request while this entry handles it.
  *
  * @module
  */
@@ -19,79 +19,79 @@
 import type { CallHead, CallTarget } from "./messages.ts";
 import { StreamPosition } from "./stream_position.ts";
 
-/** Characters of a path in a line. */
-const MOST_PATH_LENGTH = 120;
+/** Longest path, in characters, that is written to a log line. */
+const MAX_PATH_LENGTH = 120;
 const NO_VERSIONS: ReadonlySet<string> = new Set();
 
-/** Where a request stands. */
+/** Stage of a request's processing. */
 export type CallPhase =
-  /** Waits for a place at an endpoint. */
+  /** Queued until an endpoint has capacity. */
   | "waiting"
-  /** An attempt is under way, nothing has gone to the caller. */
+  /** An attempt is in progress, and nothing has been sent to the caller. */
   | "trying"
-  /** The answer has begun. */
+  /** The answer has begun and is passed on to the caller. */
   | "answering";
 
-/** One attempt under way. */
+/** One attempt in progress, at an endpoint or at an entry of another region. */
 export interface OpenAttempt {
   readonly id: AttemptId;
   readonly target: CallTarget;
-  /** `undefined` for an attempt by way of a peer. */
+  /** State of the endpoint, `undefined` for an attempt through a peer. */
   readonly state: EndpointState | undefined;
-  readonly madeAt: Instant;
-  /** For an endpoint with a limit. */
+  readonly createdAt: Instant;
+  /** Permit for an endpoint that states a rate limit. */
   readonly permit: Permit | undefined;
-  /** When it was allowed to be written. */
+  /** When the shell was allowed to write the request. */
   sentAt: Instant | undefined;
-  /** When bytes last came from it, or it was read again after it had been held back. */
+  /** When bytes last arrived, or reading resumed after backpressure. */
   heardAt: Instant | undefined;
-  /** Since when it is not read, because its caller has no room. */
-  heldSince: Instant | undefined;
-  /** Whether its answer says failure. */
+  /** Since when the answer is not read because the caller's connection is full. */
+  backpressureSince: Instant | undefined;
+  /** Whether the answer's status reports a failure. */
   failed: boolean;
-  /** Bytes that it sent of an event that is not whole yet. */
-  unfinished: number;
+  /** Bytes received of an event that is not complete yet. */
+  partialEventBytes: number;
 }
 
-/** One request. */
+/** One request of a caller, from its admission to its end. */
 export class Call {
   readonly head: CallHead;
   readonly route: Route;
-  /** Whose it is; `undefined` where it needs no key. */
+  /** The customer that sent the request, `undefined` where the route needs no key. */
   readonly customer: Customer | undefined;
-  /** Services of the route, the one that the weights chose first. */
+  /** Services of the route, starting with the one that was chosen by weight. */
   readonly services: readonly ServiceId[];
   readonly arrivedAt: Instant;
-  /** When the caller, or the route's timeout, ends it. */
+  /** When the caller's timeout or the route's ends the request, whichever is shorter. */
   readonly endsAt: Instant;
   readonly log = new AttemptLog();
   readonly trace = new CallTrace();
   readonly tried = new Set<EndpointId>();
-  /** Those of them that got no byte of it. */
+  /** Endpoints in `tried` to which no byte of the request was written. */
   readonly unreached = new Set<EndpointId>();
   phase: CallPhase = "waiting";
   attempt: OpenAttempt | undefined;
   attempts = 0;
-  /** Attempts that an endpoint or a peer got. */
-  sent = 0;
-  /** Prompt tokens that no engine of the region kept when a place was last looked for. */
+  /** Attempts that an endpoint or a peer may have received. */
+  sentAttempts = 0;
+  /** Prompt tokens that no engine of the region had cached at the last placement. */
   unread = 0;
-  /** Endpoints that got it or turned it away, here or at peers. */
+  /** Endpoints that received or refused the request, through this entry or through peers. */
   offered = 0;
-  /** Refusals by endpoints, and connections that failed. */
+  /** How often an endpoint or a peer refused the request without running it. */
   rejections = 0;
-  unsent = 0;
-  /** What its caller has of a stream. */
+  failedConnections = 0;
+  /** How much of a stream the caller has received. */
   readonly position: StreamPosition;
-  /** Whether the answer that has begun consists of events. */
-  events = false;
-  /** Software of endpoints that it must not go to. */
+  /** Whether the answer in progress is a stream of events. */
+  isEventStream = false;
+  /** Software versions of endpoints that must not run the request. */
   avoidedVersions: ReadonlySet<string> = NO_VERSIONS;
-  /** Whether it waits for the outcome of another copy's trial. */
+  /** Whether the request waits for the outcome of a copy that runs as a quarantine trial. */
   awaitsTrial = false;
-  /** Units that it took of its customer's limit, here. */
+  /** Units charged against the customer's limit by this entry. */
   charged = 0;
-  /** The caller has left; the attempt goes on because its call may not be repeated. */
+  /** The caller has left, but the attempt continues because the request must not be repeated. */
   orphaned = false;
 
   constructor(
@@ -117,33 +117,33 @@
     return mayRepeat(this.route);
   }
 
-  /** 0 first. A customer's rank goes before its routes'. */
+  /** Rank of the request, 0 first. A customer's rank takes precedence over its route's. */
   get rank(): number {
     return this.customer?.rank ?? this.route.priority;
   }
 
-  /** Whether it may be served in a region: homes of route and customer both bind. */
+  /** Whether a region may serve the request: the home regions of route and customer both restrict it. */
   mayServe(region: RegionId): boolean {
     return mayServe(this.route, region) &&
       mayServeCustomer(this.customer, region);
   }
 
-  /** Whether what has gone to the caller may be followed by events of another endpoint. */
+  /** Whether another endpoint can continue the stream after what the caller has received. */
   get resumable(): boolean {
-    return this.route.resumable && this.events && this.position.known;
+    return this.route.resumable && this.isEventStream && this.position.known;
   }
 
-  /** Endpoints that may have got the request, through whichever entry. */
-  get arrivals(): number {
-    return this.sent + (this.head.relay?.sentBefore ?? 0);
+  /** Upper bound of the endpoints that received the request, through this or other entries. */
+  get possibleDeliveries(): number {
+    return this.sentAttempts + (this.head.relay?.sentBefore ?? 0);
   }
 
-  /** Its path without the query, for operators. */
+  /** The request's path for log lines, without its query. */
   get path(): string {
-    return this.head.target.split("?")[0]!.slice(0, MOST_PATH_LENGTH);
+    return this.head.target.split("?")[0]!.slice(0, MAX_PATH_LENGTH);
   }
 
-  /** Whether its objective has passed. */
+  /** Whether the route's response time objective has passed. */
   isLate(now: Instant): boolean {
     return now - this.arrivedAt > this.route.objective;
   }
--- a/packages/core/src/gateway/call_admission.ts
+++ b/packages/core/src/gateway/call_admission.ts
@@ -1,5 +1,5 @@
 /**
- * Whether an arrived request is let in: its route, its customer's key, its customer's limit.
+ * Admission of arrived requests: finds the route, checks the customer's key and applies the customer's limit.
  *
  * @module
  */
@@ -12,64 +12,64 @@
 } from "../customers/index.ts";
 import type { Instant, Milliseconds, RequestId } from "../ids/index.ts";
 import type { Route, RouteTable } from "../routes/index.ts";
-import { ArrivalHold, type HeldCall } from "./arrival_hold.ts";
+import { type PendingCall, PendingCalls } from "./arrival_hold.ts";
 import type { Call } from "./call.ts";
-import type { CallEnds } from "./call_ends.ts";
+import type { CallOutcomes } from "./call_ends.ts";
 import type { CatalogueView } from "./catalogue_view.ts";
 
-/** What others let in is waited for so long: twice the way to the region's keeper, and a tick. */
-const UNHEARD_MS = 150;
+/** Longest wait for other entries' customer usage: a round trip to the region's limit keeper, and one tick. */
+const LIMIT_REPORT_WAIT_MS = 150;
 
-/** A request that is let in. */
-export interface AdmittedCall extends HeldCall {
+/** A request that was admitted. */
+export interface AdmittedCall extends PendingCall {
   readonly route: Route;
   readonly customer: Customer | undefined;
-  /** Units that it took of its customer's limit. */
+  /** Units charged against the customer's limit. */
   readonly cost: number;
 }
 
-/** What admission works with. */
-export interface AdmissionTools {
+/** Dependencies of `CallAdmission`. */
+export interface AdmissionDependencies {
   readonly catalogue: CatalogueView;
   readonly limits: CustomerLimits;
-  /** Age of the document from which on keys are in doubt, `undefined` where they never are. */
+  /** Age of the document from which keys are no longer trusted, `undefined` where there is no such limit. */
   readonly keyLifetime: () => Milliseconds | undefined;
-  readonly ends: CallEnds;
+  readonly outcomes: CallOutcomes;
   readonly begin: (admitted: AdmittedCall, now: Instant) => void;
 }
 
-/** Lets requests in, refuses them, or holds them for word that is on its way. */
+/** Admits or refuses requests, or holds them until the data needed for the decision has arrived. */
 export class CallAdmission {
-  readonly #tools: AdmissionTools;
+  readonly #deps: AdmissionDependencies;
   readonly #refusedKeys = new RefusedKeys();
-  /** Whose key or limit cannot be judged at this moment. */
-  readonly #doubtful = new ArrivalHold();
+  /** Requests whose key or limit cannot be checked yet. */
+  readonly #pending = new PendingCalls();
 
-  constructor(tools: AdmissionTools) {
-    this.#tools = tools;
+  constructor(deps: AdmissionDependencies) {
+    this.#deps = deps;
   }
 
-  /** Requests that are held. */
+  /** Number of requests that wait for a decision. */
   get size(): number {
-    return this.#doubtful.size;
+    return this.#pending.size;
   }
 
-  /** The caller has left; whether its request was held. */
+  /** Removes the request of a caller that left. Returns whether it waited here. */
   remove(id: RequestId): boolean {
-    return this.#doubtful.remove(id);
+    return this.#pending.remove(id);
   }
 
-  takeAll(): HeldCall[] {
-    return this.#doubtful.takeAll();
+  takeAll(): PendingCall[] {
+    return this.#pending.takeAll();
   }
 
-  judge(table: RouteTable, held: HeldCall, now: Instant): void {
-    const { head, arrivedAt } = held;
-    const { catalogue, ends, keyLifetime } = this.#tools;
+  admit(table: RouteTable, pending: PendingCall, now: Instant): void {
+    const { head, arrivedAt } = pending;
+    const { catalogue, outcomes, keyLifetime } = this.#deps;
     const route = table.find(head.host, head.target);
     if (route === undefined) {
       const { version } = table.document;
-      return ends.refuseUnrouted({ head, version }, now);
+      return outcomes.refuseUnrouted({ head, version }, now);
     }
     const facts = { key: head.key, relayed: head.relay, arrivedAt };
     const verdict = judgeKey({ ...facts, public: route.public }, {
@@ -80,61 +80,67 @@
     }, now);
     switch (verdict.kind) {
       case "unknown":
-        return ends.refuseHead(head, "unknown_key");
+        return outcomes.refuseHead(head, "unknown_key");
       case "doubtful":
-        return this.#doubtKey(held, now);
+        return this.#holdForCatalogue(pending, now);
       case "accepted":
-        return this.#limit(held, { route, customer: verdict.customer }, now);
+        return this.#applyLimit(
+          pending,
+          { route, customer: verdict.customer },
+          now,
+        );
     }
   }
 
-  /** Something was heard, or time has passed. */
-  judgeAgain(now: Instant): void {
-    const { table } = this.#tools.catalogue;
-    if (this.#doubtful.size > 0 && table !== undefined) {
-      this.#doubtful.takeAll().forEach((held) => this.judge(table, held, now));
+  /** Checks waiting requests again, after new data or some time. */
+  retryPending(now: Instant): void {
+    const { table } = this.#deps.catalogue;
+    if (this.#pending.size > 0 && table !== undefined) {
+      this.#pending.takeAll().forEach((pending) =>
+        this.admit(table, pending, now)
+      );
     }
   }
 
-  /** A request that was let in has not run, and never will. */
-  giveBack({ customer, charged }: Call, now: Instant): void {
+  /** Refunds the units of an admitted request that did not run and never will. */
+  refund({ customer, charged }: Call, now: Instant): void {
     if (customer !== undefined && charged > 0) {
-      this.#tools.limits.giveBack(customer.id, charged, now);
+      this.#deps.limits.giveBack(customer.id, charged, now);
     }
   }
 
-  /** Waits for the read that will tell, unless there is none to wait for. */
-  #doubtKey(held: HeldCall, now: Instant): void {
-    if (now < held.until && this.#tools.catalogue.noteDoubt(now)) {
-      return this.#doubtful.keep(held);
+  /** Holds a request until the catalogue has been read again, or refuses it where no read can be waited for. */
+  #holdForCatalogue(pending: PendingCall, now: Instant): void {
+    if (now < pending.until && this.#deps.catalogue.noteDoubt(now)) {
+      return this.#pending.put(pending);
     }
-    this.#tools.ends.refuseHead(held.head, "key_in_doubt");
+    this.#deps.outcomes.refuseHead(pending.head, "key_in_doubt");
   }
 
-  /** Lets a request in as far as its customer's limit goes. One that was passed on was let in before. */
-  #limit(
-    held: HeldCall,
+  /** Applies the customer's limit. For a relayed request the first entry has already done so. */
+  #applyLimit(
+    pending: PendingCall,
     { route, customer }: { route: Route; customer: Customer | undefined },
     now: Instant,
   ): void {
-    const { head, arrivedAt } = held;
-    const { limits, ends, begin } = this.#tools;
+    const { head, arrivedAt } = pending;
+    const { limits, outcomes, begin } = this.#deps;
     const limit = head.relay === undefined ? customer?.limit : undefined;
     if (limit === undefined) {
-      return begin({ ...held, route, customer, cost: 0 }, now);
+      return begin({ ...pending, route, customer, cost: 0 }, now);
     }
     const cost = costOf(limit, head.prompt);
-    const hurried = now - arrivedAt >= UNHEARD_MS;
+    const hurried = now - arrivedAt >= LIMIT_REPORT_WAIT_MS;
     const verdict = limits.take(customer!, { cost, hurried }, now);
     switch (verdict.kind) {
       case "unheard":
-        return this.#doubtful.keep(held);
+        return this.#pending.put(pending);
       case "over": {
         const facts = { wait: verdict.wait, customer: customer!.id };
-        return ends.refuseHead(head, "over_limit", facts);
+        return outcomes.refuseHead(head, "over_limit", facts);
       }
       case "admitted":
-        return begin({ ...held, route, customer, cost }, now);
+        return begin({ ...pending, route, customer, cost }, now);
     }
   }
 }
--- a/packages/core/src/gateway/call_attempts.ts
+++ b/packages/core/src/gateway/call_attempts.ts
@@ -1,5 +1,5 @@
 /**
- * Attempts under way: what is sent where, and what it takes there.
+ * Attempts in progress: sends requests, and accounts for what they use at endpoints.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { PrefixNews } from "../fleet/index.ts";
 import { type AttemptId, type Instant, milliseconds } from "../ids/index.ts";
 import type { Call, OpenAttempt } from "./call.ts";
-import type { CallRouter, Way } from "./call_router.ts";
+import type { CallRouter, RoutingDecision } from "./call_router.ts";
 import type { Chosen } from "./local_places.ts";
 import type { ColdAllowance } from "./cold_allowance.ts";
 import type { EndpointState } from "./endpoint_state.ts";
@@ -18,14 +18,14 @@
 import type { RegionController } from "./region_controller.ts";
 import type { RepeatBudget } from "./repeat_budget.ts";
 
-/** Another process answers at the address of the endpoint that was meant. */
-export const MISDIRECTED = 421;
+/** HTTP status of an address at which another process than the intended endpoint answers. */
+export const MISDIRECTED_REQUEST = 421;
 
-/** From this status on an answer is a failure of its endpoint. */
+/** Statuses from this one on count as failures of the endpoint. */
 export const FIRST_SERVER_ERROR = 500;
 
-/** What attempts are made with. */
-export interface AttemptTools {
+/** Dependencies of `CallAttempts`. */
+export interface AttemptDependencies {
   readonly emit: GatewayEmit;
   readonly regions: RegionController;
   readonly router: CallRouter;
@@ -35,23 +35,23 @@
   readonly terms: EndpointTerms;
 }
 
-/** A request with its attempt under way. */
+/** A request and its attempt in progress. */
 export interface InFlightCall {
   readonly call: Call;
   readonly attempt: OpenAttempt;
 }
 
-/** Keeps the attempts under way. */
+/** Tracks the attempts in progress. */
 export class CallAttempts {
-  readonly #tools: AttemptTools;
+  readonly #deps: AttemptDependencies;
   readonly #calls = new Map<AttemptId, Call>();
   #prefixNews: PrefixNews[] = [];
 
-  constructor(tools: AttemptTools) {
-    this.#tools = tools;
+  constructor(deps: AttemptDependencies) {
+    this.#deps = deps;
   }
 
-  /** The request of an attempt, `undefined` where it is no longer under way. */
+  /** Returns the request of an attempt, `undefined` if the attempt is no longer in progress. */
   find(id: AttemptId): InFlightCall | undefined {
     const call = this.#calls.get(id);
     const attempt = call?.attempt;
@@ -60,25 +60,25 @@
       : { call, attempt };
   }
 
-  /** Prefixes that engines were given to read since the last call. */
+  /** Removes and returns the prompt prefixes that were sent to engines since the last call. */
   takePrefixNews(): PrefixNews[] {
-    const news = this.#prefixNews;
+    const prefixes = this.#prefixNews;
     this.#prefixNews = [];
-    return news;
+    return prefixes;
   }
 
-  /** Sends to an endpoint. */
-  sendTo(call: Call, chosen: Chosen, now: Instant): void {
+  /** Starts an attempt at an endpoint. */
+  sendToEndpoint(call: Call, chosen: Chosen, now: Instant): void {
     const { state, prefill, tokens } = chosen;
-    const target = this.#tools.router.targetOf(call, chosen, now);
+    const target = this.#deps.router.targetOf(call, chosen, now);
     const attempt = this.#open(call, { target, state, now });
-    call.trace.reads(prefill);
+    call.trace.notePrefill(prefill);
     state.begin(attempt.id, { prefill, tokens }, now);
     state.health.used(now);
     const { prompt } = call.head;
     if (prompt !== undefined && state.service?.engine !== undefined) {
       const parts = sharedParts(prompt);
-      this.#tools.regions.noteReading(prefill, prompt.promptTokens);
+      this.#deps.regions.noteReading(prefill, prompt.promptTokens);
       state.prefixes.use(parts);
       const { id, life } = state.record;
       this.#prefixNews.push({ endpoint: id, life, parts });
@@ -86,14 +86,17 @@
     this.#emitSend(call, attempt, now);
   }
 
-  /** Passes a request on to an entry of another region. */
-  relay(
+  /** Starts an attempt through an entry of another region. */
+  relayToPeer(
     call: Call,
-    { incarnation, region, address }: Extract<Way, { kind: "peer" }>,
+    { incarnation, region, address }: Extract<
+      RoutingDecision,
+      { kind: "peer" }
+    >,
     now: Instant,
   ): void {
     if (call.attempts === 0) {
-      const { regions } = this.#tools;
+      const { regions } = this.#deps;
       const { arrivedAt } = call;
       regions.noteRelayed(call.services[0]!, call.head.prompt, {
         arrivedAt,
@@ -105,60 +108,63 @@
       incarnation,
       region,
       address,
-      sentBefore: call.arrivals,
+      sentBefore: call.possibleDeliveries,
     };
     const attempt = this.#open(call, { target, state: undefined, now });
     this.#emitSend(call, attempt, now);
   }
 
-  /** The request is about to be written. */
+  /** Records that the shell is about to write the request. */
   noteSent(call: Call, attempt: OpenAttempt, now: Instant): void {
     const { state, id } = attempt;
     attempt.sentAt = now;
-    call.trace.sent(now);
+    call.trace.noteSent(now);
     call.log.record(id, "sent");
     if (state !== undefined) {
       call.tried.add(state.record.id);
       call.unreached.delete(state.record.id);
       call.offered++;
-      if (call.arrivals === 0) {
-        this.#tools.budget.noteFirst(state.record.service, now);
+      if (call.possibleDeliveries === 0) {
+        this.#deps.budget.noteFirst(state.record.service, now);
       }
       if (state.isCold(now)) {
-        this.#tools.cold.spend(state.record.id, now);
+        this.#deps.cold.spend(state.record.id, now);
       }
       const { fingerprint } = call.head;
       const { path } = call;
       const run = { attempt: id, fingerprint, path, sentAt: now };
-      this.#tools.quarantine.began(state, run, call.head.id);
-      this.#tools.terms.rests.noteSent(state.record, now);
+      this.#deps.quarantine.began(state, run, call.head.id);
+      this.#deps.terms.rests.noteSent(state.record, now);
     }
-    call.sent += attemptsOf(call, attempt);
+    call.sentAttempts += countAttempts(call, attempt);
   }
 
-  /** An attempt is not read because its caller has no room, or is read again. */
-  noteHeld(
+  /** Records that an answer is not read because the caller's connection is full, or that reading resumed. */
+  noteBackpressure(
     { trace }: Call,
     attempt: OpenAttempt,
     { held, now }: { held: boolean; now: Instant },
   ): void {
-    if (held === (attempt.heldSince !== undefined)) {
+    if (held === (attempt.backpressureSince !== undefined)) {
       return;
     }
     if (attempt.state !== undefined) {
-      this.#tools.quarantine.held(attempt.state, attempt.id, { held, now });
+      this.#deps.quarantine.held(attempt.state, attempt.id, { held, now });
     }
-    if (attempt.heldSince === undefined) {
-      attempt.heldSince = now;
+    if (attempt.backpressureSince === undefined) {
+      attempt.backpressureSince = now;
     } else {
-      trace.held(milliseconds(now - attempt.heldSince), now);
-      attempt.heldSince = undefined;
+      trace.noteBackpressure(
+        milliseconds(now - attempt.backpressureSince),
+        now,
+      );
+      attempt.backpressureSince = undefined;
       attempt.heardAt = now;
     }
   }
 
-  /** Takes what the head of an answer says of its endpoint. */
-  noteHead(
+  /** Records what the head of an answer states about its endpoint. */
+  noteAnswerHead(
     { head }: Call,
     { state }: OpenAttempt,
     { answer, now }: { answer: CallAnswer; now: Instant },
@@ -170,25 +176,25 @@
     state.heardAt = now;
     state.load = load ?? state.load;
     state.loadAt = load === undefined ? state.loadAt : now;
-    if (status === MISDIRECTED) {
+    if (status === MISDIRECTED_REQUEST) {
       return;
     }
     const { record } = state;
-    const { terms } = this.#tools;
-    const stating = { call: head.call, status };
-    terms.limits.hear(record, { stated: answer.limit, answer: stating }, now);
+    const { terms } = this.#deps;
+    const context = { call: head.call, status };
+    terms.limits.hear(record, { stated: answer.limit, answer: context }, now);
     if (answer.leaving) {
-      terms.departures.hear(record, stating);
+      terms.departures.hear(record, context);
     }
     if (!answer.notRun && status < FIRST_SERVER_ERROR) {
       terms.rests.noteServed(record, now);
     }
     if (answer.rest !== undefined) {
-      terms.rests.hear(record, { stated: answer.rest, answer: stating }, now);
+      terms.rests.hear(record, { stated: answer.rest, answer: context }, now);
     }
   }
 
-  /** The attempt under way is over, one way or another. */
+  /** Ends the attempt in progress, with the given state for the verdict. */
   close(
     call: Call,
     state: "unsent" | "lost" | "refused" | "completed",
@@ -196,10 +202,10 @@
   ): void {
     const { attempt } = call;
     if (attempt !== undefined) {
-      this.noteHeld(call, attempt, { held: false, now });
+      this.noteBackpressure(call, attempt, { held: false, now });
       const { permit, sentAt } = attempt;
       if (permit !== undefined && sentAt === undefined) {
-        this.#tools.terms.limits.giveBack(attempt.state!.record, permit);
+        this.#deps.terms.limits.giveBack(attempt.state!.record, permit);
       }
       call.log.record(attempt.id, state);
       attempt.state?.end(attempt.id, now);
@@ -227,16 +233,16 @@
       ? "answered"
       : "refused";
     const run = { attempt: id, fingerprint, end };
-    this.#tools.quarantine.ended(endpoint, run, now);
+    this.#deps.quarantine.ended(endpoint, run, now);
     if (failed) {
-      this.#tools.quarantine.broken(endpoint, now);
+      this.#deps.quarantine.broken(endpoint, now);
     }
   }
 
-  /** Gives up the attempt under way, if there still is one. */
-  leave(call: Call, now: Instant): void {
+  /** Aborts the attempt in progress, if there is one. */
+  abandon(call: Call, now: Instant): void {
     if (call.attempt !== undefined) {
-      this.#tools.emit({ kind: "abort", attempt: call.attempt.id });
+      this.#deps.emit({ kind: "abort", attempt: call.attempt.id });
       this.close(call, "lost", now);
     }
   }
@@ -255,18 +261,18 @@
       id,
       target,
       state,
-      madeAt: now,
+      createdAt: now,
       permit: state === undefined
         ? undefined
-        : this.#tools.terms.limits.take(state.record, now),
+        : this.#deps.terms.limits.take(state.record, now),
       sentAt: undefined,
       heardAt: undefined,
-      heldSince: undefined,
+      backpressureSince: undefined,
       failed: false,
-      unfinished: 0,
+      partialEventBytes: 0,
     };
     call.attempt = attempt;
-    call.trace.placed(attempt);
+    call.trace.notePlaced(attempt);
     if (call.phase === "waiting") {
       call.phase = "trying";
     }
@@ -280,7 +286,7 @@
     { id, target, state }: OpenAttempt,
     now: Instant,
   ): void {
-    this.#tools.emit({
+    this.#deps.emit({
       kind: "send",
       attempt: {
         id,
@@ -296,9 +302,12 @@
 }
 
 /**
- * A peer may use all attempts of a request that is passed on to it, and its connection may break before
- * it tells. Counted as one, the request could run at more endpoints than its route allows.
+ * Attempts to count for one attempt. A peer may use all attempts of a relayed request, and its connection may
+ * break before it reports them. Counted as one, the request could run at more endpoints than its route allows.
  */
-export function attemptsOf({ route }: Call, { target }: OpenAttempt): number {
+export function countAttempts(
+  { route }: Call,
+  { target }: OpenAttempt,
+): number {
   return target.kind === "peer" ? route.attempts : 1;
 }
--- a/packages/core/src/gateway/call_controller.ts
+++ b/packages/core/src/gateway/call_controller.ts
@@ -1,5 +1,5 @@
 /**
- * The life of each request: placed, sent, answered, repeated or refused.
+ * The life cycle of requests: admission, placement, sending, answering, repeating and refusal.
  *
  * @module
  */
@@ -17,12 +17,12 @@
   type RequestId,
 } from "../ids/index.ts";
 import type { ListenedTimeView } from "../listening/index.ts";
-import { ArrivalHold, heldFrom } from "./arrival_hold.ts";
+import { createPendingCall, PendingCalls } from "./arrival_hold.ts";
 import { Call, type OpenAttempt } from "./call.ts";
 import { type AdmittedCall, CallAdmission } from "./call_admission.ts";
 import { CallAttempts, FIRST_SERVER_ERROR } from "./call_attempts.ts";
-import { CallEnds } from "./call_ends.ts";
-import { CallPlacer, LEAST_TIME_MS } from "./call_placer.ts";
+import { CallOutcomes } from "./call_ends.ts";
+import { CallPlacer, MIN_SEND_TIME_MS } from "./call_placer.ts";
 import { CallRecovery } from "./call_recovery.ts";
 import { type CallRouter } from "./call_router.ts";
 import { orderServices } from "./service_order.ts";
@@ -40,12 +40,12 @@
 import type { RegionController } from "./region_controller.ts";
 import type { RepeatBudget } from "./repeat_budget.ts";
 
-/** A caller's call that may not repeat goes on without it for so long. */
-const ORPHAN_MS = 5_000;
+/** How long after its deadline a non-idempotent request may run on once its caller has left. */
+const ORPHAN_GRACE_MS = 5_000;
 const UINT32_RANGE = 2 ** 32;
 
-/** What the controller works with. */
-export interface CallTools {
+/** Dependencies of `CallController`. */
+export interface CallDependencies {
   readonly emit: GatewayEmit;
   readonly random: Randomness;
   readonly catalogue: CatalogueView;
@@ -57,44 +57,48 @@
   readonly quarantine: QuarantineController;
   readonly terms: EndpointTerms;
   readonly limits: CustomerLimits;
-  /** Age of the document from which on keys are in doubt, `undefined` where they never are. */
+  /** Age of the document from which keys are no longer trusted, `undefined` where there is no such limit. */
   readonly keyLifetime: () => Milliseconds | undefined;
   readonly listened: ListenedTimeView;
-  /** Entries that may be alive, this one included. */
+  /** Number of entries that may be alive, including this one. */
   readonly entries: () => number;
-  /** Live entries of the region, this one included. */
+  /** Number of live entries in the region, including this one. */
   readonly regionEntries: () => number;
 }
 
-/** Writes the requests. */
+/** Owns all requests of this entry and handles the events that concern them. */
 export class CallController {
-  readonly #tools: CallTools;
+  readonly #deps: CallDependencies;
   readonly #calls = new Map<RequestId, Call>();
   readonly #attempts: CallAttempts;
-  readonly #ends: CallEnds;
+  readonly #outcomes: CallOutcomes;
   readonly #placer: CallPlacer;
   readonly #recovery: CallRecovery;
   #lastArrivalAt: Instant | undefined;
   #refusesNew = false;
-  readonly #hold = new ArrivalHold();
+  readonly #pending = new PendingCalls();
   readonly #admission: CallAdmission;
 
-  constructor(tools: CallTools) {
-    this.#tools = tools;
-    this.#attempts = new CallAttempts(tools);
+  constructor(deps: CallDependencies) {
+    this.#deps = deps;
+    this.#attempts = new CallAttempts(deps);
     const forget = (call: Call): void => this.#forget(call);
-    this.#ends = new CallEnds({
-      emit: tools.emit,
-      random: tools.random,
+    this.#outcomes = new CallOutcomes({
+      emit: deps.emit,
+      random: deps.random,
       forget,
-      spared: (call, now) => this.#admission.giveBack(call, now),
+      onNotRun: (call, now) => this.#admission.refund(call, now),
     });
     this.#admission = new CallAdmission({
-      ...tools,
-      ends: this.#ends,
+      ...deps,
+      outcomes: this.#outcomes,
       begin: (admitted, now) => this.#begin(admitted, now),
     });
-    const parts = { ...tools, attempts: this.#attempts, ends: this.#ends };
+    const parts = {
+      ...deps,
+      attempts: this.#attempts,
+      outcomes: this.#outcomes,
+    };
     this.#placer = new CallPlacer(parts);
     this.#recovery = new CallRecovery({
       ...parts,
@@ -103,76 +107,76 @@
     });
   }
 
-  /** Prefixes that engines were given to read since the last call. */
+  /** Removes and returns the prompt prefixes that were sent to engines since the last call. */
   takePrefixNews(): PrefixNews[] {
     return this.#attempts.takePrefixNews();
   }
 
-  /** Requests that have no final answer. */
+  /** Number of requests without a final answer. */
   get active(): number {
-    return this.#calls.size + this.#hold.size + this.#admission.size;
+    return this.#calls.size + this.#pending.size + this.#admission.size;
   }
 
   get queued(): number {
     return this.#placer.queue.size;
   }
 
-  /** Streams that went on elsewhere since the start. */
+  /** Number of streams that were resumed at another endpoint since the start. */
   get resumed(): number {
     return this.#recovery.resumed;
   }
 
-  /** Requests without a route since the start. */
+  /** Number of requests without a matching route since the start. */
   get unrouted(): number {
-    return this.#ends.unrouted.count;
+    return this.#outcomes.unrouted.count;
   }
 
   get lastArrivalAt(): Instant | undefined {
     return this.#lastArrivalAt;
   }
 
-  /** From now on requests are refused: the process ends before they would be answered. */
+  /** Refuses requests from now on: the process will end before they could be answered. */
   refuseNew(): void {
     this.#refusesNew = true;
   }
 
-  /** A request has arrived with its whole body. */
+  /** Handles a request that has arrived with its whole body. */
   arrive(head: CallHead, now: Instant): void {
     if (this.#refusesNew) {
-      return this.#ends.refuseHead(head, "stopping");
+      return this.#outcomes.refuseHead(head, "stopping");
     }
     this.#lastArrivalAt = now;
-    const { catalogue } = this.#tools;
+    const { catalogue } = this.#deps;
     const { table, failing } = catalogue;
     if (table !== undefined && !catalogue.isOld(now)) {
-      return this.#admission.judge(table, heldFrom(head, now), now);
+      return this.#admission.admit(table, createPendingCall(head, now), now);
     }
     if (failing) {
-      return this.#ends.refuseHead(head, "no_document");
+      return this.#outcomes.refuseHead(head, "no_document");
     }
-    this.#hold.add(head, now);
+    this.#pending.add(head, now);
   }
 
   #begin(
     { head, arrivedAt, route, customer, cost }: AdmittedCall,
     now: Instant,
   ): void {
-    const time = Math.min(head.timeLeft ?? route.timeout, route.timeout);
-    const place = hash32(`split ${head.call}`) / UINT32_RANGE;
+    const timeLimit = Math.min(head.timeLeft ?? route.timeout, route.timeout);
+    const position = hash32(`split ${head.call}`) / UINT32_RANGE;
     const call = new Call(head, {
       route,
       customer,
-      services: orderServices(route.targets, place),
+      services: orderServices(route.targets, position),
       arrivedAt,
-      endsAt: after(arrivedAt, time),
+      endsAt: after(arrivedAt, timeLimit),
     });
     this.#calls.set(head.id, call);
     call.charged = cost;
-    this.#meter(call, now);
+    this.#recordArrival(call, now);
     this.#placer.place(call, now);
   }
 
-  /** The connection stands: is the request still to be written, and is its endpoint still the right one? */
+  /** The connection is established: checks that the request is still wanted and its endpoint still eligible. */
   commit(id: AttemptId, now: Instant): void {
     const found = this.#attempts.find(id);
     if (found === undefined) {
@@ -181,8 +185,9 @@
     const { call, attempt } = found;
     const { state } = attempt;
     const timeLeft = call.endsAt - now;
-    const wanted = timeLeft >= LEAST_TIME_MS &&
-      (state === undefined || this.#tools.router.stillFits(call, state, now));
+    const wanted = timeLeft >= MIN_SEND_TIME_MS &&
+      (state === undefined ||
+        this.#deps.router.isStillEligible(call, state, now));
     if (!wanted) {
       this.#attempts.close(call, "unsent", now);
       this.#placer.place(call, now);
@@ -191,26 +196,26 @@
     if (!this.#placer.maySend(call, now)) {
       return;
     }
-    if (!this.#isCovered(attempt, now)) {
+    if (!this.#hasPermit(attempt, now)) {
       this.#attempts.close(call, "unsent", now);
       this.#placer.place(call, now);
       return;
     }
     this.#attempts.noteSent(call, attempt, now);
-    this.#tools.emit({
+    this.#deps.emit({
       kind: "proceed",
       attempt: id,
       timeLeft: milliseconds(timeLeft),
     });
   }
 
-  /** The last look at an endpoint's limit: no request reaches it by another way. */
-  #isCovered({ state, permit }: OpenAttempt, now: Instant): boolean {
+  /** Last check of an endpoint's rate limit. Every request to an endpoint passes through here. */
+  #hasPermit({ state, permit }: OpenAttempt, now: Instant): boolean {
     return state === undefined ||
-      this.#tools.terms.limits.covers(state.record, permit, now);
+      this.#deps.terms.limits.covers(state.record, permit, now);
   }
 
-  /** The head of an answer. */
+  /** Handles the head of an answer. */
   answered(id: AttemptId, answer: CallAnswer, now: Instant): void {
     const found = this.#attempts.find(id);
     if (found === undefined) {
@@ -218,31 +223,34 @@
     }
     const { call, attempt } = found;
     attempt.heardAt = now;
-    this.#attempts.noteHead(call, attempt, { answer, now });
+    this.#attempts.noteAnswerHead(call, attempt, { answer, now });
     if (answer.notRun) {
       return this.#recovery.rejected(call, answer, now);
     }
     const failed = answer.status >= FIRST_SERVER_ERROR;
     attempt.state?.health.note(failed ? "failed" : "good", now);
     if (call.phase === "answering") {
-      return this.#recovery.goOn(call, answer, now);
+      return this.#recovery.resumeStream(call, answer, now);
     }
-    if (failed && call.mayRepeat && this.#recovery.canTryElsewhere(call, now)) {
-      // The shell reads the failure to its end and keeps the connection.
+    if (failed && call.mayRepeat && this.#recovery.reserveRepeat(call, now)) {
+      // The shell reads the failed answer to its end, so that the connection can be reused.
       attempt.failed = true;
       this.#attempts.close(call, "lost", now);
       return this.#placer.place(call, now);
     }
     call.phase = "answering";
-    call.events = answer.events;
+    call.isEventStream = answer.events;
     attempt.failed = failed;
-    this.#tools.emit({ kind: "forward", attempt: id });
+    this.#deps.emit({ kind: "forward", attempt: id });
   }
 
-  /** Bytes of an answer's body. */
+  /** Handles bytes of an answer's body. */
   progress(
     id: AttemptId,
-    news: Omit<Extract<GatewayEvent, { kind: "progress" }>, "kind" | "attempt">,
+    update: Omit<
+      Extract<GatewayEvent, { kind: "progress" }>,
+      "kind" | "attempt"
+    >,
     now: Instant,
   ): void {
     const found = this.#attempts.find(id);
@@ -250,33 +258,34 @@
       return;
     }
     const { call, attempt } = found;
-    const first = attempt.state !== undefined && attempt.state.own.prefill > 0;
+    const hadPrefill = attempt.state !== undefined &&
+      attempt.state.own.prefill > 0;
     attempt.heardAt = now;
     if (attempt.state !== undefined) {
       attempt.state.heardAt = now;
     }
     if (call.phase !== "answering") {
-      // Kept until it is whole, so that nothing has come for the caller yet.
+      // The shell buffers the whole answer: the caller has received nothing yet.
       return;
     }
-    attempt.unfinished = news.unfinished;
-    call.trace.heard(now);
+    attempt.partialEventBytes = update.unfinished;
+    call.trace.noteBytes(now);
     attempt.state?.firstEvent(id, now);
-    call.position.passed(news);
-    if (first) {
+    call.position.advance(update);
+    if (hadPrefill) {
       this.#placer.drain(now);
     }
   }
 
-  /** Its caller has no room, or has room again. */
+  /** Handles the start or end of backpressure: the caller's connection is full, or accepts data again. */
   held(id: AttemptId, held: boolean, now: Instant): void {
     const found = this.#attempts.find(id);
     if (found !== undefined) {
-      this.#attempts.noteHeld(found.call, found.attempt, { held, now });
+      this.#attempts.noteBackpressure(found.call, found.attempt, { held, now });
     }
   }
 
-  /** An attempt is over. */
+  /** Handles the end of an attempt. */
   ended(id: AttemptId, end: CallEnd, now: Instant): void {
     const found = this.#attempts.find(id);
     if (found === undefined) {
@@ -285,7 +294,7 @@
     const { call, attempt } = found;
     if (end.kind === "complete") {
       this.#attempts.close(call, "completed", now);
-      this.#ends.complete(call, attempt.failed, now);
+      this.#outcomes.complete(call, attempt.failed, now);
     } else if (end.kind === "unsent") {
       this.#recovery.failedToSend(call, attempt, { ...end, now });
     } else {
@@ -294,11 +303,11 @@
     this.#placer.drain(now);
   }
 
-  /** The caller has closed its connection. */
+  /** Handles a caller that has closed its connection. */
   callerGone(id: RequestId, now: Instant): void {
     const call = this.#calls.get(id);
-    const held = this.#hold.remove(id) || this.#admission.remove(id);
-    if (held || call === undefined) {
+    const wasPending = this.#pending.remove(id) || this.#admission.remove(id);
+    if (wasPending || call === undefined) {
       return;
     }
     const running = call.attempt?.sentAt !== undefined;
@@ -306,12 +315,12 @@
       call.orphaned = true;
       return;
     }
-    this.#attempts.leave(call, now);
-    this.#ends.left(call, now);
+    this.#attempts.abandon(call, now);
+    this.#outcomes.callerLeft(call, now);
     this.#placer.drain(now);
   }
 
-  /** Ends what has run out of time, and leaves endpoints that fell silent. */
+  /** Ends requests that have run out of time, and abandons endpoints that have gone silent. */
   tick(now: Instant): void {
     this.releaseHeld(now);
     for (const call of [...this.#calls.values()]) {
@@ -320,7 +329,7 @@
       } else if (now >= call.endsAt) {
         this.#expire(call, now);
       } else if (this.#placer.waitedTooLong(call, now)) {
-        this.#ends.fail(call, "overloaded", now);
+        this.#outcomes.fail(call, "overloaded", now);
       } else if (call.attempt !== undefined) {
         this.#recovery.checkEndpoint(call, call.attempt, now);
       }
@@ -328,54 +337,54 @@
     this.#placer.drain(now);
   }
 
-  /** Goes on with what was held, once the picture is there, or will not be. */
+  /** Continues with waiting requests once the catalogue is available, its read has failed or their time is up. */
   releaseHeld(now: Instant): void {
-    this.#admission.judgeAgain(now);
-    if (this.#hold.size === 0) {
+    this.#admission.retryPending(now);
+    if (this.#pending.size === 0) {
       return;
     }
-    const { catalogue } = this.#tools;
+    const { catalogue } = this.#deps;
     const { table, failing } = catalogue;
     const ready = table !== undefined && !catalogue.isOld(now);
-    const over = ready || failing
-      ? this.#hold.takeAll()
-      : this.#hold.takeOverdue(now);
-    // An old picture that nobody renews is better than none.
-    over.forEach((held) =>
+    const decided = ready || failing
+      ? this.#pending.takeAll()
+      : this.#pending.takeExpired(now);
+    // An outdated catalogue that nobody renews is better than none.
+    decided.forEach((pending) =>
       table === undefined
-        ? this.#ends.refuseHead(held.head, "no_document")
-        : this.#admission.judge(table, held, now)
+        ? this.#outcomes.refuseHead(pending.head, "no_document")
+        : this.#admission.admit(table, pending, now)
     );
   }
 
-  /** Permits of limited endpoints have come. */
+  /** Handles new permits for endpoints with a rate limit. */
   notePermits(now: Instant): void {
     this.#placer.drain(now);
   }
 
-  /** What others let in was told. */
+  /** Handles a report of what other entries charged to customers. */
   noteSpending(now: Instant): void {
-    this.#admission.judgeAgain(now);
+    this.#admission.retryPending(now);
   }
 
-  /** Ends every request: the process ends. What its callers had not been told they would never learn. */
+  /** Ends all requests before the process exits, so that each caller still learns the outcome. */
   endAll(now: Instant): void {
     this.refuseNew();
-    const held = [...this.#hold.takeAll(), ...this.#admission.takeAll()];
-    held.forEach(({ head }) => this.#ends.refuseHead(head, "stopping"));
+    const pending = [...this.#pending.takeAll(), ...this.#admission.takeAll()];
+    pending.forEach(({ head }) => this.#outcomes.refuseHead(head, "stopping"));
     for (const call of [...this.#calls.values()]) {
-      this.#attempts.leave(call, now);
+      this.#attempts.abandon(call, now);
       if (call.orphaned) {
         this.#forget(call);
       } else {
-        this.#ends.fail(call, "stopping", now);
+        this.#outcomes.fail(call, "stopping", now);
       }
     }
   }
 
-  #meter({ head, services, route }: Call, now: Instant): void {
+  #recordArrival({ head, services, route }: Call, now: Instant): void {
     const [service] = services;
-    const { regions } = this.#tools;
+    const { regions } = this.#deps;
     regions.noteArrival(service!, head.prompt, now);
     if (head.relay === undefined) {
       regions.traffic.add(route.name, now);
@@ -384,7 +393,7 @@
 
   #expire(call: Call, now: Instant): void {
     if (call.attempt !== undefined) {
-      this.#tools.emit({ kind: "abort", attempt: call.attempt.id });
+      this.#deps.emit({ kind: "abort", attempt: call.attempt.id });
       this.#attempts.close(
         call,
         call.attempt.sentAt === undefined ? "unsent" : "lost",
@@ -393,19 +402,19 @@
     }
     if (call.phase === "answering") {
       const cause = call.trace.cause(call, false, now) ?? "starved";
-      return this.#ends.breakOff(call, cause, now);
+      return this.#outcomes.breakOff(call, cause, now);
     }
-    this.#ends.fail(call, "deadline", now);
+    this.#outcomes.fail(call, "deadline", now);
   }
 
   #endOrphan(call: Call, now: Instant): void {
-    if (now - call.endsAt >= ORPHAN_MS) {
-      this.#giveUp(call, now);
+    if (now - call.endsAt >= ORPHAN_GRACE_MS) {
+      this.#abandon(call, now);
     }
   }
 
-  #giveUp(call: Call, now: Instant): void {
-    this.#attempts.leave(call, now);
+  #abandon(call: Call, now: Instant): void {
+    this.#attempts.abandon(call, now);
     this.#forget(call);
   }
 
--- a/packages/core/src/gateway/call_ends.ts
+++ b/packages/core/src/gateway/call_ends.ts
@@ -1,5 +1,5 @@
 /**
- * How requests end without the answer of an endpoint.
+ * Final outcomes of requests: complete, refused, broken off, or left by the caller.
  *
  * @module
  */
@@ -13,51 +13,51 @@
 } from "../ids/index.ts";
 import type { Call } from "./call.ts";
 import type { LossCause } from "./call_trace.ts";
-import { LineTally } from "./line_tally.ts";
+import { LogThrottle } from "./line_tally.ts";
 import type {
   CallHead,
   CallRefusal,
   CallRefusalReason,
   GatewayEmit,
 } from "./messages.ts";
-import { refuse } from "./refusals.ts";
+import { createRefusal } from "./refusals.ts";
 
-/** Callers come back in a wave if all are told the same time: this part of it is drawn. */
-const RETRY_SPREAD = 0.5;
-/** Another entry in the place of a stopping one is there at once. */
-const SOON_MS = 300;
+/** Fraction by which retry times vary at random: callers with equal times would return in a wave. */
+const RETRY_JITTER_FRACTION = 0.5;
+/** Retry time after a refusal by a stopping entry: another entry is available at once. */
+const STOPPING_RETRY_MS = 300;
 /**
- * Endpoints that are gone or full, and a platform that does not answer, are not back within a moment:
- * callers who return at once are refused again, and have lost their second try.
+ * Retry time after other refusals. Endpoints that are gone or full, and a platform that does not answer, take
+ * a while to recover: callers that return at once are refused again, and have used up their only retry.
  */
-const LATER_MS = 1_200;
+const DEFAULT_RETRY_MS = 1_200;
 
-/** Refuses and breaks off. */
-export class CallEnds {
+/** Ends requests, and logs those that were served late or not at all. */
+export class CallOutcomes {
   readonly #emit: GatewayEmit;
   readonly #random: Randomness;
   readonly #forget: (call: Call) => void;
-  readonly #spared: (call: Call, now: Instant) => void;
-  /** Requests that no route takes. */
-  readonly unrouted = new LineTally();
+  readonly #onNotRun: (call: Call, now: Instant) => void;
+  /** Requests without a matching route. */
+  readonly unrouted = new LogThrottle();
 
   constructor(
-    { emit, random, forget, spared }: {
+    { emit, random, forget, onNotRun }: {
       emit: GatewayEmit;
       random: Randomness;
-      /** The request has not run, and never will. */
-      spared: (call: Call, now: Instant) => void;
-      /** The request is over. */
+      /** Called for a request that has not run and never will. */
+      onNotRun: (call: Call, now: Instant) => void;
+      /** Called for a request that is over. */
       forget: (call: Call) => void;
     },
   ) {
     this.#emit = emit;
     this.#random = random;
     this.#forget = forget;
-    this.#spared = spared;
+    this.#onNotRun = onNotRun;
   }
 
-  /** The whole answer has gone to the caller. */
+  /** Ends a request whose whole answer has been sent to the caller. */
   complete(call: Call, failed: boolean, now: Instant): void {
     const cause = failed
       ? "endpoint_failed"
@@ -70,22 +70,22 @@
     this.#forget(call);
   }
 
-  /** The caller has closed its connection before its answer was whole. */
-  left(call: Call, now: Instant): void {
+  /** Ends a request whose caller closed the connection before the answer was complete. */
+  callerLeft(call: Call, now: Instant): void {
     const cause = call.trace.cause(call, false, now) ?? "starved";
     this.#logLoss("Caller left.", call, { cause, now });
-    this.#spare(call, now);
+    this.#refundIfNotRun(call, now);
     this.#forget(call);
   }
 
-  /** Ends an answer that has begun: its caller must see that it is not whole. */
+  /** Aborts an answer in progress, in a way that shows the caller that it is incomplete. */
   breakOff(call: Call, cause: LossCause, now: Instant): void {
     this.#logLoss("Answer is broken off.", call, { cause, now });
     this.#emit({ kind: "breakOff", request: call.head.id });
     this.#forget(call);
   }
 
-  /** Ends a request without an answer of an endpoint. The verdict comes from its attempts alone. */
+  /** Ends a request without an answer from an endpoint. The verdict depends on its attempts alone. */
   fail(
     call: Call,
     reason: CallRefusalReason,
@@ -96,11 +96,11 @@
       return this.breakOff(call, causeOf(reason), now);
     }
     const verdict = call.log.verdict();
-    this.#spare(call, now);
-    const refusal = refuse(reason, {
+    this.#refundIfNotRun(call, now);
+    const refusal = createRefusal(reason, {
       verdict,
       offered: call.offered,
-      retryAfter: this.#returnTime(reason, wait),
+      retryAfter: this.#retryAfter(reason, wait),
     });
     this.log("Request is refused.", call, {
       reason,
@@ -114,7 +114,7 @@
     this.#forget(call);
   }
 
-  /** Refuses what has not become a request. */
+  /** Refuses a request that was not admitted. */
   refuseHead(
     head: CallHead,
     reason: CallRefusalReason,
@@ -138,8 +138,8 @@
   }
 
   /**
-   * Refuses a request that no route takes. Callers that probe send them all the time: with a line for
-   * each, a log that is cut short holds little else.
+   * Refuses a request without a matching route. Log lines are throttled: scanners send such requests all the
+   * time, and with a line for each, a log of limited size would hold little else.
    */
   refuseUnrouted(
     { head, version }: { head: CallHead; version: Revision },
@@ -157,7 +157,7 @@
     this.#refuse(head, "no_route");
   }
 
-  /** Writes a line about a request. */
+  /** Writes a log line about a request. */
   log(
     text: string,
     { head, route, customer, attempts }: Call,
@@ -182,19 +182,21 @@
     reason: CallRefusalReason,
     wait?: Milliseconds,
   ): CallRefusal {
-    const refusal = refuse(reason, {
+    const refusal = createRefusal(reason, {
       verdict: { kind: "not_run" },
       offered: 0,
       retryAfter: wait ??
-        this.#spread(reason === "stopping" ? SOON_MS : LATER_MS),
+        this.#withJitter(
+          reason === "stopping" ? STOPPING_RETRY_MS : DEFAULT_RETRY_MS,
+        ),
     });
     this.#emit({ kind: "refuse", request: id, refusal });
     return refusal;
   }
 
-  #spare(call: Call, now: Instant): void {
+  #refundIfNotRun(call: Call, now: Instant): void {
     if (call.log.verdict().kind === "not_run") {
-      this.#spared(call, now);
+      this.#onNotRun(call, now);
     }
   }
 
@@ -206,24 +208,26 @@
     this.log(text, call, { cause, ...call.trace.fields(call, now) });
   }
 
-  #returnTime(
+  #retryAfter(
     reason: CallRefusalReason,
     wait: Milliseconds | undefined,
   ): Milliseconds {
-    // A held request is of no use before its time, however many callers send it.
+    // A request that is held back cannot succeed before its time, however many callers send it.
     if (reason === "held" && wait !== undefined) {
       return wait;
     }
-    // Endpoints that rest are back at a known time, and not before.
+    // Resting endpoints return at a known time and not before, so that the random part only adds to it.
     if (reason === "endpoints_resting" && wait !== undefined) {
-      return milliseconds(wait * (1 + RETRY_SPREAD * this.#random.next()));
+      return milliseconds(
+        wait * (1 + RETRY_JITTER_FRACTION * this.#random.next()),
+      );
     }
-    return this.#spread(Math.max(LATER_MS, wait ?? 0));
+    return this.#withJitter(Math.max(DEFAULT_RETRY_MS, wait ?? 0));
   }
 
-  #spread(wait: number): Milliseconds {
-    const drawn = 1 + RETRY_SPREAD * (this.#random.next() - 0.5) * 2;
-    return milliseconds(wait * drawn);
+  #withJitter(wait: number): Milliseconds {
+    const factor = 1 + RETRY_JITTER_FRACTION * (this.#random.next() - 0.5) * 2;
+    return milliseconds(wait * factor);
   }
 }
 
@@ -231,7 +235,7 @@
   return time === undefined ? undefined : Math.round(time);
 }
 
-/** The cause behind a refusal: where an endpoint got the request, it is the endpoint's end. */
+/** Cause to log for a refusal: where an endpoint received the request, that endpoint's failure. */
 function causeOf(reason: CallRefusalReason): LossCause {
   switch (reason) {
     case "endpoint_failed":
--- a/packages/core/src/gateway/call_placer.ts
+++ b/packages/core/src/gateway/call_placer.ts
@@ -1,5 +1,5 @@
 /**
- * Waiting for a place, and getting one.
+ * Placement of requests: sends each to an endpoint or a peer, or queues it until there is capacity.
  *
  * @module
  */
@@ -12,9 +12,13 @@
 } from "../ids/index.ts";
 import type { Call } from "./call.ts";
 import type { CallAttempts } from "./call_attempts.ts";
-import type { CallEnds } from "./call_ends.ts";
+import type { CallOutcomes } from "./call_ends.ts";
 import { CallQueue } from "./call_queue.ts";
-import { type CallRouter, MOST_ATTEMPTS, type Way } from "./call_router.ts";
+import {
+  type CallRouter,
+  MAX_ATTEMPTS,
+  type RoutingDecision,
+} from "./call_router.ts";
 import type { Ahead } from "./local_places.ts";
 import type { EndpointRegistry } from "./endpoint_registry.ts";
 import { isShort } from "./placement.ts";
@@ -25,71 +29,71 @@
 } from "../quarantine/index.ts";
 import type { RegionController } from "./region_controller.ts";
 
-/** A request with less time than this is not worth a send. */
-export const LEAST_TIME_MS = 30;
+/** A request with less time left than this is not sent any more. */
+export const MIN_SEND_TIME_MS = 30;
 /**
- * Part of a request's time that it may wait for a place, and the most of it; beyond it is refused at once,
- * while its caller has time to come back and be served. Without the second bound requests with ten seconds
- * waited four in vain: on a played day of high load 1.7 hundredths of the worth waited and was not served,
- * 0.7 with it.
+ * Longest wait for capacity, as a fraction of the request's time and in milliseconds. A request that would
+ * wait longer is refused at once, while its caller still has time to retry and be served. Without the limit in
+ * milliseconds, requests with a timeout of ten seconds waited four in vain: on a simulated day of high load,
+ * 1.7% of the worth was lost to requests that waited and were not served, and 0.7% with the limit.
  */
-const WAIT_PART = 0.4;
-const MOST_WAIT_MS = 2_500;
+const MAX_WAIT_FRACTION = 0.4;
+const MAX_WAIT_MS = 2_500;
 
-/** Requests wait for so much of an endpoint's rest; before, they are refused at once. */
-const MOST_REST_WAIT_MS = 300;
+/** Longest rest of endpoints that a request waits for. Before a longer one it is refused at once. */
+const MAX_REST_WAIT_MS = 300;
 
-const NONE: ReadonlySet<string> = new Set();
+const NO_VERSIONS: ReadonlySet<string> = new Set();
 
-/** What the placer works with. */
-export interface PlacerTools {
+/** Dependencies of `CallPlacer`. */
+export interface PlacerDependencies {
   readonly attempts: CallAttempts;
-  readonly ends: CallEnds;
+  readonly outcomes: CallOutcomes;
   readonly router: CallRouter;
   readonly endpoints: EndpointRegistry;
   readonly regions: RegionController;
   readonly quarantine: QuarantineController;
-  /** Entries of the region that carry requests, this one included. */
+  /** Number of entries in the region that carry requests, including this one. */
   readonly regionEntries: () => number;
 }
 
-/** Finds a place for each request, or has it wait. */
+/** Places each request, or queues it. */
 export class CallPlacer {
   readonly queue = new CallQueue();
-  readonly #tools: PlacerTools;
+  readonly #deps: PlacerDependencies;
 
-  constructor(tools: PlacerTools) {
-    this.#tools = tools;
+  constructor(deps: PlacerDependencies) {
+    this.#deps = deps;
   }
 
-  /** Sends a request on its way, now or once there is a place. */
+  /** Sends a request now, queues it, or refuses it. */
   place(call: Call, now: Instant): void {
-    if (call.attempts >= MOST_ATTEMPTS || call.endsAt - now < LEAST_TIME_MS) {
-      return this.#tools.ends.fail(call, "no_endpoint", now);
+    if (call.attempts >= MAX_ATTEMPTS || call.endsAt - now < MIN_SEND_TIME_MS) {
+      return this.#deps.outcomes.fail(call, "no_endpoint", now);
     }
-    if (this.#judge(call, now) !== "free") {
+    if (this.#checkQuarantine(call, now) !== "free") {
       return;
     }
-    const ahead = this.#ahead(call);
-    const way = this.#tools.router.next(call, ahead, now);
-    if (way.kind === "wait") {
-      this.#await(call, { way, ahead, now });
+    const ahead = this.#queueAhead(call);
+    const decision = this.#deps.router.next(call, ahead, now);
+    if (decision.kind === "wait") {
+      this.#enqueue(call, { decision, ahead, now });
     } else {
-      this.#take(call, way, now);
+      this.#dispatch(call, decision, now);
     }
   }
 
-  /** Places what waits, as far as there are places. */
+  /** Places as many queued requests as there is capacity for. */
   drain(now: Instant): void {
     if (this.queue.size === 0) {
       return;
     }
-    // Where one has to wait, those of its kind behind it have to wait too: asking for each would cost
-    // more the longer the queue is, and the entry would be late when it has most to do.
+    // If one request has to wait, those of the same kind behind it have to wait too. Checking each of them
+    // would cost more the longer the queue is, and slow the entry down when it has most to do.
     const blocked = new Set<string>();
-    const { readPart } = this.#tools.regions;
+    const { readPart } = this.#deps.regions;
     for (const call of this.queue.ordered(readPart, now)) {
-      if (this.#judge(call, now) !== "free") {
+      if (this.#checkQuarantine(call, now) !== "free") {
         continue;
       }
       const { rank, services, head } = call;
@@ -98,47 +102,48 @@
         continue;
       }
       const ahead = { wait: now - call.arrivedAt, turns: 0 };
-      const way = this.#tools.router.next(call, ahead, now);
-      if (way.kind === "wait" && !isTooLong(way)) {
+      const decision = this.#deps.router.next(call, ahead, now);
+      if (decision.kind === "wait" && !isRestTooLong(decision)) {
         blocked.add(kind);
-      } else if (way.kind === "wait") {
+      } else if (decision.kind === "wait") {
         this.queue.remove(call);
-        this.#refuseResting(call, { wait: way.wait, now });
+        this.#refuseResting(call, { wait: decision.wait, now });
       } else {
         this.queue.remove(call);
-        this.#take(call, way, now);
+        this.#dispatch(call, decision, now);
       }
     }
   }
 
-  /** Whether a request whose connection stands may be written: it may be held back since it was placed. */
+  /** Whether a connected request may be written. It may have been held back since it was placed. */
   maySend(call: Call, now: Instant): boolean {
-    const { kind } = this.#tools.quarantine.judge(subjectOf(call), now);
+    const { kind } = this.#deps.quarantine.judge(quarantineSubject(call), now);
     if (kind === "held" || kind === "wait") {
-      this.#tools.attempts.close(call, "unsent", now);
-      this.#judge(call, now);
+      this.#deps.attempts.close(call, "unsent", now);
+      this.#checkQuarantine(call, now);
       return false;
     }
     return true;
   }
 
-  /** Waiting on would end in a refusal too, only later: the caller learns it while it can still act. */
+  /** Whether a request has waited so long that it is refused early, while its caller still has time to retry. */
   waitedTooLong(call: Call, now: Instant): boolean {
-    const time = call.endsAt - call.arrivedAt;
-    const alone = call.offered === 0 || call.awaitsTrial;
-    return call.phase === "waiting" && alone &&
-      now - call.arrivedAt > waitLimit(time);
+    const timeLimit = call.endsAt - call.arrivedAt;
+    const mayRefuse = call.offered === 0 || call.awaitsTrial;
+    return call.phase === "waiting" && mayRefuse &&
+      now - call.arrivedAt > waitLimit(timeLimit);
   }
 
   /**
-   * Ends a request that is held back, with word that there is no use in asking again soon; sent on, it
-   * would end the next endpoint and lose all that runs there. One that is tried elsewhere just now waits.
+   * Checks the quarantine. A request that is held back is refused with a late retry time: it would crash the
+   * next endpoint too, and all requests that run there would be lost. A request of which another copy is on
+   * trial waits for the outcome.
    */
-  #judge(call: Call, now: Instant): "free" | "over" | "waits" {
-    const verdict = this.#tools.quarantine.judge(subjectOf(call), now);
+  #checkQuarantine(call: Call, now: Instant): "free" | "over" | "waits" {
+    const verdict = this.#deps.quarantine.judge(quarantineSubject(call), now);
     switch (verdict.kind) {
       case "held":
-        this.#tools.ends.fail(call, "held", now, verdict.wait);
+        this.#deps.outcomes.fail(call, "held", now, verdict.wait);
         return "over";
       case "wait":
         return this.#awaitTrial(call, now);
@@ -146,14 +151,14 @@
         call.awaitsTrial = false;
         call.avoidedVersions = verdict.kind === "limited"
           ? verdict.except
-          : NONE;
+          : NO_VERSIONS;
         return "free";
     }
   }
 
   #awaitTrial(call: Call, now: Instant): "over" | "waits" {
     if (call.phase === "answering") {
-      this.#tools.ends.fail(call, "endpoint_failed", now);
+      this.#deps.outcomes.fail(call, "endpoint_failed", now);
       return "over";
     }
     call.phase = "waiting";
@@ -162,36 +167,51 @@
     return "waits";
   }
 
-  #take(call: Call, way: Exclude<Way, { kind: "wait" }>, now: Instant): void {
-    switch (way.kind) {
+  #dispatch(
+    call: Call,
+    decision: Exclude<RoutingDecision, { kind: "wait" }>,
+    now: Instant,
+  ): void {
+    switch (decision.kind) {
       case "endpoint":
-        return this.#tools.attempts.sendTo(call, way.placement, now);
+        return this.#deps.attempts.sendToEndpoint(
+          call,
+          decision.placement,
+          now,
+        );
       case "peer":
-        return this.#tools.attempts.relay(call, way, now);
+        return this.#deps.attempts.relayToPeer(call, decision, now);
       case "none":
-        return this.#tools.ends.fail(call, "no_endpoint", now);
+        return this.#deps.outcomes.fail(call, "no_endpoint", now);
     }
   }
 
-  /** Waits for a place, unless that would take too long: then the caller learns it at once. */
-  #await(
+  /** Queues a request, or refuses it at once if the expected wait is too long. */
+  #enqueue(
     call: Call,
-    { way, ahead, now }: {
-      way: Extract<Way, { kind: "wait" }>;
+    { decision, ahead, now }: {
+      decision: Extract<RoutingDecision, { kind: "wait" }>;
       ahead: Ahead;
       now: Instant;
     },
   ): void {
-    const { wait, reason } = way;
-    if (isTooLong(way)) {
+    const { wait, reason } = decision;
+    if (isRestTooLong(decision)) {
       return this.#refuseResting(call, { wait, now });
     }
     const limited = reason === "limited";
-    const time = limited ? Math.max(wait, ahead.wait) : wait + ahead.wait;
-    const known = call.offered === 0 || limited;
-    if (known && time > waitLimit(call.endsAt - now)) {
+    const expectedWait = limited
+      ? Math.max(wait, ahead.wait)
+      : wait + ahead.wait;
+    const mayRefuse = call.offered === 0 || limited;
+    if (mayRefuse && expectedWait > waitLimit(call.endsAt - now)) {
       const cause = limited ? "endpoints_limited" : "overloaded";
-      return this.#tools.ends.fail(call, cause, now, milliseconds(time));
+      return this.#deps.outcomes.fail(
+        call,
+        cause,
+        now,
+        milliseconds(expectedWait),
+      );
     }
     if (call.phase === "trying") {
       call.phase = "waiting";
@@ -203,41 +223,43 @@
     call: Call,
     { wait, now }: { wait: Milliseconds; now: Instant },
   ): void {
-    this.#tools.ends.fail(call, "endpoints_resting", now, wait);
+    this.#deps.outcomes.fail(call, "endpoints_resting", now, wait);
   }
 
-  #ahead(call: Call): Ahead {
+  #queueAhead(call: Call): Ahead {
     const { services, rank } = call;
-    // The region's entries take turns with what they have waiting.
+    // Entries of the region take turns, and each is assumed to have as much waiting as this one.
     const turns = (1 + this.queue.callsAhead(services[0]!, rank)) *
-      this.#tools.regionEntries();
+      this.#deps.regionEntries();
     return { wait: this.#expectedWait(call), turns };
   }
 
-  /** Time until what waits already, and goes first, will have been read. */
+  /** Expected milliseconds until the prompts of queued requests that go first have been read. */
   #expectedWait({ rank }: Call): number {
     const engines =
-      [...this.#tools.endpoints.all()].filter(({ service }) =>
+      [...this.#deps.endpoints.all()].filter(({ service }) =>
         service?.engine !== undefined
       ).length;
-    // The region's other entries have as much waiting: callers choose among them by chance.
+    // Callers choose among the region's entries at random, so that each has about as much waiting.
     const waiting = this.queue.tokensAhead(rank) *
-      this.#tools.regionEntries();
-    return waiting * this.#tools.regions.readPart /
+      this.#deps.regionEntries();
+    return waiting * this.#deps.regions.readPart /
       (DEFAULT_PREFILL_RATE * Math.max(1, engines));
   }
 }
 
-/** Whether endpoints rest for longer than it makes sense to wait here rather than at the caller. */
-function isTooLong({ wait, reason }: Extract<Way, { kind: "wait" }>): boolean {
-  return reason === "resting" && wait > MOST_REST_WAIT_MS;
+/** Whether endpoints rest for so long that the request should wait at its caller instead of here. */
+function isRestTooLong(
+  { wait, reason }: Extract<RoutingDecision, { kind: "wait" }>,
+): boolean {
+  return reason === "resting" && wait > MAX_REST_WAIT_MS;
 }
 
-function waitLimit(time: number): number {
-  return Math.min(MOST_WAIT_MS, time * WAIT_PART);
+function waitLimit(timeLimit: number): number {
+  return Math.min(MAX_WAIT_MS, timeLimit * MAX_WAIT_FRACTION);
 }
 
-function subjectOf({ head: { id, fingerprint }, services }: Call): {
+function quarantineSubject({ head: { id, fingerprint }, services }: Call): {
   id: RequestId;
   fingerprint: RequestFingerprint;
   services: readonly ServiceId[];
--- a/packages/core/src/gateway/call_queue.ts
+++ b/packages/core/src/gateway/call_queue.ts
@@ -1,5 +1,5 @@
 /**
- * Requests that wait for a place, in the order in which they get one.
+ * Requests that wait for capacity at an endpoint, and the order in which they are served.
  *
  * @module
  */
@@ -15,12 +15,12 @@
 import { DEFAULT_PREFILL_RATE, readingTime } from "./prompt_cost.ts";
 
 const MS_PER_SECOND = 1_000;
-/** Until the first event of a prompt that is read at once: connection, steps, the way back. */
+/** Time to the first event apart from reading the prompt: connection, engine steps and the way back. */
 const START_OVERHEAD_MS = 50;
-/** Milliseconds that a request steps back for each that an engine reads for it. */
+/** Milliseconds by which a request is moved back in the queue for each that an engine reads its prompt. */
 const COST_WEIGHT = 2;
 
-/** Keeps waiting requests. */
+/** Holds the waiting requests. */
 export class CallQueue {
   readonly #calls = new Map<RequestId, Call>();
 
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Prompt tokens that wait and get a place before one of a rank. Counted with all that waits, urgent
-   * requests were refused for a queue that they never stand in.
+   * Prompt tokens of waiting requests that are served before a new request of the given rank. When all waiting
+   * requests were counted, urgent requests were refused because of a queue that they do not wait in.
    */
   tokensAhead(priority: number): number {
     let tokens = 0;
@@ -48,7 +48,7 @@
     return tokens;
   }
 
-  /** Requests for a service that wait and get a place before one of a rank. */
+  /** Number of requests waiting for a service that are served before a new request of the given rank. */
   callsAhead(service: ServiceId, priority: number): number {
     let calls = 0;
     for (const { services, rank } of this.#calls.values()) {
@@ -58,67 +58,71 @@
   }
 
   /**
-   * Requests that can still be on time first, by rank and arrival. Under overload a queue in order of
-   * arrival makes every request late; so the ones that will be late get what the others leave. What an
-   * engine takes to begin counts: without it each request got its place just too late, and a modelled
-   * evacuated peak earned 0.851 of its worth and 0.740 in its worst seconds; with it 0.867 and 0.773.
+   * Waiting requests in the order of service: first those that can still meet their objective, then by rank and
+   * arrival. Under overload, strict order of arrival makes every request late, so requests that will be late
+   * anyway get the remaining capacity. The time that an engine takes to begin an answer is included. Without
+   * it, each request was sent just too late: a simulated peak during an evacuation earned 0.851 of its worth,
+   * and 0.740 in its worst seconds; with it 0.867 and 0.773.
    *
-   * Among equals what takes an engine long steps back by twice that time: more are served of what is
-   * cheap, such as prompts whose shared part is kept, and none waits for ever. Reviews earned 0.737 in
-   * that peak, 0.718 in order of arrival.
+   * Within a rank, a request is moved back by twice the time that it keeps an engine reading. More cheap
+   * requests are served this way, such as prompts whose shared prefix is cached, and no request waits forever.
+   * Reviews earned 0.737 in that peak, and 0.718 in order of arrival.
    */
   ordered(readPart: number, now: Instant): Call[] {
     const late = (call: Call): number =>
       Number(call.isLate(after(now, startTime(call, readPart))));
-    const places = fairTurns([...this.#calls.values()]).map((place) => ({
-      ...place,
-      late: late(place.call),
+    const queued = withVirtualTimes([...this.#calls.values()]).map((item) => ({
+      ...item,
+      late: late(item.call),
     }));
-    places.sort((left, right) =>
+    queued.sort((left, right) =>
       left.late - right.late ||
       left.call.rank - right.call.rank ||
-      left.turn - right.turn
+      left.virtualTime - right.virtualTime
     );
-    return places.map(({ call }) => call);
+    return queued.map(({ call }) => call);
   }
 }
 
-/** A request and when its turn comes among equals. */
-interface Place {
+/** A waiting request and its virtual time, by which requests of one rank are ordered. */
+interface QueuedCall {
   readonly call: Call;
-  readonly turn: number;
+  readonly virtualTime: number;
 }
 
 /**
- * Turns in which each customer's requests follow each other at the pace of its limit: one that sends many at
- * once, within its limit, waits for itself, and those of the others of its rank pass (a virtual clock for
- * each customer).
+ * Assigns virtual times that space out each customer's requests at the rate of its limit (one virtual clock per
+ * customer). A customer that sends a burst within its limit queues behind itself, and requests of other
+ * customers of the same rank overtake it.
  */
-function fairTurns(calls: readonly Call[]): Place[] {
-  const places = calls.map((call) => ({ call, turn: turnOf(call) }));
-  places.sort((left, right) => left.turn - right.turn);
-  const ahead = new Map<CustomerId, number>();
-  return places.map(({ call, turn }) => {
+function withVirtualTimes(calls: readonly Call[]): QueuedCall[] {
+  const queued = calls.map((call) => ({
+    call,
+    virtualTime: virtualArrival(call),
+  }));
+  queued.sort((left, right) => left.virtualTime - right.virtualTime);
+  const offsets = new Map<CustomerId, number>();
+  return queued.map(({ call, virtualTime }) => {
     const { customer, head } = call;
     if (customer?.limit === undefined) {
-      return { call, turn };
+      return { call, virtualTime };
     }
-    const before = ahead.get(customer.id) ?? 0;
+    const offset = offsets.get(customer.id) ?? 0;
     const cost = costOf(customer.limit, head.prompt);
-    ahead.set(
+    offsets.set(
       customer.id,
-      before + cost * MS_PER_SECOND / customer.limit.perSecond,
+      offset + cost * MS_PER_SECOND / customer.limit.perSecond,
     );
-    return { call, turn: turn + before };
+    return { call, virtualTime: virtualTime + offset };
   });
 }
 
-/** When its turn would come if all were of one customer. */
-function turnOf({ arrivedAt, unread }: Call): number {
+/** Virtual time of a request before its customer's other requests are taken into account. */
+function virtualArrival({ arrivedAt, unread }: Call): number {
   return arrivedAt + COST_WEIGHT * unread / DEFAULT_PREFILL_RATE;
 }
 
-/** Time from a place to the first event, where `readPart` of the prompt has to be read. */
+/** Milliseconds from sending to the first event, where the fraction `readPart` of the prompt has to be read. */
 function startTime({ head }: Call, readPart: number): number {
   return head.prompt === undefined
     ? 0
--- a/packages/core/src/gateway/call_router.ts
+++ b/packages/core/src/gateway/call_router.ts
@@ -1,5 +1,5 @@
 /**
- * Where a request goes next: to an endpoint of the region, to an entry of another region, or nowhere.
+ * Routing decisions: whether a request goes to an endpoint of this region, to an entry of another one, or waits.
  *
  * @module
  */
@@ -27,23 +27,23 @@
 import type { ServingSet } from "./serving_set.ts";
 import { type SubjectRegion, subjectRegion } from "./subject_region.ts";
 
-/** A wait longer than this is worth the way to another region and back. */
-const TRAVEL_GAIN_MS = 200;
-/** A region this busy takes no requests that could wait at home. */
-const MOST_REMOTE_UTILIZATION = 0.8;
+/** Cost of relaying a request to another region and back. Shorter waits are not worth it. */
+const RELAY_COST_MS = 200;
+/** A region with a higher utilization gets no requests that could wait at home. */
+const MAX_REMOTE_UTILIZATION = 0.8;
 const MS_PER_SECOND = 1_000;
-/** Part of the urgencies that ranks are spread over; the highest is kept for none. */
+/** Urgency at an engine by rank, from 0 (first) to 9 (last). The most urgent values are left unused. */
 const URGENCY_BY_RANK = [2, 5, 7] as const;
 const LATE_URGENCY = 8;
-/** Part of an endpoint's connections that the region's entries use together. */
-const CONNECTION_PART = 0.8;
-/** A region that turned a request away gets none of its service for so long: its summary is as old. */
-const DECLINED_MS = 400;
-/** Wait for endpoints that are there and can't be used at present, until something is known. */
-const RETURN_WAIT_MS = 100;
+/** Fraction of an endpoint's connections that all entries of the region may use together. */
+const CONNECTION_FRACTION = 0.8;
+/** How long a region that declined a request gets none of its service: its load summary may be as old. */
+const DECLINE_BACKOFF_MS = 400;
+/** Wait for published endpoints that are unusable at present, until more is known about them. */
+const UNAVAILABLE_WAIT_MS = 100;
 
-/** Where a request goes. */
-export type Way =
+/** Where a request goes next. */
+export type RoutingDecision =
   | { readonly kind: "endpoint"; readonly placement: Chosen }
   | {
     readonly kind: "peer";
@@ -58,17 +58,17 @@
   }
   | { readonly kind: "none" };
 
-/** What the router reads. */
+/** Dependencies of `CallRouter`. */
 export interface RouterSources extends PlaceSources {
   readonly regions: RegionController;
   readonly serving: ServingSet;
   readonly random: Randomness;
 }
 
-/** Finds ways. */
+/** Decides where each request goes next. */
 export class CallRouter {
   readonly #sources: RouterSources;
-  /** When a region last turned a request of a service away. */
+  /** When a region last declined a request of a service. */
   readonly #declined = new Map<string, Instant>();
 
   readonly #places: LocalPlaces;
@@ -78,13 +78,13 @@
     this.#places = new LocalPlaces(sources);
   }
 
-  /** The next way of a request. */
-  next(call: Call, ahead: Ahead, now: Instant): Way {
+  /** Returns where a request goes next. */
+  next(call: Call, ahead: Ahead, now: Instant): RoutingDecision {
     const { self } = this.#sources;
     const home = call.mayServe(self.region);
-    const mayTravel = call.head.relay === undefined;
-    const elsewhere = home && mayTravel
-      ? this.#bySubject(call, now)
+    const mayRelay = call.head.relay === undefined;
+    const elsewhere = home && mayRelay
+      ? this.#relayBySubject(call, now)
       : undefined;
     if (elsewhere !== undefined) {
       return elsewhere;
@@ -96,39 +96,39 @@
       return { kind: "endpoint", placement: local };
     }
     if (local.kind === "none") {
-      return (mayTravel && this.#peer(call, Infinity, now)) ||
-        this.#awaitReturn(call);
+      return (mayRelay && this.#bestPeer(call, Infinity, now)) ||
+        this.#waitForEndpoints(call);
     }
     const expected = Math.max(ahead.wait, local.wait);
-    const travel = mayTravel && expected > TRAVEL_GAIN_MS
-      ? this.#peer(call, expected, now)
+    const remote = mayRelay && expected > RELAY_COST_MS
+      ? this.#bestPeer(call, expected, now)
       : undefined;
     const { wait, reason } = local;
-    return travel ?? { kind: "wait", wait, reason };
+    return remote ?? { kind: "wait", wait, reason };
   }
 
-  /** The way to the region that reads the request's subject, where that is worth it. */
-  #bySubject(call: Call, now: Instant): Way | undefined {
+  /** Returns a relay to the region that reads the prompt's shared prefix for all regions, if that is worth it. */
+  #relayBySubject(call: Call, now: Instant): RoutingDecision | undefined {
     const { prompt } = call.head;
     const parts = prompt === undefined ? [] : sharedParts(prompt);
     const subject = parts[parts.length - 1];
     const tokens = parts.reduce((sum, part) => sum + part.tokens, 0);
     const first = call.attempts === 0 && subject !== undefined;
-    if (!first || tokens - this.#kept(call, now) < LEAST_FETCH_TOKENS) {
+    if (!first || tokens - this.#cachedTokens(call, now) < LEAST_FETCH_TOKENS) {
       return undefined;
     }
     const { self, regions } = this.#sources;
     const load = regions.load(call.services[0]!, now);
     const own = subjectView({ region: self.region, load });
-    const others = this.#open(call, now).map(subjectView);
+    const others = this.#openRegions(call, now).map(subjectView);
     const region = own.engines === 0
       ? undefined
       : subjectRegion(subject.id, own, others);
-    return region === undefined ? undefined : this.#entryOf(region, call, now);
+    return region === undefined ? undefined : this.#entryIn(region, call, now);
   }
 
-  /** Shared tokens of a prompt that an engine of the region keeps. */
-  #kept({ head, services }: Call, now: Instant): number {
+  /** Returns how many shared tokens of the prompt an engine of this region has cached. */
+  #cachedTokens({ head, services }: Call, now: Instant): number {
     const { endpoints } = this.#sources;
     const usable = endpoints.of(services[0]!).filter((state) =>
       endpoints.accepts(state, now)
@@ -136,7 +136,7 @@
     return findHolder(head.prompt, usable)?.tokens ?? 0;
   }
 
-  /** A region had no place for a request that was passed on to it. */
+  /** Records that a region had no capacity for a relayed request. */
   noteDeclined(call: Call, region: RegionId, now: Instant): void {
     this.#declined.set(`${region} ${call.services[0]}`, now);
     if (call.attempts === 1) {
@@ -146,12 +146,12 @@
   }
 
   /**
-   * Waits where endpoints are published that cannot be used at present: suspects that may answer again,
-   * cold ones that another entry tends. Refused at once, callers come back once, into the same hole: on
-   * one day 959 of 1,450 refusals were of this kind. A request that was passed on is turned away
-   * instead, since its first entry knows more ways.
+   * Waits where endpoints are published but cannot be used at present: suspects that may answer again, or cold
+   * ones that another entry warms up. Callers that are refused at once retry only once, and meet the same gap:
+   * on one day 959 of 1,450 refusals were of this kind. A relayed request is declined instead, because its
+   * first entry has more alternatives.
    */
-  #awaitReturn(call: Call): Way {
+  #waitForEndpoints(call: Call): RoutingDecision {
     const { endpoints } = this.#sources;
     const published = call.head.relay === undefined && call.offered === 0 &&
       call.services.some((service) =>
@@ -160,25 +160,25 @@
     return published
       ? {
         kind: "wait",
-        wait: milliseconds(RETURN_WAIT_MS),
+        wait: milliseconds(UNAVAILABLE_WAIT_MS),
         reason: "busy",
       }
       : { kind: "none" };
   }
 
-  /** Whether an endpoint may still get a request that was meant for it. */
-  stillFits(call: Call, state: EndpointState, now: Instant): boolean {
+  /** Returns whether an endpoint may still get a request that was placed at it. */
+  isStillEligible(call: Call, state: EndpointState, now: Instant): boolean {
     const { endpoints } = this.#sources;
     return endpoints.isOpen(state) && endpoints.restOf(state, now) === 0 &&
       this.#places.coldAllows(state, now) &&
       call.services.includes(state.record.service);
   }
 
-  /** The target as the shell needs it. */
+  /** Describes the target to the shell. */
   targetOf(call: Call, { state, fetchFrom }: Chosen, now: Instant): CallTarget {
-    const entries = 1 + this.#region().length;
+    const entries = 1 + this.#regionPeers().length;
     const connections = (state.service?.connectionLimit ?? entries) *
-      CONNECTION_PART / entries;
+      CONNECTION_FRACTION / entries;
     return {
       kind: "endpoint",
       endpoint: state.record.id,
@@ -191,46 +191,54 @@
     };
   }
 
-  /** Other entries of the own region that may be alive. */
-  #region(): Incarnation[] {
+  /** Other entries of this region that may be alive. */
+  #regionPeers(): Incarnation[] {
     const { self, fleet } = this.#sources;
     return fleet.possible()
       .filter(({ record }) => record.region === self.region)
       .map(({ record }) => record.incarnation);
   }
 
-  /** An entry of the region where the request is served soonest, if that is sooner than waiting. */
-  #peer(call: Call, localWait: number, now: Instant): Way | undefined {
-    const open = this.#open(call, now);
-    const forced = localWait === Infinity;
-    const useful = open.filter((view) =>
-      forced
+  /** Returns a relay to the region that serves the request soonest, if that is sooner than `localWait`. */
+  #bestPeer(
+    call: Call,
+    localWait: number,
+    now: Instant,
+  ): RoutingDecision | undefined {
+    const candidates = this.#openRegions(call, now);
+    const mustRelay = localWait === Infinity;
+    const useful = candidates.filter((view) =>
+      mustRelay
         ? (view.load?.endpoints ?? 0) > 0
-        : utilization(view) < MOST_REMOTE_UTILIZATION &&
-          (view.load?.backlog ?? 0) + TRAVEL_GAIN_MS < localWait
+        : utilization(view) < MAX_REMOTE_UTILIZATION &&
+          (view.load?.backlog ?? 0) + RELAY_COST_MS < localWait
     );
     const best =
       useful.sort((left, right) => utilization(left) - utilization(right))[0];
     return best === undefined
       ? undefined
-      : this.#entryOf(best.region, call, now);
+      : this.#entryIn(best.region, call, now);
   }
 
-  /** Other regions that may serve a request and have not just turned one away. */
-  #open(call: Call, now: Instant): RegionView[] {
+  /** Other regions that may serve a request and did not decline one of its service lately. */
+  #openRegions(call: Call, now: Instant): RegionView[] {
     const { fleet, regions, self } = this.#sources;
     const [service] = call.services;
     return regions.others(service!, fleet, now).filter(({ region }) =>
       call.mayServe(region) && region !== self.region &&
       now - (this.#declined.get(`${region} ${service}`) ?? -Infinity) >=
-        DECLINED_MS
+        DECLINE_BACKOFF_MS
     );
   }
 
-  #entryOf(region: RegionId, call: Call, now: Instant): Way | undefined {
+  #entryIn(
+    region: RegionId,
+    call: Call,
+    now: Instant,
+  ): RoutingDecision | undefined {
     const { serving, random } = this.#sources;
     const [picked] = sample(serving.of(region, now), 1, random);
-    if (picked === undefined || call.attempts >= MOST_ATTEMPTS) {
+    if (picked === undefined || call.attempts >= MAX_ATTEMPTS) {
       return undefined;
     }
     const { incarnation, peerAddress } = picked;
@@ -238,10 +246,10 @@
   }
 }
 
-/** Attempts of one request, failed connections included. */
-export const MOST_ATTEMPTS = 6;
+/** Attempts of one request, including those whose connection failed. */
+export const MAX_ATTEMPTS = 6;
 
-/** Part of a region's capacity that is asked for. */
+/** Requested fraction of a region's capacity. */
 function utilization({ load }: RegionView): number {
   return load === undefined || load.endpoints === 0
     ? Infinity
@@ -256,7 +264,7 @@
   };
 }
 
-/** Engines take the urgent first: what can still be on time goes before what is late. */
+/** Urgency for the engine's queue: requests that can still meet their objective go before late ones. */
 function urgencyOf(call: Call, now: Instant): number {
   if (call.isLate(now)) {
     return LATE_URGENCY;
--- a/packages/core/src/gateway/call_trace.ts
+++ b/packages/core/src/gateway/call_trace.ts
@@ -1,6 +1,6 @@
 /**
- * What happened to one request on its way, kept until it ends: a request that is served badly leaves a
- * line with its cause and what was known when it was placed.
+ * Records what happens to one request. If the request is served late or not at all, the log line about its end
+ * gives the cause and what was known when it was placed.
  *
  * @module
  */
@@ -8,84 +8,84 @@
 import type { Call, OpenAttempt } from "./call.ts";
 import type { CallTarget } from "./messages.ts";
 
-/** A caller that has no room for this part of its stream's time is the one that is slow. */
-const SLOW_PART = 0.5;
+/** A caller whose connection was full for more than this fraction of its stream's time counts as slow. */
+const SLOW_CALLER_FRACTION = 0.5;
 
-/** Why a request was served late or not at all, as far as the entry saw it. */
+/** Why a request was served late or not at all, as far as this entry can tell. */
 export type LossCause =
-  /** No place for it in time. */
+  /** It got no capacity in time. */
   | "waited"
-  /** Sent in time, and its first event or its answer came late or not at all. */
+  /** It was sent in time, but its first event or its answer came late or not at all. */
   | "slow_start"
-  /** Its events paused for longer than its route allows. */
+  /** The gap between two of its events was longer than its route allows. */
   | "paused"
-  /** Its events came, too slowly for its time. */
+  /** Its events came, but too slowly to finish in time. */
   | "starved"
   /** Its caller read too slowly. */
   | "slow_caller"
-  /** The endpoint or its connection broke off. */
+  /** The endpoint or its connection failed. */
   | "endpoint_lost"
   /** The endpoint answered with a failure. */
   | "endpoint_failed"
-  /** The entry refused it. */
+  /** This entry refused it. */
   | "refused";
 
 /** What was known when an attempt was made. */
-interface Placed {
+interface PlacedAttempt {
   readonly endpoint: string;
-  /** Prompt tokens that it was expected to read for this request. */
+  /** Prompt tokens that the endpoint was expected to read for this request. */
   readonly prefill: number;
-  /** Tokens that it already had to read, by this entry's picture. */
+  /** Prompt tokens that the endpoint already had to read, as far as this entry knew. */
   readonly backlog: number;
   readonly requests: number;
 }
 
-/** An attempt that was left before its answer was whole. */
+/** An attempt that was abandoned before its answer was complete. */
 interface Interruption {
   /** Endpoint, or entry of another region. */
   readonly from: string;
-  /** Why it was left. */
+  /** Reason for abandoning the attempt. */
   readonly leftFor: string;
-  /** Bytes of an event that it did not finish: no caller gets them. */
+  /** Bytes of an incomplete event, which no caller receives. */
   readonly droppedBytes: number;
 }
 
-/** Notes of one request. */
+/** History of one request. */
 export class CallTrace {
   #interruption: Interruption | undefined;
-  #placed: Placed | undefined;
+  #placed: PlacedAttempt | undefined;
   #sentAt: Instant | undefined;
   #firstSentAt: Instant | undefined;
   #firstAt: Instant | undefined;
   #lastAt: Instant | undefined;
   #longestPause = 0;
-  #heldFor = 0;
+  #backpressureMs = 0;
   #events = 0;
 
-  /** An attempt is made; call it before the attempt counts at the endpoint. */
-  placed({ target, state }: Pick<OpenAttempt, "target" | "state">): void {
+  /** Records a new attempt. Must be called before the attempt counts at its endpoint. */
+  notePlaced({ target, state }: Pick<OpenAttempt, "target" | "state">): void {
     this.#placed = {
-      endpoint: nameOf(target),
+      endpoint: targetName(target),
       prefill: 0,
       backlog: state?.prefill ?? 0,
       requests: state?.requests ?? 0,
     };
   }
 
-  /** What the endpoint will have to read. */
-  reads(prefill: number): void {
+  /** Records how many prompt tokens the endpoint has to read. */
+  notePrefill(prefill: number): void {
     if (this.#placed !== undefined) {
       this.#placed = { ...this.#placed, prefill };
     }
   }
 
-  sent(now: Instant): void {
+  noteSent(now: Instant): void {
     this.#sentAt = now;
     this.#firstSentAt ??= now;
   }
 
-  /** Bytes of the answer arrived. */
-  heard(now: Instant): void {
+  /** Records that bytes of the answer arrived. */
+  noteBytes(now: Instant): void {
     this.#firstAt ??= now;
     if (this.#lastAt !== undefined) {
       this.#longestPause = Math.max(this.#longestPause, now - this.#lastAt);
@@ -94,27 +94,30 @@
     this.#events++;
   }
 
-  /** An attempt was not read for so long, because its caller had no room: no pause of the endpoint's. */
-  held(duration: Milliseconds, now: Instant): void {
-    this.#heldFor += duration;
+  /** Records how long an answer was not read due to backpressure, which is no pause of the endpoint. */
+  noteBackpressure(duration: Milliseconds, now: Instant): void {
+    this.#backpressureMs += duration;
     this.#lastAt = now;
   }
 
-  /** An attempt is left; call it before the next one is made. */
-  interrupted({ target, unfinished }: OpenAttempt, leftFor: string): void {
+  /** Records that an attempt is abandoned. Must be called before the next one is made. */
+  noteInterrupted(
+    { target, partialEventBytes }: OpenAttempt,
+    leftFor: string,
+  ): void {
     this.#interruption = {
-      from: nameOf(target),
+      from: targetName(target),
       leftFor,
-      droppedBytes: unfinished,
+      droppedBytes: partialEventBytes,
     };
   }
 
-  /** Fields of the line about a stream that goes on elsewhere. */
-  interruption(): Record<string, unknown> {
+  /** Log fields about a stream that is resumed at another endpoint. */
+  interruptionFields(): Record<string, unknown> {
     return { ...this.#interruption, endpoint: this.#placed?.endpoint };
   }
 
-  /** Why a request that ends now, unserved or late, does; `undefined` where it was on time. */
+  /** Returns why a request that ends now was late or not served, `undefined` where it was on time. */
   cause(call: Call, served: boolean, now: Instant): LossCause | undefined {
     const { objective, pauseObjective } = call.route;
     const pause = Math.max(
@@ -126,11 +129,14 @@
     }
     const start = (this.#firstAt ?? now) - call.arrivedAt;
     if (start > objective) {
-      // Until the first send: what an endpoint took that was left is no wait for a place.
+      // Measured until the first send: time at an endpoint that was abandoned is no wait for capacity.
       const waited = this.#firstSentAt - call.arrivedAt;
       return waited > start / 2 ? "waited" : "slow_start";
     }
-    if (!served && this.#heldFor > (now - this.#firstAt!) * SLOW_PART) {
+    if (
+      !served &&
+      this.#backpressureMs > (now - this.#firstAt!) * SLOW_CALLER_FRACTION
+    ) {
       return "slow_caller";
     }
     if (pause > (pauseObjective ?? Infinity)) {
@@ -139,7 +145,7 @@
     return served ? undefined : "starved";
   }
 
-  /** Fields of the line. */
+  /** Log fields about the end of the request. */
   fields({ head, arrivedAt }: Call, now: Instant): Record<string, unknown> {
     const since = (at: Instant | undefined): number | undefined =>
       at === undefined ? undefined : Math.round(at - arrivedAt);
@@ -151,7 +157,7 @@
       sentMs: since(this.#sentAt),
       firstMs: since(this.#firstAt),
       pauseMs: Math.round(this.#longestPause),
-      heldMs: Math.round(this.#heldFor),
+      heldMs: Math.round(this.#backpressureMs),
       events: this.#events,
       endedMs: since(now),
       relayed: head.relay !== undefined,
@@ -159,6 +165,6 @@
   }
 }
 
-function nameOf(target: CallTarget): string {
+function targetName(target: CallTarget): string {
   return target.kind === "endpoint" ? target.endpoint : target.incarnation;
 }
--- a/packages/core/src/gateway/line_tally.ts
+++ b/packages/core/src/gateway/line_tally.ts
@@ -1,31 +1,31 @@
 /**
- * Events that come too often for a line each.
+ * Throttling of log lines about frequent events.
  *
  * @module
  */
 import type { Instant } from "../ids/index.ts";
 
-/** Between two lines. */
-const LINE_PAUSE_MS = 10_000;
+/** Minimum time between two log lines. */
+const LOG_INTERVAL_MS = 10_000;
 
-/** Counts, and tells when a line is due. */
-export class LineTally {
-  /** Since the start. */
+/** Counts events, and determines when the next log line is due. */
+export class LogThrottle {
+  /** Number of events since the start. */
   count = 0;
-  #written = 0;
-  #writtenAt: Instant | undefined;
+  #logged = 0;
+  #loggedAt: Instant | undefined;
 
-  /** Adds one; how many a line written now stands for, 0 where none is due. */
+  /** Counts an event. Returns the number of events to report in a log line now, 0 if none is due. */
   add(now: Instant): number {
     this.count++;
     if (
-      this.#writtenAt !== undefined && now - this.#writtenAt < LINE_PAUSE_MS
+      this.#loggedAt !== undefined && now - this.#loggedAt < LOG_INTERVAL_MS
     ) {
       return 0;
     }
-    const news = this.count - this.#written;
-    this.#written = this.count;
-    this.#writtenAt = now;
-    return news;
+    const unlogged = this.count - this.#logged;
+    this.#logged = this.count;
+    this.#loggedAt = now;
+    return unlogged;
   }
 }
--- a/packages/core/src/gateway/refusals.ts
+++ b/packages/core/src/gateway/refusals.ts
@@ -1,5 +1,5 @@
 /**
- * Answers that an entry gives itself.
+ * Refusals that an entry sends itself, without an endpoint's answer.
  *
  * @module
  */
@@ -9,25 +9,25 @@
 
 const UNAUTHORIZED = 401;
 const NOT_FOUND = 404;
-const TOO_MANY = 429;
+const TOO_MANY_REQUESTS = 429;
 const BAD_GATEWAY = 502;
 const UNAVAILABLE = 503;
 const GATEWAY_TIMEOUT = 504;
 
-/** What a caller has to change, rather than to wait for. */
+/** Statuses of refusals after which the caller has to change its request, or wait for its limit. */
 const NOT_RUN_STATUSES: Readonly<Partial<Record<CallRefusalReason, number>>> = {
   no_route: NOT_FOUND,
   unknown_key: UNAUTHORIZED,
-  over_limit: TOO_MANY,
+  over_limit: TOO_MANY_REQUESTS,
 };
 
 /**
- * A refusal with the status that its verdict allows.
+ * Creates a refusal, with a status that agrees with its verdict.
  *
- * 503 promises that the request has not run and never will; callers repeat actions on that promise.
- * One notices a false one by an action that ran twice. So 503 is given for `not_run` alone.
+ * Status 503 guarantees that the request has not run and never will, and callers repeat actions because of it.
+ * A wrong 503 would make an action run twice, so it is used for the verdict `not_run` alone.
  */
-export function refuse(
+export function createRefusal(
   reason: CallRefusalReason,
   { verdict, offered, retryAfter }: {
     verdict: Verdict;
@@ -46,7 +46,7 @@
     status,
     verdict,
     offered,
-    retryAfter: status === UNAVAILABLE || status === TOO_MANY
+    retryAfter: status === UNAVAILABLE || status === TOO_MANY_REQUESTS
       ? retryAfter
       : undefined,
   };
--- a/packages/core/src/gateway/repeat_budget.ts
+++ b/packages/core/src/gateway/repeat_budget.ts
@@ -1,13 +1,13 @@
 /**
- * How often this entry may send a request to a second endpoint.
+ * Limits how often this entry may send a request to a second endpoint.
  *
  * @module
  */
 import type { Instant, ServiceId } from "../ids/index.ts";
 import type { GatewayBounds } from "./messages.ts";
 
-/** Part of the fleet's budget that is used: entries count windows that are not quite the same. */
-const USED_PART = 0.7;
+/** Fraction of the fleet's budget that is used, because the windows of the entries differ slightly. */
+const BUDGET_FRACTION = 0.7;
 const BUCKETS = 20;
 
 interface Counts {
@@ -17,10 +17,10 @@
 }
 
 /**
- * When endpoints fail under load, repeats add to the load that makes them fail. The budget is one for
- * all entries, and nobody can add it up without asking all others. So each entry has a part that
- * cannot add up to more than the whole: the ratio of its own requests, and an equal share of the slack
- * by the largest number of entries that may be alive.
+ * Budget for repeats. When endpoints fail under load, repeats add to the load that makes them fail. The budget
+ * holds for all entries together, and an entry cannot know the total without asking all others. So each entry
+ * uses a share such that all shares add up to no more than the whole: the ratio applied to its own requests,
+ * and the slack divided by the largest number of entries that may be alive.
  */
 export class RepeatBudget {
   #bounds: GatewayBounds;
@@ -30,22 +30,22 @@
     this.#bounds = bounds;
   }
 
-  /** Takes new figures; what was counted stays. */
+  /** Replaces the bounds and keeps the counts. */
   rebound(bounds: GatewayBounds): void {
     this.#bounds = bounds;
   }
 
-  /** Notes the first send of a request. */
+  /** Counts the first send of a request. */
   noteFirst(service: ServiceId, now: Instant): void {
     this.#counts(service, now).firsts[0]!++;
   }
 
-  /** Notes a repeat that could not be asked for, such as one that another entry began. */
+  /** Counts a repeat that was made without asking the budget, such as one that another entry began. */
   noteRepeat(service: ServiceId, now: Instant): void {
     this.#counts(service, now).repeats[0]!++;
   }
 
-  /** Takes one repeat; `false` where none is left. */
+  /** Takes one repeat from the budget. Returns `false` if none is left. */
   spend(
     service: ServiceId,
     { entries }: { entries: number },
@@ -53,7 +53,7 @@
   ): boolean {
     const counts = this.#counts(service, now);
     const { repeatRatio, repeatSlack } = this.#bounds;
-    const allowed = USED_PART *
+    const allowed = BUDGET_FRACTION *
       (repeatRatio * sum(counts.firsts) + repeatSlack / Math.max(1, entries));
     if (sum(counts.repeats) + 1 > allowed) {
       return false;
@@ -75,15 +75,15 @@
     }
     const passed = Math.min(BUCKETS, bucket - counts.bucket);
     for (let step = 0; step < passed; step++) {
-      shift(counts.firsts);
-      shift(counts.repeats);
+      dropOldest(counts.firsts);
+      dropOldest(counts.repeats);
     }
     counts.bucket = bucket;
     return counts;
   }
 }
 
-function shift(buckets: number[]): void {
+function dropOldest(buckets: number[]): void {
   buckets.pop();
   buckets.unshift(0);
 }
--- a/packages/core/src/gateway/return_grace.ts
+++ b/packages/core/src/gateway/return_grace.ts
@@ -1,54 +1,61 @@
 /**
- * How long records that are missing after a return of the platform are not believed to be.
+ * Grace period for endpoint records that are missing after the platform was down or restored.
  *
  * @module
  */
 import { after, type Instant, instant } from "../ids/index.ts";
 
 /**
- * Records run out while the platform is down, and a copy lacks the youngest: they are written again within
- * two seconds of its return. Dropping them at once would leave nothing to serve from.
+ * Endpoint records expire while the platform is down, and a restored copy lacks the newest ones. Endpoints write
+ * their records again within two seconds of its return. Dropping missing records at once would leave no
+ * endpoint to serve from.
  */
-const GRACE_MS = 2_200;
+const MISSING_RECORD_GRACE_MS = 2_200;
 /**
- * After a restore, the same since the last moment at which it had not happened. It may be noticed seconds
- * late, and an endpoint that was removed right after it would be used for as much longer.
+ * Longest grace period after a restore, from the last time at which the platform was known not to be restored
+ * yet. The restore may be noticed seconds late, and without this limit an endpoint that was removed right
+ * after it would be used for that much longer.
  */
-const LONGEST_GRACE_MS = 3_200;
+const MAX_RESTORE_GRACE_MS = 3_200;
 
-/** Keeps the end of the grace. */
+/** Tracks the end of the grace period. */
 export class ReturnGrace {
-  #beforeAt: Instant;
-  #end: Instant | undefined;
+  #lastBeforeRestoreAt: Instant;
+  #endsAt: Instant | undefined;
 
   constructor(now: Instant) {
-    this.#beforeAt = now;
+    this.#lastBeforeRestoreAt = now;
   }
 
-  /** The platform was not restored yet, as it answered or failed at that instant. */
+  /** Records that the platform had not been restored at that time, according to an answer or a failure. */
   noteBefore(at: Instant): void {
-    this.#beforeAt = at;
+    this.#lastBeforeRestoreAt = at;
   }
 
-  /** A first answer after an absence has come. */
+  /** Records the platform's first answer after an outage. */
   noteReturn(now: Instant): void {
-    this.#end = after(now, GRACE_MS);
+    this.#endsAt = after(now, MISSING_RECORD_GRACE_MS);
   }
 
-  /** A first answer of another epoch has come. */
+  /** Records the first answer of a new epoch, which means that the platform was restored. */
   noteRestore(now: Instant): void {
-    this.#end = instant(
-      Math.min(after(now, GRACE_MS), after(this.#beforeAt, LONGEST_GRACE_MS)),
+    this.#endsAt = instant(
+      Math.min(
+        after(now, MISSING_RECORD_GRACE_MS),
+        after(this.#lastBeforeRestoreAt, MAX_RESTORE_GRACE_MS),
+      ),
     );
   }
 
-  /** Until when a record that goes missing now is kept, `undefined` for not at all. */
+  /** Returns until when a record that goes missing now is kept, `undefined` if it is dropped at once. */
   keptUntil(now: Instant): Instant | undefined {
-    return this.#end !== undefined && now < this.#end ? this.#end : undefined;
+    return this.#endsAt !== undefined && now < this.#endsAt
+      ? this.#endsAt
+      : undefined;
   }
 
-  /** The same while the platform does not answer. */
+  /** Returns until when a record that goes missing now is kept while the platform does not answer. */
   keptWhileAway(now: Instant): Instant {
-    return after(now, GRACE_MS);
+    return after(now, MISSING_RECORD_GRACE_MS);
   }
 }
--- a/packages/core/src/gateway/route_traffic.ts
+++ b/packages/core/src/gateway/route_traffic.ts
@@ -1,21 +1,21 @@
 /**
- * Which routes callers use at present.
+ * Recent traffic of each route.
  *
  * @module
  */
 import type { Instant, RouteName } from "../ids/index.ts";
 
-/** Counts fall to a third within this time. */
-const MEMORY_MS = 4_000;
+/** Time constant of the decay: counts fall to about a third within this time. */
+const DECAY_MS = 4_000;
 
-interface Count {
+interface DecayingCount {
   value: number;
   at: Instant;
 }
 
-/** Keeps a fading count of requests by route. */
+/** Exponentially decaying count of requests for each route. */
 export class RouteTraffic {
-  readonly #counts = new Map<RouteName, Count>();
+  readonly #counts = new Map<RouteName, DecayingCount>();
 
   add(route: RouteName, now: Instant): void {
     this.#counts.set(route, { value: this.of(route, now) + 1, at: now });
@@ -25,6 +25,6 @@
     const count = this.#counts.get(route);
     return count === undefined
       ? 0
-      : count.value * Math.exp((count.at - now) / MEMORY_MS);
+      : count.value * Math.exp((count.at - now) / DECAY_MS);
   }
 }
--- a/packages/core/src/gateway/stream_position.ts
+++ b/packages/core/src/gateway/stream_position.ts
@@ -1,31 +1,31 @@
 /**
- * How far the caller of a stream has got.
+ * How much of a stream its caller has received.
  *
  * @module
  */
 
-/** Where another endpoint would have to go on. */
+/** The position after which another endpoint would have to continue the stream. */
 export class StreamPosition {
   #lastId: string | undefined;
   #known = true;
 
-  /** `lastId`: the last event that the caller had before. */
+  /** `lastId` is the last event that the caller received earlier, before this request. */
   constructor(lastId: string | undefined) {
     this.#lastId = lastId;
   }
 
-  /** Id of the last event, `undefined` at the beginning. */
+  /** Id of the last event that the caller received, `undefined` at the beginning. */
   get lastId(): string | undefined {
     return this.#lastId;
   }
 
-  /** Whether an endpoint can be told where to go on: not after events without an id. */
+  /** Whether the position can be given to another endpoint. It cannot after events without an id. */
   get known(): boolean {
     return this.#known;
   }
 
-  /** Events have gone to the caller. */
-  passed(
+  /** Records events that were sent to the caller. */
+  advance(
     { lastEventId, unnumbered }: {
       lastEventId: string | undefined;
       unnumbered: boolean;
--- a/playground/src/guards/byte_guards.ts
+++ b/playground/src/guards/byte_guards.ts
@@ -102,8 +102,8 @@
     point: POINT,
     name: "a slow caller makes no endpoint look silent",
     file: `${CORE}/call_recovery.ts`,
-    find: "if (heldSince !== undefined) {",
-    replace: "if (heldSince === now) {",
+    find: "if (backpressureSince !== undefined) {",
+    replace: "if (backpressureSince === now) {",
   },
   {
     point: POINT,
--- a/playground/src/guards/customer_guards.ts
+++ b/playground/src/guards/customer_guards.ts
@@ -129,7 +129,7 @@
     point: LIMITS,
     name: "what a refused request took comes back",
     file: `${GATEWAY}/call_admission.ts`,
-    find: "this.#tools.limits.giveBack(customer.id, charged, now);",
+    find: "this.#deps.limits.giveBack(customer.id, charged, now);",
     replace: "",
   },
   {
@@ -145,7 +145,7 @@
     name:
       "a customer's waiting requests follow each other at the pace of its limit",
     file: `${GATEWAY}/call_queue.ts`,
-    find: "return { call, turn: turn + before };",
-    replace: "return { call, turn: turn + 0 * before };",
+    find: "return { call, virtualTime: virtualTime + offset };",
+    replace: "return { call, virtualTime: virtualTime + 0 * offset };",
   },
 ];
--- a/playground/src/guards/quarantine_guards.ts
+++ b/playground/src/guards/quarantine_guards.ts
@@ -16,7 +16,7 @@
     name: "a held request goes to no endpoint",
     file: `${GATEWAY}/call_placer.ts`,
     find:
-      'this.#tools.ends.fail(call, "held", now, verdict.wait);\n        return "over";',
+      'this.#deps.outcomes.fail(call, "held", now, verdict.wait);\n        return "over";',
     replace: 'return "free";',
   },
   {
--- a/playground/src/guards/route_guards.ts
+++ b/playground/src/guards/route_guards.ts
@@ -19,7 +19,7 @@
     replace: "if (!this.#tryElsewhere(call, now)) {",
     also: [{
       file: `${GATEWAY}/call_recovery.ts`,
-      find: "call.arrivals < call.route.attempts &&",
+      find: "call.possibleDeliveries < call.route.attempts &&",
       replace: "",
     }],
   },
@@ -125,8 +125,8 @@
     point: "routes: configuration",
     name: "an entry that knows nothing yet does not say that there is no route",
     file: `${GATEWAY}/call_controller.ts`,
-    find: 'return this.#ends.refuseHead(head, "no_document");',
-    replace: 'return this.#ends.refuseHead(head, "no_route");',
+    find: 'return this.#outcomes.refuseHead(head, "no_document");',
+    replace: 'return this.#outcomes.refuseHead(head, "no_route");',
   },
   {
     point: "routes: configuration",
@@ -160,11 +160,12 @@
     point: "routes: streams",
     name: "a stream goes on only where its route allows it",
     file: `${GATEWAY}/call.ts`,
-    find: "return this.route.resumable && this.events && this.position.known;",
-    replace: "return this.events && this.position.known;",
+    find:
+      "return this.route.resumable && this.isEventStream && this.position.known;",
+    replace: "return this.isEventStream && this.position.known;",
     also: [{
       file: `${GATEWAY}/call_recovery.ts`,
-      find: "call.arrivals < call.route.attempts &&",
+      find: "call.possibleDeliveries < call.route.attempts &&",
       replace: "",
     }],
   },
@@ -213,8 +214,9 @@
     point: "routes: failures",
     name: "a failure is dropped only for another endpoint",
     file: `${GATEWAY}/call_recovery.ts`,
-    find: 'const possible = way?.kind === "endpoint" || way?.kind === "peer";',
-    replace: "const possible = way !== undefined;",
+    find:
+      'const possible = decision?.kind === "endpoint" || decision?.kind === "peer";',
+    replace: "const possible = decision !== undefined;",
   },
   {
     point: "routes: overload",
@@ -325,8 +327,8 @@
     point: "routes: refusals",
     name: "requests are held until the first read",
     file: `${GATEWAY}/call_controller.ts`,
-    find: "    this.#hold.add(head, now);",
-    replace: '    this.#ends.refuseHead(head, "no_document");',
+    find: "    this.#pending.add(head, now);",
+    replace: '    this.#outcomes.refuseHead(head, "no_document");',
   },
   {
     point: "routes: refusals",
--- a/playground/src/guards/terms_guards.ts
+++ b/playground/src/guards/terms_guards.ts
@@ -17,7 +17,7 @@
     point: LIMITS,
     name: "no request is written to a limited endpoint without a permit",
     file: `${GATEWAY}/call_controller.ts`,
-    find: "this.#tools.terms.limits.covers(state.record, permit, now);",
+    find: "this.#deps.terms.limits.covers(state.record, permit, now);",
     replace: "true;",
     also: [{
       file: `${GATEWAY}/local_places.ts`,
@@ -130,7 +130,7 @@
     point: REST,
     name: "where all rest a request is refused at once",
     file: `${GATEWAY}/call_placer.ts`,
-    find: 'return reason === "resting" && wait > MOST_REST_WAIT_MS;',
+    find: 'return reason === "resting" && wait > MAX_REST_WAIT_MS;',
     replace: 'return reason === "resting" && wait > 1_000_000;',
   },
   {
