--- a/packages/core/src/gateway/__tests__/currency_exchange.test.ts
+++ b/packages/core/src/gateway/__tests__/currency_exchange.test.ts
@@ -13,7 +13,7 @@
   CurrencyMessage,
   CurrencyQuestion,
 } from "../../routes/index.ts";
-import { CurrencyExchange } from "../currency_exchange.ts";
+import { FreshnessExchange } from "../currency_exchange.ts";
 
 const VERSION = 7 as Revision;
 
@@ -21,26 +21,26 @@
   return { epoch: 1 as CatalogueEpoch, revision: revision as Revision };
 }
 
-/** `drawn`: what the random source gives. */
-function build(drawn = 0): {
+/** `randomValue`: what the random source returns. */
+function build(randomValue = 0): {
   currency: Currency;
-  exchange: CurrencyExchange;
+  exchange: FreshnessExchange;
   sent: CurrencyMessage[];
 } {
   const currency = new Currency();
   currency.hold(VERSION);
   const sent: CurrencyMessage[] = [];
-  const exchange = new CurrencyExchange({
+  const exchange = new FreshnessExchange({
     currency,
-    random: { next: () => drawn },
-    active: () => true,
-    resting: () => false,
+    random: { next: () => randomValue },
+    isEnabled: () => true,
+    isStandby: () => false,
     self: { incarnation: "e1" as Incarnation, peerAddress: "1.2.3.4:5" },
-    holds: () => ({ version: VERSION, position: at(VERSION) }),
-    newsSince: () => undefined,
-    source: () => "1.2.3.5:5",
+    localState: () => ({ version: VERSION, position: at(VERSION) }),
+    changesSince: () => undefined,
+    selectPeer: () => "1.2.3.5:5",
     send: (_to, message) => sent.push(message),
-    told: () => {},
+    onPeerReport: () => {},
   });
   return { currency, exchange, sent };
 }
@@ -57,17 +57,17 @@
   };
 }
 
-describe("what another entry says of the document", () => {
-  // An entry stood still for six seconds with an answer in its socket, and took it for news: keys that were
-  // taken away meanwhile opened for as long again.
-  it("is as old as its answer and the time since the question", () => {
+describe("a peer's answer about the document", () => {
+  // Guards against dating an answer by its arrival: an instance was paused for six seconds with an answer in
+  // its socket and took it for recent, so that keys revoked meanwhile stayed valid for that much longer.
+  it("counts its age and the time since the question", () => {
     const { currency, exchange } = build();
     exchange.tick(instant(1_000));
     exchange.receive(answer(VERSION, 200), instant(7_000));
     expect(currency.age(instant(7_000))).toBe(6_200);
   });
 
-  it("counts the time of a suspended machine", () => {
+  it("counts the time that the machine was suspended", () => {
     const { currency, exchange } = build();
     exchange.tick(instant(1_000));
     currency.slept(milliseconds(4_000));
@@ -75,7 +75,7 @@
     expect(currency.age(instant(1_100))).toBe(4_300);
   });
 
-  it("proves nothing unasked, or a second time", () => {
+  it("proves nothing if it is unsolicited or repeated", () => {
     const { currency, exchange } = build();
     exchange.receive(answer(VERSION, 0), instant(1_000));
     expect(currency.age(instant(1_000))).toBe(Infinity);
@@ -85,8 +85,9 @@
     expect(currency.age(instant(5_000))).toBe(4_000);
   });
 
-  // Guards against a document that is taken for younger than it is, by an answer to a former process here.
-  it("proves nothing to a process that starts anew at the address", () => {
+  // Guards against taking a document for more recent than it is, because of an answer to a former process at
+  // the same address.
+  it("proves nothing to a restarted process at the same address", () => {
     const { currency, exchange, sent } = build(0.5);
     exchange.tick(instant(1_000));
     exchange.receive(answer(VERSION, 0), instant(1_100));
@@ -96,7 +97,7 @@
     expect(currency.age(instant(1_200))).toBe(200);
   });
 
-  it("proves a newer document only once that is held", () => {
+  it("proves a newer document current only once it is held locally", () => {
     const { currency, exchange } = build();
     const newer = VERSION + 3 as Revision;
     exchange.tick(instant(1_000));
@@ -106,7 +107,7 @@
     expect(currency.age(instant(1_200))).toBe(300);
   });
 
-  it("is said by who knows, and by nobody else", () => {
+  it("is only sent by an instance that has proof itself", () => {
     const { currency, exchange, sent } = build();
     const question = {
       kind: "question",
--- a/packages/core/src/gateway/__tests__/epoch_tracker.test.ts
+++ b/packages/core/src/gateway/__tests__/epoch_tracker.test.ts
@@ -8,60 +8,69 @@
   revision: revision as Revision,
 });
 
-// Guards against changes that are applied to a picture of another epoch.
+// Guards against applying changes to a catalogue of another epoch.
 describe("an answer of the platform", () => {
   let tracker: EpochTracker;
-  const judge = (
+  const classify = (
     epoch: number | undefined,
-    { asked, held = asked, whole = false }: {
-      asked: CataloguePosition;
-      held?: CataloguePosition;
-      whole?: boolean;
+    { readPosition, position = readPosition, isFullRead = false }: {
+      readPosition: CataloguePosition;
+      position?: CataloguePosition;
+      isFullRead?: boolean;
     },
   ): string => {
-    tracker.ask(asked);
-    return tracker.judge(epoch as CatalogueEpoch | undefined, { held, whole });
+    tracker.noteRead(readPosition);
+    return tracker.classify(epoch as CatalogueEpoch | undefined, {
+      position,
+      isFullRead,
+    });
   };
 
   beforeEach(() => {
     tracker = new EpochTracker();
   });
 
-  it("is the first", () => {
-    expect(judge(4, { asked: NO_POSITION, whole: true })).toBe("current");
-    expect(judge(4, { asked: at(4, 7) })).toBe("current");
+  it("is current if it is the first", () => {
+    expect(classify(4, { readPosition: NO_POSITION, isFullRead: true })).toBe(
+      "current",
+    );
+    expect(classify(4, { readPosition: at(4, 7) })).toBe("current");
   });
 
   it.each([
     ["a higher epoch", 5],
     ["a lower epoch", 3],
-  ])("states %s, and the same from then on", (_name, epoch) => {
-    judge(4, { asked: NO_POSITION, whole: true });
-    expect(judge(epoch, { asked: at(4, 7) })).toBe("restored");
-    expect(judge(epoch, { asked: at(4, 7), whole: true })).toBe("current");
-    expect(judge(4, { asked: at(5, 7) })).toBe("restored");
+  ])("shows a restore if it states %s, until that is known", (_name, epoch) => {
+    classify(4, { readPosition: NO_POSITION, isFullRead: true });
+    expect(classify(epoch, { readPosition: at(4, 7) })).toBe("restored");
+    expect(classify(epoch, { readPosition: at(4, 7), isFullRead: true })).toBe(
+      "current",
+    );
+    expect(classify(4, { readPosition: at(5, 7) })).toBe("restored");
   });
 
-  it("states no epoch any more", () => {
-    judge(4, { asked: NO_POSITION, whole: true });
-    expect(judge(undefined, { asked: at(4, 7) })).toBe("current");
-    expect(judge(4, { asked: at(4, 7) })).toBe("current");
+  it("is current if it no longer states an epoch", () => {
+    classify(4, { readPosition: NO_POSITION, isFullRead: true });
+    expect(classify(undefined, { readPosition: at(4, 7) })).toBe("current");
+    expect(classify(4, { readPosition: at(4, 7) })).toBe("current");
   });
 
-  it("states an epoch for the first time, to an entry that holds something", () => {
-    judge(undefined, { asked: NO_POSITION, whole: true });
-    expect(judge(1, { asked: at(0, 7) })).toBe("restored");
+  it("shows a restore if it states an epoch for the first time, after data was read", () => {
+    classify(undefined, { readPosition: NO_POSITION, isFullRead: true });
+    expect(classify(1, { readPosition: at(0, 7) })).toBe("restored");
   });
 
-  it("was sent for before a peer's picture of a newer epoch came", () => {
-    judge(1, { asked: NO_POSITION, whole: true });
-    const held = at(2, 5);
-    tracker.adopt(held);
-    expect(judge(1, { asked: at(1, 9), held, whole: true })).toBe("late");
-    expect(judge(1, { asked: at(1, 9), held })).toBe("late");
-    // Changes since revision 9 of epoch 1, as epoch 2 counts.
-    expect(judge(2, { asked: at(1, 9), held })).toBe("late");
-    expect(judge(2, { asked: at(1, 9), held, whole: true })).toBe("current");
-    expect(judge(2, { asked: held })).toBe("current");
+  it("is late if its read was sent before a peer's copy of a newer epoch came", () => {
+    classify(1, { readPosition: NO_POSITION, isFullRead: true });
+    const position = at(2, 5);
+    tracker.notePeerCopy(position);
+    expect(classify(1, { readPosition: at(1, 9), position, isFullRead: true }))
+      .toBe("late");
+    expect(classify(1, { readPosition: at(1, 9), position })).toBe("late");
+    // Changes since revision 9 of epoch 1, counted by epoch 2.
+    expect(classify(2, { readPosition: at(1, 9), position })).toBe("late");
+    expect(classify(2, { readPosition: at(1, 9), position, isFullRead: true }))
+      .toBe("current");
+    expect(classify(2, { readPosition: position })).toBe("current");
   });
 });
--- a/packages/core/src/gateway/__tests__/evacuations.test.ts
+++ b/packages/core/src/gateway/__tests__/evacuations.test.ts
@@ -5,7 +5,7 @@
 const ZONE = "z" as ZoneId;
 const KEPT_UNTIL = instant(100);
 
-describe("an evacuated zone", () => {
+describe("the evacuation of a zone", () => {
   let evacuations: Evacuations;
   const isEvacuated = (): boolean => evacuations.zones.has(ZONE);
 
@@ -14,16 +14,16 @@
     evacuations.begin(ZONE);
   });
 
-  it("is taken back", () => {
+  it("ends when the platform no longer lists it", () => {
     evacuations.replace([]);
     expect(isEvacuated()).toBe(false);
   });
 
-  // Guards against requests to a zone whose evacuation a copy does not know.
-  describe("that a copy lacks", () => {
+  // Guards against requests to a zone whose evacuation is missing from a restored backup.
+  describe("that is missing from a restored backup", () => {
     beforeEach(() => evacuations.replace([], KEPT_UNTIL));
 
-    it("stays so for a while, and peers are not told", () => {
+    it("lasts for a while, and is not published to peers", () => {
       expect(isEvacuated()).toBe(true);
       expect(evacuations.published).toEqual([]);
       expect(evacuations.expire(instant(99))).toBe(false);
@@ -31,7 +31,7 @@
       expect(isEvacuated()).toBe(false);
     });
 
-    it("stays so where everything is read once more", () => {
+    it("lasts until the first deadline after further full reads", () => {
       evacuations.replace([]);
       evacuations.replace([], instant(200));
       expect(isEvacuated()).toBe(true);
@@ -39,14 +39,14 @@
       expect(isEvacuated()).toBe(false);
     });
 
-    it("stays so where operators write it again", () => {
+    it("lasts if operators write it again", () => {
       evacuations.begin(ZONE);
       evacuations.expire(KEPT_UNTIL);
       expect(isEvacuated()).toBe(true);
       expect(evacuations.published).toEqual([ZONE]);
     });
 
-    it("is taken back by a word of the operators", () => {
+    it("ends when operators end it", () => {
       evacuations.end(ZONE);
       expect(isEvacuated()).toBe(false);
     });
--- a/packages/core/src/gateway/__tests__/gateway_fixture.ts
+++ b/packages/core/src/gateway/__tests__/gateway_fixture.ts
@@ -9,7 +9,7 @@
   type ZoneId,
 } from "../../index.ts";
 
-/** One entry of a zone, started at instant 0. */
+/** Starts one gateway instance in a zone, at instant 0. */
 export function startGateway(
   { zone, region }: { zone: ZoneId; region: RegionId },
 ): Gateway {
--- a/packages/core/src/gateway/__tests__/quarantine_fixture.ts
+++ b/packages/core/src/gateway/__tests__/quarantine_fixture.ts
@@ -9,7 +9,7 @@
 } from "../../index.ts";
 import { QuarantineController } from "../../quarantine/index.ts";
 
-/** What a request is known by. */
+/** A request's fingerprint, by content and caller. */
 export function fingerprint(
   content: string,
   caller = "caller",
@@ -20,7 +20,7 @@
   };
 }
 
-/** A quarantine of an entry that is alone and has seen nothing. */
+/** The quarantine of a single instance, without any history. */
 export function emptyQuarantine(): QuarantineController {
   return new QuarantineController({
     self: { incarnation: "i" as Incarnation },
--- a/packages/core/src/gateway/__tests__/recent_changes.test.ts
+++ b/packages/core/src/gateway/__tests__/recent_changes.test.ts
@@ -12,12 +12,12 @@
 ): RecentChanges {
   const recent = new RecentChanges();
   for (const [from, to, changes] of steps) {
-    recent.note({ from: from as Revision, to: to as Revision, changes });
+    recent.add({ from: from as Revision, to: to as Revision, changes });
   }
   return recent;
 }
 
-describe("changes for a peer that is behind", () => {
+describe("changes for a peer that is a few revisions behind", () => {
   const recent = remember([
     [10, 12, [removed("a"), removed("b")]],
     [12, 13, [removed("c")]],
@@ -36,7 +36,7 @@
     expect(news?.revision).toBe(expected === undefined ? undefined : 13);
   });
 
-  it("are not told where a read between is missing, or a document among them", () => {
+  it("are not returned if there is a gap or a document among them", () => {
     const gap = remember([[10, 12, [removed("a")]], [13, 14, [removed("b")]]]);
     expect(gap.since(10 as Revision)).toBeUndefined();
     const document = { kind: "document" } as unknown as CatalogueChange;
@@ -44,12 +44,12 @@
       .toBeUndefined();
   });
 
-  it("are not told where they are more than a datagram holds", () => {
+  it("are not returned if they don't fit into a datagram", () => {
     const many = Array.from({ length: 7 }, (_, index) => removed(`e${index}`));
     expect(remember([[10, 17, many]]).since(10 as Revision)).toBeUndefined();
   });
 
-  it("are forgotten once a whole picture was read", () => {
+  it("are forgotten after a full read", () => {
     const cleared = remember([[10, 11, [removed("a")]]]);
     cleared.clear();
     expect(cleared.since(10 as Revision)).toBeUndefined();
--- a/packages/core/src/gateway/__tests__/restored_catalogue.test.ts
+++ b/packages/core/src/gateway/__tests__/restored_catalogue.test.ts
@@ -12,7 +12,7 @@
 
 type Event = Parameters<Gateway["handle"]>[0];
 
-describe("a catalogue and its epochs", () => {
+describe("the catalogue after a restore", () => {
   let gateway: Gateway;
   let now: number;
   let effects: GatewayEffect[];
@@ -30,7 +30,7 @@
     revision: revision as Revision,
     document: { ...SNAPSHOT.document!, version: version as Revision },
   });
-  /** Lets it run until it has sent a read, and returns that. */
+  /** Runs the gateway until it sends a read, and returns that. */
   const nextRead = (): Extract<GatewayEffect, { kind: "readCatalogue" }> => {
     effects = [];
     for (let ticks = 0; ticks < 1_000; ticks++) {
@@ -56,8 +56,8 @@
     handle({ kind: "catalogueRead", snapshot: at(2, 10) });
   });
 
-  // Guards against a loop of refused reads and whole ones, which ends in a missed change.
-  it("is read whole once where its history belongs to another epoch", () => {
+  // Guards against a loop of compacted reads and full reads, which ends in a missed change.
+  it("is read in full once if the platform's changes belong to another epoch", () => {
     expect(nextRead().after).toBe(10);
     handle({ kind: "catalogueCompacted", epoch: 3 as CatalogueEpoch });
     expect(nextRead().after).toBeUndefined();
@@ -66,8 +66,8 @@
     expect(nextRead().after).toBe(4);
   });
 
-  // Guards against changes that are applied although they count from elsewhere.
-  it("takes no changes of another epoch", () => {
+  // Guards against applying changes that count from a position in another epoch.
+  it("ignores changes of another epoch", () => {
     nextRead();
     handle({
       kind: "catalogueChanged",
@@ -81,13 +81,13 @@
     expect(nextRead().after).toBeUndefined();
   });
 
-  // Guards against a peer that was cut off over the restore, and passes on what it held before.
-  it("is not turned back by a copy of an earlier epoch", () => {
+  // Guards against a peer that was disconnected during the restore and passes on its catalogue from before.
+  it("is not replaced by a copy of an earlier epoch", () => {
     handle({ kind: "catalogueCopied", snapshot: at(1, 99) });
     expect(position()).toEqual([2, 10]);
   });
 
-  it("takes a newer document of any copy, and the rest as before", () => {
+  it("takes only a newer document from a copy of an earlier epoch", () => {
     const { generation } = gateway.catalogue;
     handle({ kind: "catalogueCopied", snapshot: at(1, 99, 40) });
     expect(gateway.catalogue.document?.version).toBe(40);
@@ -95,14 +95,14 @@
     expect(position()).toEqual([2, 10]);
   });
 
-  it("is copied from a peer of a later epoch, and then read whole", () => {
+  it("is copied from a peer of a later epoch, and then read in full", () => {
     handle({ kind: "catalogueCopied", snapshot: at(3, 4) });
     expect(position()).toEqual([3, 4]);
     expect(nextRead().after).toBeUndefined();
   });
 
-  // Guards against an answer that was under way while a peer's copy came.
-  it("is not turned back by an answer that was sent for before", () => {
+  // Guards against an answer to a read that was under way when a peer's copy arrived.
+  it("ignores the answer to a read that was sent before the copy", () => {
     nextRead();
     handle({ kind: "catalogueCopied", snapshot: at(3, 4) });
     handle({
@@ -117,7 +117,7 @@
     expect(gateway.catalogue.evacuated.size).toBe(0);
   });
 
-  it("keeps a newer document than a copy of the platform has", () => {
+  it("keeps its document if the restored one is older", () => {
     nextRead();
     handle({ kind: "catalogueRead", snapshot: at(3, 4, 0) });
     expect(position()).toEqual([3, 4]);
--- a/packages/core/src/gateway/__tests__/told_epochs.test.ts
+++ b/packages/core/src/gateway/__tests__/told_epochs.test.ts
@@ -17,11 +17,11 @@
   revision: revision as Revision,
 });
 
-// Guards against changes that one entry tells another although they count in different epochs.
-describe("what entries tell each other of changes", () => {
+// Guards against applying changes from a peer that count revisions in another epoch.
+describe("changes exchanged between peers", () => {
   let catalogue: CatalogueController;
-  const tell = (position: CataloguePosition): void =>
-    catalogue.told({
+  const receiveReport = (position: CataloguePosition): void =>
+    catalogue.applyPeerReport({
       version: SNAPSHOT.document!.version,
       position,
       news: {
@@ -38,30 +38,30 @@
       newestHolder: () => undefined,
       newestDocument: () => undefined,
       random: new SeededRandomness(1),
-      resting: () => false,
-      confirming: () => "no",
+      isStandby: () => false,
+      freshnessRole: () => "no",
       now: instant(0),
     });
     catalogue.tick(instant(0));
-    catalogue.read({ ...SNAPSHOT, ...at(2, 10) }, instant(10));
+    catalogue.applySnapshot({ ...SNAPSHOT, ...at(2, 10) }, instant(10));
   });
 
-  it("is followed within an epoch", () => {
-    tell(at(2, 12));
+  it("are applied within an epoch", () => {
+    receiveReport(at(2, 12));
     expect(catalogue.position).toEqual(at(2, 12));
     expect([...catalogue.evacuated]).toEqual([ZONE]);
   });
 
-  it.each([1, 3])("is not followed from epoch %i", (epoch) => {
-    tell(at(epoch, 12));
+  it.each([1, 3])("are not applied from epoch %i", (epoch) => {
+    receiveReport(at(epoch, 12));
     expect(catalogue.position).toEqual(at(2, 10));
     expect(catalogue.evacuated.size).toBe(0);
   });
 
-  it("is told to those of the same epoch alone", () => {
-    tell(at(2, 12));
-    expect(catalogue.newsSince(at(2, 10))?.revision).toBe(12);
-    expect(catalogue.newsSince(at(1, 10))).toBeUndefined();
-    expect(catalogue.newsSince(at(3, 10))).toBeUndefined();
+  it("are only sent to peers of the same epoch", () => {
+    receiveReport(at(2, 12));
+    expect(catalogue.changesSince(at(2, 10))?.revision).toBe(12);
+    expect(catalogue.changesSince(at(1, 10))).toBeUndefined();
+    expect(catalogue.changesSince(at(3, 10))).toBeUndefined();
   });
 });
--- a/packages/core/src/gateway/catalogue_controller.ts
+++ b/packages/core/src/gateway/catalogue_controller.ts
@@ -1,5 +1,6 @@
 /**
- * Reads the published picture from the platform, or from a peer where the platform does not answer.
+ * Keeps the local catalogue up to date by reading the platform, or by copying from a peer while the platform
+ * does not answer.
  *
  * @module
  */
@@ -27,32 +28,38 @@
   type RoutingDocument,
 } from "../routes/index.ts";
 import type { CatalogueView } from "./catalogue_view.ts";
-import { HeldCatalogue } from "./held_catalogue.ts";
+import { LocalCatalogue } from "./held_catalogue.ts";
 import type { GatewayEmit } from "./messages.ts";
 import { PeerCopies } from "./peer_copies.ts";
-import { ReadProofs } from "./read_proofs.ts";
-import { type AnswerStanding, EpochTracker } from "./epoch_tracker.ts";
+import { FreshnessProofs } from "./read_proofs.ts";
+import { type AnswerValidity, EpochTracker } from "./epoch_tracker.ts";
 import { ReturnGrace } from "./return_grace.ts";
 import { ReadSchedule, type ReadScheduleOptions } from "./read_schedule.ts";
 
-/** Beyond its wait a read may take so long: a slow service, and a silent connection. */
+/**
+ * How long a read may take in addition to its long poll, before a slow service or a silent connection counts
+ * as a failure.
+ */
 const READ_TIMEOUT_MS = 1_000;
-/** For each record: large catalogues are not read by all entries in the same moment. */
+/**
+ * After a restore the full reads of all instances are spread over this time per record, so that they don't
+ * read a large catalogue all at once.
+ */
 const RESTORED_READ_SPREAD_MS = 0.1;
 
-/** What another entry says of the picture that it holds. */
-export interface ToldPicture {
+/** What a peer reports about its catalogue. */
+export interface PeerCatalogueReport {
   readonly version: Revision;
   readonly position: CataloguePosition;
-  /** What led there from the own revision, where it is little. */
+  /** The changes since the local revision, if they are few. */
   readonly news: PictureNews | undefined;
-  /** When its document was known to be the newest. */
+  /** When the peer's document was known to be the newest. */
   readonly at: Instant;
-  /** Where it can be copied. */
+  /** Address of the peer, from which the catalogue can be copied. */
   readonly from: string;
 }
 
-/** Writes the catalogue. */
+/** Decides when to read the catalogue, and applies the answers. */
 export class CatalogueController implements CatalogueView {
   wholeReads = 0;
   historyMisses = 0;
@@ -61,262 +68,275 @@
   readonly currency = new Currency();
   readonly #emit: GatewayEmit;
   readonly #schedule: ReadSchedule;
-  readonly #isResting: () => boolean;
-  readonly #held = new HeldCatalogue({
-    adopted: ({ version, routes }) => {
+  readonly #isStandby: () => boolean;
+  readonly #local = new LocalCatalogue({
+    onDocument: ({ version, routes }) => {
       this.currency.hold(version);
       this.#log("Document is in force.", { version, routes: routes.length });
     },
     log: (text, fields) => this.#log(text, fields),
   });
   readonly #epochs = new EpochTracker();
-  #snapshotWanted = true;
-  /** Whether the whole read that is wanted is of another epoch than what is held. */
-  #restored = false;
+  #fullReadNeeded = true;
+  /** Whether the full read that is needed will return another epoch than the local one. */
+  #restorePending = false;
   readonly #grace: ReturnGrace;
-  readonly #proofs: ReadProofs;
+  readonly #freshness: FreshnessProofs;
   readonly #copies: PeerCopies;
-  /** Of the read under way. */
-  #sentAt: Instant;
-  #timeout = milliseconds(0);
-  /** A later epoch than the one held that another entry told. */
-  #toldEpoch = NO_POSITION.epoch;
+  /** When the read under way was sent, and its timeout. */
+  #readSentAt: Instant;
+  #readTimeout = milliseconds(0);
+  /** The highest epoch later than the local one that a peer reported. */
+  #highestPeerEpoch = NO_POSITION.epoch;
   constructor(
     { emit, newestHolder, newestDocument, now, ...schedule }:
       & ReadScheduleOptions
       & {
         emit: GatewayEmit;
-        /** Peer with the newest catalogue. */
+        /** Returns the peer with the newest catalogue. */
         newestHolder: () => CatalogueHolder | undefined;
-        /** Peer with the newest document. */
+        /** Returns the peer with the newest document. */
         newestDocument: () => DocumentHolder | undefined;
         now: Instant;
       },
   ) {
     this.#emit = emit;
-    this.#isResting = schedule.resting;
+    this.#isStandby = schedule.isStandby;
     this.#schedule = new ReadSchedule(schedule, now);
     this.#grace = new ReturnGrace(now);
-    this.#proofs = new ReadProofs({ currency: this.currency, newestDocument });
+    this.#freshness = new FreshnessProofs({
+      currency: this.currency,
+      newestDocument,
+    });
     this.#copies = new PeerCopies({ emit, newestHolder }, now);
-    this.#sentAt = now;
+    this.#readSentAt = now;
   }
 
-  /** Whether requests name customers, by keys that may be taken away. */
-  get keyed(): boolean {
+  /** Whether requests have to identify their customer by a key, which can be revoked. */
+  get requiresKeys(): boolean {
     return this.table?.customers.required ?? false;
   }
 
   get position(): CataloguePosition {
-    return this.#held.position;
+    return this.#local.position;
   }
 
   get table(): RouteTable | undefined {
-    return this.#held.table;
+    return this.#local.table;
   }
 
   get generation(): number {
-    return this.#held.generation;
+    return this.#local.generation;
   }
 
   get document(): RoutingDocument | undefined {
-    return this.#held.document;
+    return this.#local.document;
   }
 
   get endpoints(): ReadonlyMap<EndpointId, EndpointRecord> {
-    return this.#held.endpoints;
+    return this.#local.endpoints;
   }
 
   get evacuated(): ReadonlySet<ZoneId> {
-    return this.#held.evacuated;
+    return this.#local.evacuated;
   }
 
   get picture(): number {
-    return this.#held.picture;
+    return this.#local.contentHash;
   }
 
   get failing(): boolean {
     return this.#schedule.failures > 0;
   }
 
-  /** Starts reads that are due. */
+  /** Starts a read if one is due. */
   tick(now: Instant): void {
-    this.#held.expire(now);
-    if (this.#schedule.begin(now)) {
+    this.#local.expire(now);
+    if (this.#schedule.beginIfDue(now)) {
       this.#read(now);
     }
     if (this.#schedule.isOverdue(now)) {
-      this.#copies.askForNewer(this.position, now);
+      this.#copies.requestNewer(this.position, now);
     }
   }
 
-  /** A woken process must not go on with what was true before: it reads at once. */
-  woke(now: Instant): void {
+  /** After a pause of the process, reads at once: the catalogue may be outdated. */
+  handleWakeUp(now: Instant): void {
     this.#schedule.readAtOnce(now);
   }
 
   isOld(now: Instant): boolean {
-    return this.table !== undefined && this.#schedule.isOld(now);
+    return this.table !== undefined && this.#schedule.isStale(now);
   }
 
-  /** A peer that carries has told of its picture. */
-  noteOther(picture: number, now: Instant): void {
-    if (picture !== this.picture) {
-      this.#schedule.noteOther(now);
+  /** Records the catalogue hash that a serving peer reported. */
+  notePeerCatalogue(hash: number, now: Instant): void {
+    if (hash !== this.picture) {
+      this.#schedule.hastenForPeerCatalogue(now);
     }
   }
 
-  /** A request has come after a rest: reads at once where that is due. */
-  noteUse(now: Instant): void {
-    this.#schedule.noteUse(now);
+  /** The instance leaves standby because of a request. Reads at once if a read is due by then. */
+  leaveStandby(now: Instant): void {
+    this.#schedule.hastenAfterStandby(now);
     this.tick(now);
   }
 
-  /** Takes a whole picture from the platform. */
-  read(snapshot: CatalogueSnapshot, now: Instant): void {
-    const standing = this.#answered(snapshot.epoch, { whole: true }, now);
-    const behind = isAfter(this.position, this.#held.positionOf(snapshot));
-    if (standing === "late" || (behind && this.#hasMoved)) {
+  /** Applies the answer to a full read. */
+  applySnapshot(snapshot: CatalogueSnapshot, now: Instant): void {
+    const validity = this.#noteAnswer(
+      snapshot.epoch,
+      { isFullRead: true },
+      now,
+    );
+    const isBehind = isAfter(this.position, this.#local.positionOf(snapshot));
+    if (validity === "late" || (isBehind && this.#hasChangedSinceRead)) {
       return this.#schedule.readAtOnce(now);
     }
     this.wholeReads++;
-    this.#schedule.noteWhole(now);
-    if (standing === "restored" || behind) {
+    this.#schedule.noteFullRead(now);
+    if (validity === "restored" || isBehind) {
       this.#noteRestore(now);
     }
-    if (this.#restored) {
-      this.#restore(snapshot, now);
+    if (this.#restorePending) {
+      this.#applyRestoredSnapshot(snapshot, now);
     } else {
-      this.#held.replace(snapshot, this.#keptUntil(now));
+      this.#local.applySnapshot(snapshot, this.#keptUntil(now));
     }
-    this.#snapshotWanted = false;
-    this.#restored = false;
-    this.#noteCurrent({ whole: true }, now);
+    this.#fullReadNeeded = false;
+    this.#restorePending = false;
+    this.#noteCurrentEpoch({ isFullRead: true }, now);
   }
 
-  /** A verified read found nothing newer. */
-  confirmed(epoch: CatalogueEpoch | undefined, now: Instant): void {
-    const standing = this.#answered(epoch, { whole: false }, now);
-    if (standing !== "current") {
-      return this.#readAnew(standing, now);
+  /** Applies the answer to a verified read that found nothing newer. */
+  applyConfirmation(epoch: CatalogueEpoch | undefined, now: Instant): void {
+    const validity = this.#noteAnswer(epoch, { isFullRead: false }, now);
+    if (validity !== "current") {
+      return this.#discardAnswer(validity, now);
     }
-    this.#noteCurrent({ whole: true }, now);
+    this.#noteCurrentEpoch({ isFullRead: true }, now);
   }
 
   /**
-   * Another entry tells what it holds, and when its document was known to be the newest. What it holds of an
-   * earlier epoch is older, however high its revision is.
+   * Applies a peer's report of its catalogue, and of when its document was known to be the newest. A
+   * catalogue of an earlier epoch is older, however high its revision is.
    */
-  told(picture: ToldPicture, now: Instant): void {
-    const { epoch } = picture.position;
+  applyPeerReport(report: PeerCatalogueReport, now: Instant): void {
+    const { epoch } = report.position;
     if (epoch > this.position.epoch) {
-      this.#toldRestored(picture, now);
+      this.#applyReportOfLaterEpoch(report, now);
     } else if (epoch === this.position.epoch) {
-      this.#toldSameEpoch(picture, now);
+      this.#applyReportOfSameEpoch(report, now);
     }
   }
 
-  #toldSameEpoch(
-    { version, position: { revision }, news, at, from }: ToldPicture,
+  #applyReportOfSameEpoch(
+    { version, position: { revision }, news, at, from }: PeerCatalogueReport,
     now: Instant,
   ): void {
     if (news !== undefined && revision > this.position.revision) {
-      this.#held.follow(news, this.#keptUntil(now));
+      this.#local.applyChanges(news, this.#keptUntil(now));
     }
-    const held = this.position.revision;
+    const localRevision = this.position.revision;
     const sameDocument = version === this.document?.version;
-    if (revision === held) {
+    if (revision === localRevision) {
       this.#schedule.noteConfirmed(at, now);
-    } else if (this.#isResting() && sameDocument) {
-      this.#schedule.noteBehind();
-    } else if (revision > held && this.failing) {
-      this.#copies.ask(from, now);
-    } else if (revision > held) {
-      this.#proofs.noteTold(revision);
+    } else if (this.#isStandby() && sameDocument) {
+      this.#schedule.postponeOnStandby();
+    } else if (revision > localRevision && this.failing) {
+      this.#copies.request(from, now);
+    } else if (revision > localRevision) {
+      this.#freshness.notePeerRevision(revision);
       this.#schedule.readAtOnce(now);
     }
   }
 
-  /** The platform was restored, which this entry has not read yet. */
-  #toldRestored({ from, position }: ToldPicture, now: Instant): void {
-    if (position.epoch > this.#toldEpoch) {
-      this.#toldEpoch = position.epoch;
-      this.#proofs.noteRestore(now);
+  /** A peer reports that the platform was restored, which this instance has not read yet. */
+  #applyReportOfLaterEpoch(
+    { from, position }: PeerCatalogueReport,
+    now: Instant,
+  ): void {
+    if (position.epoch > this.#highestPeerEpoch) {
+      this.#highestPeerEpoch = position.epoch;
+      this.#freshness.noteRestore(now);
     }
     if (this.failing) {
-      this.#copies.ask(from, now);
-    } else if (!this.#snapshotWanted) {
-      this.#readEverything(now);
+      this.#copies.request(from, now);
+    } else if (!this.#fullReadNeeded) {
+      this.#scheduleFullRead(now);
     }
   }
 
-  /** What changed since a position, for a peer that holds it. */
-  newsSince(position: CataloguePosition): PictureNews | undefined {
-    return this.#held.newsSince(position);
+  /** The changes since a position, for a peer that has the catalogue as of that position. */
+  changesSince(position: CataloguePosition): PictureNews | undefined {
+    return this.#local.changesSince(position);
   }
 
-  /** The picture for a peer. */
+  /** The catalogue for a peer. */
   snapshot(): CatalogueSnapshot | undefined {
-    return this.#held.snapshot();
+    return this.#local.snapshot();
   }
 
   noteDoubt(now: Instant): boolean {
     if (!this.failing) {
-      this.#schedule.noteDoubt(now);
+      this.#schedule.hastenForUnknownKey(now);
       this.tick(now);
     }
     return !this.failing;
   }
 
-  /** Takes changes from the platform. */
-  changed(news: CatalogueChanges, now: Instant): void {
-    const standing = this.#answered(news.epoch, { whole: false }, now);
-    if (standing !== "current") {
-      return this.#readAnew(standing, now);
+  /** Applies the answer to a read of changes. */
+  applyChanges(answer: CatalogueChanges, now: Instant): void {
+    const validity = this.#noteAnswer(answer.epoch, { isFullRead: false }, now);
+    if (validity !== "current") {
+      return this.#discardAnswer(validity, now);
     }
-    if (news.revision < this.position.revision) {
-      return this.#readAnew(this.#hasMoved ? "late" : "restored", now);
+    if (answer.revision < this.position.revision) {
+      return this.#discardAnswer(
+        this.#hasChangedSinceRead ? "late" : "restored",
+        now,
+      );
     }
-    this.#held.follow(news, this.#keptUntil(now));
-    this.#noteCurrent({ whole: false }, now);
+    this.#local.applyChanges(answer, this.#keptUntil(now));
+    this.#noteCurrentEpoch({ isFullRead: false }, now);
   }
 
-  /** The platform has forgotten the changes since our revision. */
-  compacted(epoch: CatalogueEpoch | undefined, now: Instant): void {
-    const standing = this.#answered(epoch, { whole: false }, now);
-    if (standing !== "current") {
-      return this.#readAnew(standing, now);
+  /** The platform has compacted the changes since the local revision. */
+  handleCompaction(epoch: CatalogueEpoch | undefined, now: Instant): void {
+    const validity = this.#noteAnswer(epoch, { isFullRead: false }, now);
+    if (validity !== "current") {
+      return this.#discardAnswer(validity, now);
     }
     this.historyMisses++;
     this.#log("Changes are not available, reading everything.", {
       after: this.position.revision,
     });
-    this.#schedule.noteNothingRead();
-    this.#snapshotWanted = true;
+    this.#schedule.revertAnswer();
+    this.#fullReadNeeded = true;
     this.#schedule.readAtOnce(now);
   }
 
-  /** The platform did not answer. */
-  failed(detail: string, now: Instant): void {
-    this.#schedule.failed(now);
-    // A read that runs into its limit may have hung since before the platform returned.
-    const timedOut = now - this.#sentAt >= this.#timeout;
-    this.#grace.noteBefore(timedOut ? this.#sentAt : now);
-    // A watch may have hung and missed changes.
-    this.#snapshotWanted = this.#snapshotWanted || this.#schedule.failures > 1;
+  /** The platform did not answer a read. */
+  handleFailure(detail: string, now: Instant): void {
+    this.#schedule.noteFailure(now);
+    // A read that times out may have hung since before the platform came back.
+    const timedOut = now - this.#readSentAt >= this.#readTimeout;
+    this.#grace.noteBefore(timedOut ? this.#readSentAt : now);
+    // A read that waited for changes may have hung and missed some.
+    this.#fullReadNeeded = this.#fullReadNeeded || this.#schedule.failures > 1;
     if (this.reachable) {
       this.reachable = false;
       this.#log("Platform does not answer.", { detail });
     }
   }
 
-  /** Takes a peer's picture if it is newer than ours. */
-  copied(snapshot: CatalogueSnapshot | undefined, now: Instant): void {
+  /** Applies a peer's copy of the catalogue if it is newer than the local one. */
+  applyPeerCopy(snapshot: CatalogueSnapshot | undefined, now: Instant): void {
     if (snapshot === undefined) {
       return;
     }
     if (snapshot.document !== undefined) {
-      this.#held.adopt(snapshot.document);
+      this.#local.adoptDocument(snapshot.document);
     }
     const { epoch = this.position.epoch, revision } = snapshot;
     if (!isAfter({ epoch, revision }, this.position)) {
@@ -324,80 +344,89 @@
     }
     const keptUntil = this.#keptUntil(now);
     if (epoch === this.position.epoch) {
-      this.#held.replace(snapshot, keptUntil);
+      this.#local.applySnapshot(snapshot, keptUntil);
     } else {
-      this.#held.restore(snapshot, { keptUntil, now });
-      this.#proofs.noteRestore(now);
-      // What the platform lacks of it is for an own read to tell.
-      this.#snapshotWanted = true;
+      this.#local.applyRestoredSnapshot(snapshot, { keptUntil, now });
+      this.#freshness.noteRestore(now);
+      // Only this instance's own full read shows which parts of the copy the restored platform is missing.
+      this.#fullReadNeeded = true;
     }
-    this.#epochs.adopt(this.position);
+    this.#epochs.notePeerCopy(this.position);
     this.#log("Took the catalogue from a peer.", { ...this.position });
   }
 
   #read(now: Instant): void {
-    const changesOnly = !this.#snapshotWanted &&
-      !this.#schedule.isWholeDue(now);
-    const wait = changesOnly ? this.#schedule.wait(now) : 0;
-    this.#epochs.ask(this.position);
-    const proof = this.#proofs.ask(this.#held, { keyed: this.keyed, now });
-    this.#sentAt = now;
-    this.#timeout = milliseconds(READ_TIMEOUT_MS + wait);
+    const changesOnly = !this.#fullReadNeeded &&
+      !this.#schedule.isFullReadDue(now);
+    const wait = changesOnly ? this.#schedule.longPollTime(now) : 0;
+    this.#epochs.noteRead(this.position);
+    const proof = this.#freshness.prepareRead(this.#local, {
+      requiresKeys: this.requiresKeys,
+      now,
+    });
+    this.#readSentAt = now;
+    this.#readTimeout = milliseconds(READ_TIMEOUT_MS + wait);
     this.#emit({
       kind: "readCatalogue",
       proof,
       after: changesOnly ? this.position.revision : undefined,
       wait: milliseconds(wait),
-      timeout: this.#timeout,
+      timeout: this.#readTimeout,
     });
   }
 
-  /** Whether what is held has moved on since the last read was sent. */
-  get #hasMoved(): boolean {
-    return !isSamePosition(this.#epochs.asked, this.position);
+  /** Whether the local catalogue has changed since the last read was sent. */
+  get #hasChangedSinceRead(): boolean {
+    return !isSamePosition(this.#epochs.readPosition, this.position);
   }
 
-  /** An answer cannot be applied to what is held. */
-  #readAnew(standing: "restored" | "late", now: Instant): void {
-    this.#schedule.noteNothingRead();
-    if (standing === "late") {
+  /** Discards an answer that cannot be applied to the local catalogue, and schedules another read. */
+  #discardAnswer(validity: "restored" | "late", now: Instant): void {
+    this.#schedule.revertAnswer();
+    if (validity === "late") {
       return this.#schedule.readAtOnce(now);
     }
     this.#noteRestore(now);
-    this.#readEverything(now);
+    this.#scheduleFullRead(now);
   }
 
-  /** The next whole read is of another epoch than what is held. */
+  /** Records that the next full read will return another epoch than the local one. */
   #noteRestore(now: Instant): void {
-    if (!this.#restored) {
-      this.#restored = true;
+    if (!this.#restorePending) {
+      this.#restorePending = true;
       this.#grace.noteRestore(now);
-      this.#proofs.noteRestore(now);
+      this.#freshness.noteRestore(now);
     }
   }
 
-  /** What is held is of the platform's present epoch. */
-  #noteCurrent({ whole }: { whole: boolean }, now: Instant): void {
-    if (!this.#restored) {
+  /**
+   * Records that the local catalogue belongs to the epoch of the platform's last answer, and evaluates what
+   * that answer proves about the document.
+   */
+  #noteCurrentEpoch(
+    { isFullRead }: { isFullRead: boolean },
+    now: Instant,
+  ): void {
+    if (!this.#restorePending) {
       this.#grace.noteBefore(now);
     }
-    const holder = this.#proofs.judge(this.#held, { whole, now });
+    const holder = this.#freshness.evaluate(this.#local, { isFullRead, now });
     if (holder !== undefined) {
-      this.#copies.ask(holder.address, now);
+      this.#copies.request(holder.address, now);
     }
   }
 
-  /** All entries do so at a restore. */
-  #readEverything(now: Instant): void {
-    this.#snapshotWanted = true;
-    const spread = this.endpoints.size * RESTORED_READ_SPREAD_MS;
-    this.#schedule.readWithin(milliseconds(spread), now);
+  /** Schedules a full read at a random time. After a restore all instances need one. */
+  #scheduleFullRead(now: Instant): void {
+    this.#fullReadNeeded = true;
+    const spreadMs = this.endpoints.size * RESTORED_READ_SPREAD_MS;
+    this.#schedule.readWithin(milliseconds(spreadMs), now);
   }
 
-  #restore(snapshot: CatalogueSnapshot, now: Instant): void {
-    const { position: from, document } = this.#held;
+  #applyRestoredSnapshot(snapshot: CatalogueSnapshot, now: Instant): void {
+    const { position: from, document } = this.#local;
     const keptUntil = this.#keptUntil(now);
-    this.#held.restore(snapshot, { keptUntil, now });
+    this.#local.applyRestoredSnapshot(snapshot, { keptUntil, now });
     this.#log("Platform was restored, read everything anew.", {
       fromEpoch: from.epoch,
       fromRevision: from.revision,
@@ -406,30 +435,36 @@
       version: snapshot.document?.version,
       heldVersion: document?.version,
       endpoints: snapshot.endpoints.length,
-      ...this.#held.doubted,
+      ...this.#local.uncertainCounts,
       keptMs: Math.round((keptUntil ?? now) - now),
     });
   }
 
-  #answered(
+  #noteAnswer(
     epoch: CatalogueEpoch | undefined,
-    { whole }: { whole: boolean },
+    { isFullRead }: { isFullRead: boolean },
     now: Instant,
-  ): AnswerStanding {
-    const returned = this.#schedule.answered(now);
+  ): AnswerValidity {
+    const returned = this.#schedule.noteAnswer(now);
     this.confirmedAt = now;
     if (!this.reachable) {
       this.reachable = true;
       this.#log("Platform answers.", { ...this.position });
     }
-    const standing = this.#epochs.judge(epoch, { held: this.position, whole });
+    const validity = this.#epochs.classify(epoch, {
+      position: this.position,
+      isFullRead,
+    });
     if (returned) {
       this.#grace.noteReturn(now);
     }
-    return standing;
+    return validity;
   }
 
-  /** Until when a missing record may be the platform's fault, `undefined` in calm times. */
+  /**
+   * Until when an endpoint whose record is missing is still used, because the platform may have lost the
+   * record. `undefined` if there was no recent outage or restore.
+   */
   #keptUntil(now: Instant): Instant | undefined {
     return this.failing
       ? this.#grace.keptWhileAway(now)
@@ -441,7 +476,7 @@
   }
 }
 
-/** How old the picture may be, for reports. */
+/** Time since the platform last answered, for reports. */
 export function catalogueAge(
   view: CatalogueView,
   now: Instant,
--- a/packages/core/src/gateway/catalogue_view.ts
+++ b/packages/core/src/gateway/catalogue_view.ts
@@ -1,5 +1,5 @@
 /**
- * The published picture as other controllers read it.
+ * Read access to the catalogue for other controllers.
  *
  * @module
  */
@@ -12,29 +12,34 @@
   RoutingDocument,
 } from "../routes/index.ts";
 
-/** The section of the board. */
+/** Read access to the local copy of the catalogue. */
 export interface CatalogueView {
   readonly position: CataloguePosition;
-  /** Whole reads, and reads of changes that the platform no longer had, since the start. */
+  /** Number of full reads since the process started. */
   readonly wholeReads: number;
+  /** Number of reads of changes that failed because the platform had compacted them. */
   readonly historyMisses: number;
   readonly document: RoutingDocument | undefined;
   readonly table: RouteTable | undefined;
-  /** How current the document is known to be. */
+  /** How recently the document was known to be the newest. */
   readonly currency: CurrencyView;
   readonly endpoints: ReadonlyMap<EndpointId, EndpointRecord>;
   readonly evacuated: ReadonlySet<ZoneId>;
-  /** Grows with each change of the above. */
+  /** Incremented with each change of the document, the endpoints or the evacuations. */
   readonly generation: number;
   /** When the platform last answered. */
   readonly confirmedAt: Instant | undefined;
+  /** Whether the platform answered the last read. False until the first answer. */
   readonly reachable: boolean;
   /** Whether the last read failed. */
   readonly failing: boolean;
-  /** Of all that decisions are made from: the same where two entries hold the same. */
+  /** Hash of everything that routing decisions depend on. Instances with equal content have equal hashes. */
   readonly picture: number;
-  /** Whether it was read so long ago that a request has to wait for the read under way. */
+  /** Whether the catalogue is so old that requests have to wait for the read under way. */
   isOld(now: Instant): boolean;
-  /** A request came that only a newer document can judge: reads soon, and says whether that is of use. */
+  /**
+   * Schedules an early read, for a request that only a newer document can decide. Returns false if reads are
+   * failing, so that waiting is of no use.
+   */
   noteDoubt(now: Instant): boolean;
 }
--- a/packages/core/src/gateway/currency_exchange.ts
+++ b/packages/core/src/gateway/currency_exchange.ts
@@ -1,9 +1,10 @@
 /**
- * Learns from other entries how current the document is.
+ * Learns from peers how recently the local document was the newest.
  *
- * A few entries of a region read the platform often; the others ask them. Only durations travel: an answer's
- * age is added to the time since its question was *sent*, by the asker's own clock, so that no time that
- * either spent on a link, in a queue or standing still is left out. What comes unasked proves nothing.
+ * A few readers of a region read the platform often, and their peers ask them. Only durations are
+ * transmitted: the age in an answer is added to the time since its question was *sent*, by the asker's own
+ * clock. That way time spent in transit, in queues or during pauses of either process is always counted.
+ * Unsolicited answers prove nothing.
  *
  * @module
  */
@@ -25,36 +26,47 @@
   PictureNews,
 } from "../routes/index.ts";
 
-/** Older knowledge is asked about; at rest, when hardly anything is decided from it, later. */
+/**
+ * Peers are asked once the last proof is older than this; later on standby, where hardly anything is decided
+ * by the document.
+ */
 const ASK_AGE_MS = 1_100;
-const RESTING_ASK_AGE_MS = 1_700;
-/** Between two questions: the longest way there and back, and some. */
-const ASK_PAUSE_MS = 300;
-/** Questions are counted from a drawn number: an answer to a former process at this address proves nothing. */
-const MOST_FIRST_SEQUENCE = 1_000_000;
-/** Answers to older questions are not waited for. */
-const MOST_OPEN = 8;
+const STANDBY_ASK_AGE_MS = 1_700;
+/** Interval between two questions: the longest round trip, with some margin. */
+const ASK_INTERVAL_MS = 300;
+/**
+ * Sequence numbers start at a random number below this, so that a process ignores answers to a former process
+ * at the same address.
+ */
+const MAX_FIRST_SEQUENCE = 1_000_000;
+/** Maximum number of unanswered questions. Answers to older questions are ignored. */
+const MAX_PENDING_QUESTIONS = 8;
 
-/** What the exchange works with. */
-export interface ExchangeSources {
+/** Dependencies of the exchange. */
+export interface FreshnessExchangeDependencies {
   readonly currency: Currency;
   readonly random: Randomness;
-  /** Whether entries live on each other's word at all. */
-  readonly active: () => boolean;
-  readonly resting: () => boolean;
+  /** Whether the exchange is used, as it is where customers' keys are required. */
+  readonly isEnabled: () => boolean;
+  readonly isStandby: () => boolean;
   readonly self: {
     readonly incarnation: CurrencyAnswer["incarnation"];
     readonly peerAddress: string;
   };
-  readonly holds: () => { version: Revision; position: CataloguePosition };
-  /** What changed since a position, as far as it is remembered and small. */
-  readonly newsSince: (position: CataloguePosition) => PictureNews | undefined;
-  /** Whom to ask: those that read for others first, then, from the second try on, anybody. */
-  readonly source: (tries: number, now: Instant) => string | undefined;
+  readonly localState: () => { version: Revision; position: CataloguePosition };
+  /** The changes since a position, if they are remembered and few. */
+  readonly changesSince: (
+    position: CataloguePosition,
+  ) => PictureNews | undefined;
+  /** Selects the peer to ask: readers first, and from the second attempt on any peer. */
+  readonly selectPeer: (attempt: number, now: Instant) => string | undefined;
   readonly send: (to: string, message: CurrencyMessage) => void;
-  /** Another entry holds a picture, and knew its document to be the newest at an instant. */
-  readonly told: (
-    picture: Pick<CurrencyAnswer, "version" | "position" | "news"> & {
+  /**
+   * Called with the state that a peer reported, and the time at which its document was known to be the
+   * newest.
+   */
+  readonly onPeerReport: (
+    report: Pick<CurrencyAnswer, "version" | "position" | "news"> & {
       readonly at: Instant;
       readonly from: string;
     },
@@ -62,107 +74,112 @@
   ) => void;
 }
 
-interface Question {
-  readonly mark: CurrencyMark;
+interface PendingQuestion {
+  readonly sentAt: CurrencyMark;
   readonly to: string;
 }
 
-/** Asks and answers. */
-export class CurrencyExchange {
-  readonly #sources: ExchangeSources;
-  readonly #open = new Map<number, Question>();
+/** Asks peers how recent their document is, and answers their questions. */
+export class FreshnessExchange {
+  readonly #dependencies: FreshnessExchangeDependencies;
+  readonly #pending = new Map<number, PendingQuestion>();
   #sequence: number;
-  #tries = 0;
-  #nextAt = instant(0);
+  #attempts = 0;
+  #nextQuestionAt = instant(0);
 
-  constructor(sources: ExchangeSources) {
-    this.#sources = sources;
-    this.#sequence = Math.floor(sources.random.next() * MOST_FIRST_SEQUENCE);
+  constructor(dependencies: FreshnessExchangeDependencies) {
+    this.#dependencies = dependencies;
+    this.#sequence = Math.floor(
+      dependencies.random.next() * MAX_FIRST_SEQUENCE,
+    );
   }
 
   tick(now: Instant): void {
-    const { currency, active, resting } = this.#sources;
-    const due = resting() ? RESTING_ASK_AGE_MS : ASK_AGE_MS;
-    if (active() && now >= this.#nextAt && currency.age(now) >= due) {
-      this.#ask(now);
+    const { currency, isEnabled, isStandby } = this.#dependencies;
+    const maxAge = isStandby() ? STANDBY_ASK_AGE_MS : ASK_AGE_MS;
+    if (
+      isEnabled() && now >= this.#nextQuestionAt && currency.age(now) >= maxAge
+    ) {
+      this.#sendQuestion(now);
     }
   }
 
   receive(message: CurrencyMessage, now: Instant): void {
     if (message.kind === "question") {
-      this.#answer(message, now);
+      this.#sendAnswer(message, now);
     } else {
-      this.#learn(message, now);
+      this.#applyAnswer(message, now);
     }
   }
 
-  #ask(now: Instant): void {
-    const { currency, holds, self, send, source } = this.#sources;
-    const to = source(this.#tries, now);
-    this.#nextAt = after(now, ASK_PAUSE_MS);
+  #sendQuestion(now: Instant): void {
+    const { currency, localState, self, send, selectPeer } = this.#dependencies;
+    const to = selectPeer(this.#attempts, now);
+    this.#nextQuestionAt = after(now, ASK_INTERVAL_MS);
     if (to === undefined) {
       return;
     }
-    this.#tries++;
+    this.#attempts++;
     this.#sequence++;
-    this.#open.set(this.#sequence, { mark: currency.mark(now), to });
-    if (this.#open.size > MOST_OPEN) {
-      this.#open.delete(this.#open.keys().next().value!);
+    this.#pending.set(this.#sequence, { sentAt: currency.mark(now), to });
+    if (this.#pending.size > MAX_PENDING_QUESTIONS) {
+      this.#pending.delete(this.#pending.keys().next().value!);
     }
     send(to, {
       kind: "question",
       from: self.peerAddress,
       sequence: this.#sequence,
-      position: holds().position,
+      position: localState().position,
     });
   }
 
-  #answer(
+  #sendAnswer(
     { from, sequence, position }: CurrencyQuestion,
     now: Instant,
   ): void {
-    const { currency, holds, newsSince, self, send } = this.#sources;
+    const { currency, localState, changesSince, self, send } =
+      this.#dependencies;
     const age = currency.age(now);
     if (age < Infinity) {
       const { incarnation } = self;
-      const news = newsSince(position);
+      const news = changesSince(position);
       send(from, {
         kind: "answer",
         incarnation,
         sequence,
-        ...holds(),
+        ...localState(),
         age,
         news,
       });
     }
   }
 
-  #learn(
+  #applyAnswer(
     { sequence, version, position, age, news }: CurrencyAnswer,
     now: Instant,
   ): void {
-    const question = this.#open.get(sequence);
+    const question = this.#pending.get(sequence);
     if (question === undefined) {
       return;
     }
-    this.#open.delete(sequence);
-    const { currency, told } = this.#sources;
-    const at = question.mark - age as CurrencyMark;
-    const passed: Milliseconds = milliseconds(currency.mark(now) - at);
-    told(
+    this.#pending.delete(sequence);
+    const { currency, onPeerReport } = this.#dependencies;
+    const at = question.sentAt - age as CurrencyMark;
+    const elapsed: Milliseconds = milliseconds(currency.mark(now) - at);
+    onPeerReport(
       {
         version,
         position,
         news,
-        at: instant(now - passed),
+        at: instant(now - elapsed),
         from: question.to,
       },
       now,
     );
-    // After `told`: what it says of the epoch may have put such proofs in doubt.
+    // After `onPeerReport`, which may learn of a new epoch and invalidate proofs such as this one.
     currency.prove({ version, at });
     if (currency.age(now) < ASK_AGE_MS) {
-      this.#tries = 0;
+      this.#attempts = 0;
     }
   }
 }
--- a/packages/core/src/gateway/customer_link.ts
+++ b/packages/core/src/gateway/customer_link.ts
@@ -1,5 +1,6 @@
 /**
- * What customers' keys and limits see of the entry: whom to ask, who adds up, what is held.
+ * Connects the checks of customers' keys and limits to the catalogue and the fleet. Assigns the roles that
+ * instances have in them.
  *
  * @module
  */
@@ -14,128 +15,150 @@
   sample,
 } from "../ids/index.ts";
 import type { CatalogueController } from "./catalogue_controller.ts";
-import { CurrencyExchange } from "./currency_exchange.ts";
+import { FreshnessExchange } from "./currency_exchange.ts";
 import type { GatewaySelf } from "./messages.ts";
 import { ranked, takersOf } from "./serving_set.ts";
 
-/** Entries of a region that read the platform for the others: one may be turned away, or its zone fail. */
-const READERS = 2;
-/** Part of its region that an entry has to hear to add up for it. */
-const LEAST_HEARD = 0.5;
-/** Duties are dealt anew this often. */
-const DUTY_LIFETIME_MS = 200;
+/**
+ * Number of instances of a region that read the platform on behalf of the others. One of them may be rejected
+ * by the platform, or its availability zone may fail.
+ */
+const READERS_PER_REGION = 2;
+/**
+ * Minimum share of its region that an instance must be able to hear in order to add up the region's spending.
+ */
+const MIN_REACHABLE_SHARE = 0.5;
+/** Roles are recomputed after this time. */
+const ROLES_CACHE_MS = 200;
 
-/** What the link is made of. */
-export interface CustomerLinkSources {
+/** Dependencies of the freshness exchange and of the customer limits. */
+export interface CustomerLinkDependencies {
   readonly self: GatewaySelf;
   readonly fleet: FleetController;
   readonly catalogue: CatalogueController;
   readonly random: Randomness;
-  readonly resting: () => boolean;
+  readonly isStandby: () => boolean;
 }
 
-/** Who has which duty in a region, by strength and name, so that all come to the same. */
-interface Duties {
-  readonly at: Instant;
-  readonly keeper: FleetRecord | undefined;
+/**
+ * Roles in one region. They are assigned by weight and name, so that all instances arrive at the same
+ * assignment.
+ */
+interface RegionRoles {
+  readonly assignedAt: Instant;
+  readonly spendingKeeper: FleetRecord | undefined;
   readonly readers: readonly FleetRecord[];
 }
 
-/** Duties of entries, as one entry sees them. */
-export class CustomerDuties {
-  readonly #sources: Pick<CustomerLinkSources, "self" | "fleet">;
-  readonly #duties = new Map<RegionId, Duties>();
+/** Roles of the instances of each region, as seen by one instance. */
+export class CustomerRoles {
+  readonly #dependencies: Pick<CustomerLinkDependencies, "self" | "fleet">;
+  readonly #rolesByRegion = new Map<RegionId, RegionRoles>();
 
-  constructor(sources: Pick<CustomerLinkSources, "self" | "fleet">) {
-    this.#sources = sources;
+  constructor(dependencies: Pick<CustomerLinkDependencies, "self" | "fleet">) {
+    this.#dependencies = dependencies;
   }
 
-  /** Whether this entry reads the platform for others. */
-  reads(now: Instant): boolean {
-    const { self } = this.#sources;
-    return this.#of(self.region, now).readers.some(({ incarnation }) =>
+  /** Whether this instance reads the platform on behalf of its peers. */
+  isReader(now: Instant): boolean {
+    const { self } = this.#dependencies;
+    return this.#rolesOf(self.region, now).readers.some(({ incarnation }) =>
       incarnation === self.incarnation
     );
   }
 
-  /** Entries of the own region that read the platform for others. */
+  /** Instances of the own region that read the platform on behalf of the others. */
   readers(now: Instant): readonly FleetRecord[] {
-    return this.#of(this.#sources.self.region, now).readers;
+    return this.#rolesOf(this.#dependencies.self.region, now).readers;
   }
 
-  /** The entry that adds up what a region's entries let in. */
-  keeper(region: RegionId, now: Instant): Incarnation | undefined {
-    const { fleet, self } = this.#sources;
-    const cut = region === self.region && fleet.heardPart(region) < LEAST_HEARD;
-    return cut ? undefined : this.#of(region, now).keeper?.incarnation;
+  /**
+   * The instance that adds up what a region's instances admit. `undefined` if this instance belongs to the
+   * region but hears too few of its peers.
+   */
+  spendingKeeper(region: RegionId, now: Instant): Incarnation | undefined {
+    const { fleet, self } = this.#dependencies;
+    const isolated = region === self.region &&
+      fleet.heardPart(region) < MIN_REACHABLE_SHARE;
+    return isolated
+      ? undefined
+      : this.#rolesOf(region, now).spendingKeeper?.incarnation;
   }
 
-  #of(region: RegionId, now: Instant): Duties {
-    const known = this.#duties.get(region);
-    if (known !== undefined && now - known.at < DUTY_LIFETIME_MS) {
-      return known;
+  #rolesOf(region: RegionId, now: Instant): RegionRoles {
+    const cached = this.#rolesByRegion.get(region);
+    if (cached !== undefined && now - cached.assignedAt < ROLES_CACHE_MS) {
+      return cached;
     }
-    const { fleet, self } = this.#sources;
-    const takers = ranked(takersOf(region, fleet));
-    const keeper = takers[0] ??
+    const { fleet, self } = this.#dependencies;
+    const candidates = ranked(takersOf(region, fleet));
+    const spendingKeeper = candidates[0] ??
       (region === self.region ? fleet.record : undefined);
-    const readers = readersOf(takers);
-    const duties = { at: now, keeper, readers };
-    this.#duties.set(region, duties);
-    return duties;
+    const readers = selectReaders(candidates);
+    const roles = { assignedAt: now, spendingKeeper, readers };
+    this.#rolesByRegion.set(region, roles);
+    return roles;
   }
 }
 
-/** The weakest, which have least else to do, of different zones where there are some. */
-function readersOf(takers: readonly FleetRecord[]): FleetRecord[] {
-  const weakest = [...takers].reverse();
-  const zones = new Set(weakest.map(({ zone }) => zone));
-  const firsts = [...zones].map((zone) =>
-    weakest.find((record) => record.zone === zone)!
+/**
+ * Selects the instances with the least weight, which have the least other work, in different availability
+ * zones if possible.
+ */
+function selectReaders(candidates: readonly FleetRecord[]): FleetRecord[] {
+  const ascending = [...candidates].reverse();
+  const zones = new Set(ascending.map(({ zone }) => zone));
+  const onePerZone = [...zones].map((zone) =>
+    ascending.find((record) => record.zone === zone)!
+  );
+  return [...new Set([...onePerZone, ...ascending])].slice(
+    0,
+    READERS_PER_REGION,
   );
-  return [...new Set([...firsts, ...weakest])].slice(0, READERS);
 }
 
-/** Makes the exchange of an entry. */
-export function createExchange(
-  { self, fleet, catalogue, random, resting }: CustomerLinkSources,
-  duties: CustomerDuties,
-): CurrencyExchange {
-  return new CurrencyExchange({
+/** Creates the freshness exchange of an instance. */
+export function createFreshnessExchange(
+  { self, fleet, catalogue, random, isStandby }: CustomerLinkDependencies,
+  roles: CustomerRoles,
+): FreshnessExchange {
+  return new FreshnessExchange({
     self,
     random,
     currency: catalogue.currency,
-    resting,
-    active: () => catalogue.keyed,
-    holds: () => ({
+    isStandby,
+    isEnabled: () => catalogue.requiresKeys,
+    localState: () => ({
       version: catalogue.document?.version ?? 0 as never,
       position: catalogue.position,
     }),
-    newsSince: (position) => catalogue.newsSince(position),
-    source: (tries, now) => {
+    changesSince: (position) => catalogue.changesSince(position),
+    selectPeer: (attempt, now) => {
       const live = fleet.live().map(({ record }) => record);
-      const readers = duties.readers(now).filter(({ incarnation }) =>
+      const readers = roles.readers(now).filter(({ incarnation }) =>
         incarnation !== self.incarnation
       );
-      const among = tries % 2 === 0 && readers.length > 0 ? readers : live;
-      return sample(among, 1, random)[0]?.peerAddress;
+      const candidates = attempt % 2 === 0 && readers.length > 0
+        ? readers
+        : live;
+      return sample(candidates, 1, random)[0]?.peerAddress;
     },
     send: (to, message) =>
       fleet.mail.sendBare(to, { kind: "currency", message }),
-    told: (picture, now) => catalogue.told(picture, now),
+    onPeerReport: (report, now) => catalogue.applyPeerReport(report, now),
   });
 }
 
-/** Makes the limits of an entry. */
-export function createLimits(
-  { self, fleet, catalogue, random }: CustomerLinkSources,
-  duties: CustomerDuties,
+/** Creates the customer limits of an instance. */
+export function createCustomerLimits(
+  { self, fleet, catalogue, random }: CustomerLinkDependencies,
+  roles: CustomerRoles,
 ): CustomerLimits {
   return new CustomerLimits({
     self,
     random,
     regions: [...new Set(self.regionByZone.values())],
-    keeperOf: (region, now) => duties.keeper(region, now),
+    keeperOf: (region, now) => roles.spendingKeeper(region, now),
     limited: () => catalogue.table?.customers.limited ?? false,
     limitOf: (id: CustomerId) => catalogue.table?.customers.get(id)?.limit,
     entries: () => fleet.possible().length + 1,
--- a/packages/core/src/gateway/epoch_tracker.ts
+++ b/packages/core/src/gateway/epoch_tracker.ts
@@ -1,60 +1,66 @@
 /**
- * Tells whether an answer of the platform may be applied to what is held.
+ * Decides whether an answer of the platform can be applied to the local catalogue.
  *
  * @module
  */
 import type { CatalogueEpoch } from "../ids/index.ts";
 import { type CataloguePosition, NO_POSITION } from "../routes/index.ts";
 
-/** How an answer relates to what is held. */
-export type AnswerStanding =
-  /** Of the epoch that is held. */
+/** How an answer relates to the local catalogue. */
+export type AnswerValidity =
+  /** The answer belongs to the epoch of the local catalogue. */
   | "current"
-  /** The platform counts anew: what is held has to be read again. */
+  /** The platform was restored: its revisions belong to another epoch, and a full read is needed. */
   | "restored"
-  /** What is held came from a peer meanwhile, and is of another epoch. */
+  /**
+   * The answer is outdated: after its read was sent, the local catalogue was replaced by a peer's copy of
+   * another epoch.
+   */
   | "late";
 
-/** Follows the epoch that the platform states. */
+/** Tracks the epoch that the platform states. */
 export class EpochTracker {
-  /** As it was stated last, or as a peer told it with what is held. */
-  #stated: CatalogueEpoch | undefined;
-  #asked = NO_POSITION;
+  /** The epoch last stated by the platform, or that of the last copy from a peer. */
+  #lastEpoch: CatalogueEpoch | undefined;
+  #readPosition = NO_POSITION;
 
-  /** Where the last read counted from. */
-  get asked(): CataloguePosition {
-    return this.#asked;
+  /** The position of the local catalogue when the last read was sent. */
+  get readPosition(): CataloguePosition {
+    return this.#readPosition;
   }
 
-  /** A read is sent by an entry that holds this. */
-  ask(held: CataloguePosition): void {
-    this.#asked = held;
+  /** Records that a read is sent, and the position of the local catalogue at that time. */
+  noteRead(position: CataloguePosition): void {
+    this.#readPosition = position;
   }
 
-  /** What is held came from a peer. */
-  adopt({ epoch }: CataloguePosition): void {
-    this.#stated = epoch;
+  /** Records that a peer's copy replaced the local catalogue. */
+  notePeerCopy({ epoch }: CataloguePosition): void {
+    this.#lastEpoch = epoch;
   }
 
   /**
-   * Judges the answer to the last read; one to a whole read need not count from what is held.
+   * Classifies the answer to the last read. The answer to a full read does not depend on the local position.
    *
-   * An answer that states no epoch is of the one before. A lower one than before is another one as well:
-   * changes are no longer counted from where they were.
+   * An answer without an epoch belongs to the last known one. A lower epoch than the last one counts as a
+   * different epoch as well: changes no longer continue from the local position.
    */
-  judge(
-    stated: CatalogueEpoch | undefined,
-    { held, whole }: { held: CataloguePosition; whole: boolean },
-  ): AnswerStanding {
-    const moved = this.#asked.epoch !== held.epoch;
-    if (moved && !(whole && stated === held.epoch)) {
+  classify(
+    epoch: CatalogueEpoch | undefined,
+    { position, isFullRead }: {
+      position: CataloguePosition;
+      isFullRead: boolean;
+    },
+  ): AnswerValidity {
+    const epochChanged = this.#readPosition.epoch !== position.epoch;
+    if (epochChanged && !(isFullRead && epoch === position.epoch)) {
       return "late";
     }
-    if (stated === undefined || stated === this.#stated) {
+    if (epoch === undefined || epoch === this.#lastEpoch) {
       return "current";
     }
-    const first = this.#stated === undefined && held.revision === 0;
-    this.#stated = stated;
-    return first ? "current" : "restored";
+    const isFirst = this.#lastEpoch === undefined && position.revision === 0;
+    this.#lastEpoch = epoch;
+    return isFirst ? "current" : "restored";
   }
 }
--- a/packages/core/src/gateway/evacuations.ts
+++ b/packages/core/src/gateway/evacuations.ts
@@ -1,57 +1,60 @@
 /**
- * Zones to whose endpoints nothing may be sent.
+ * Availability zones whose endpoints may receive no requests.
  *
  * @module
  */
 import type { Instant, ZoneId } from "../ids/index.ts";
 
-/** Zones that are evacuated. */
+/** Tracks the evacuated zones. */
 export class Evacuations {
   readonly zones = new Set<ZoneId>();
-  /** Those that a restored catalogue lacks, with the time until which they stay evacuated. */
-  readonly #kept = new Map<ZoneId, Instant>();
+  /** Zones that are missing from a restored catalogue, with the time until which they stay evacuated. */
+  readonly #keptUntil = new Map<ZoneId, Instant>();
 
-  /** Those that are published. */
+  /** Zones whose evacuation is published by the platform. */
   get published(): ZoneId[] {
-    return [...this.zones].filter((zone) => !this.#kept.has(zone));
+    return [...this.zones].filter((zone) => !this.#keptUntil.has(zone));
   }
 
-  /** Zones that stay evacuated although the platform does not say so. */
-  get kept(): number {
-    return this.#kept.size;
+  /** Number of zones that stay evacuated although the platform no longer publishes it. */
+  get keptCount(): number {
+    return this.#keptUntil.size;
   }
 
   begin(zone: ZoneId): void {
     this.zones.add(zone);
-    this.#kept.delete(zone);
+    this.#keptUntil.delete(zone);
   }
 
   end(zone: ZoneId): void {
     this.zones.delete(zone);
-    this.#kept.delete(zone);
+    this.#keptUntil.delete(zone);
   }
 
-  /** Takes all that there are; those that are missing stay evacuated until `keptUntil`, if at all. */
+  /**
+   * Replaces the evacuated zones. Zones missing from `zones` stay evacuated until `keptUntil`, if it is
+   * given.
+   */
   replace(zones: readonly ZoneId[], keptUntil?: Instant): void {
     const present = new Set(zones);
     for (const zone of this.zones) {
-      const until = this.#kept.get(zone) ?? keptUntil;
+      const until = this.#keptUntil.get(zone) ?? keptUntil;
       if (present.has(zone)) {
         continue;
       }
       if (until === undefined) {
         this.end(zone);
       } else {
-        this.#kept.set(zone, until);
+        this.#keptUntil.set(zone, until);
       }
     }
     present.forEach((zone) => this.begin(zone));
   }
 
-  /** Ends those that were kept long enough; whether there were any. */
+  /** Ends the evacuations whose retention is over. Returns whether there were any. */
   expire(now: Instant): boolean {
-    const over = [...this.#kept].filter(([, until]) => now >= until);
-    over.forEach(([zone]) => this.end(zone));
-    return over.length > 0;
+    const expired = [...this.#keptUntil].filter(([, until]) => now >= until);
+    expired.forEach(([zone]) => this.end(zone));
+    return expired.length > 0;
   }
 }
--- a/packages/core/src/gateway/gateway.ts
+++ b/packages/core/src/gateway/gateway.ts
@@ -1,6 +1,6 @@
 /**
- * All that an entry decides about requests of callers that name routes: events in, effects out. No
- * sockets, no clock, no unseeded randomness.
+ * All routing decisions of one gateway instance, for requests of callers that name routes: events in, effects
+ * out. Uses no sockets, no clock and no unseeded randomness.
  *
  * @module
  */
@@ -20,12 +20,12 @@
 import { CatalogueController } from "./catalogue_controller.ts";
 import type { CatalogueView } from "./catalogue_view.ts";
 import {
-  createExchange,
-  createLimits,
-  CustomerDuties,
+  createCustomerLimits,
+  createFreshnessExchange,
+  CustomerRoles,
 } from "./customer_link.ts";
 import { ColdAllowance } from "./cold_allowance.ts";
-import type { CurrencyExchange } from "./currency_exchange.ts";
+import type { FreshnessExchange } from "./currency_exchange.ts";
 import { createEndpointTerms } from "./endpoint_terms_link.ts";
 import { EndpointRegistry } from "./endpoint_registry.ts";
 import {
@@ -44,23 +44,32 @@
 import { createQuarantine } from "./quarantine_link.ts";
 import { RepeatBudget } from "./repeat_budget.ts";
 import { ServingSet } from "./serving_set.ts";
-import { tickPause } from "./tick_pause.ts";
+import { tickInterval } from "./tick_pause.ts";
 import { StopController } from "./stop_controller.ts";
 import { WorkReporter } from "./work_reporter.ts";
 
-/** Between pings of the fleet. */
-const FLEET_PERIOD_MS = 500;
-/** The loop ticks far more often; a larger gap means that the process stood still. */
-const PAUSE_MS = 1_000;
-/** Without a request for so long an entry that is not named stands by: lists last a second, some three. */
-const REST_AFTER_MS = 4_000;
+/** Interval between pings of peers. */
+const PING_INTERVAL_MS = 500;
+/** The event loop ticks far more often: a longer gap means that the process was paused. */
+const MIN_PAUSE_MS = 1_000;
+/**
+ * An instance that callers are no longer directed to goes on standby after this long without a request.
+ * Callers cache lists of instances for a second, some of them for three.
+ */
+const STANDBY_AFTER_MS = 4_000;
 
-/** A key opens nothing this much before it may not: the time since a request was sent is not known. */
+/**
+ * Keys are rejected this much before the end of their lifetime, because the time since a request was sent is
+ * unknown.
+ */
 const KEY_MARGIN_MS = 250;
-/** Part of the time that the document may be old after which callers are better served elsewhere. */
-const OUTDATED_PART = 0.6;
+/**
+ * Share of the key lifetime after which a document is old enough that callers are better directed to other
+ * instances.
+ */
+const OUTDATED_SHARE = 0.6;
 
-/** One entry's decisions. */
+/** Makes the decisions of one gateway instance. */
 export class Gateway {
   readonly self: GatewaySelf;
   readonly fleet: FleetController;
@@ -68,21 +77,21 @@
   readonly #endpoints: EndpointRegistry;
   readonly #regions: RegionController;
   readonly #calls: CallController;
-  readonly #reporter: WorkReporter;
-  readonly #stop: StopController;
-  readonly #budget: RepeatBudget;
-  readonly #cold: ColdAllowance;
+  readonly #workReporter: WorkReporter;
+  readonly #stopController: StopController;
+  readonly #repeatBudget: RepeatBudget;
+  readonly #coldAllowance: ColdAllowance;
   readonly #serving: ServingSet;
   readonly #quarantine: QuarantineController;
-  readonly #listened: ListenedTime;
-  readonly #exchange: CurrencyExchange;
-  readonly #limits: CustomerLimits;
+  readonly #listenedTime: ListenedTime;
+  readonly #freshnessExchange: FreshnessExchange;
+  readonly #customerLimits: CustomerLimits;
   readonly terms: EndpointTerms;
   #bounds: GatewayBounds;
   #effects: GatewayEffect[] = [];
-  #lastAt: Instant;
-  /** Whether it stands by: callers are not named it, and those that had been are done. */
-  #resting = false;
+  #lastEventAt: Instant;
+  /** Whether the instance is on standby: callers are not directed to it, and no request is in progress. */
+  #isStandby = false;
 
   constructor(
     { self, random }: { self: GatewaySelf; random: Randomness },
@@ -90,8 +99,8 @@
   ) {
     this.self = self;
     this.#bounds = self.bounds;
-    this.#lastAt = now;
-    this.#listened = new ListenedTime(now);
+    this.#lastEventAt = now;
+    this.#listenedTime = new ListenedTime(now);
     const emit = (effect: GatewayEffect): void => {
       this.#effects.push(effect);
     };
@@ -101,15 +110,19 @@
       now,
       newestHolder: () => this.fleet.newestHolder(),
       newestDocument: () => this.fleet.newestDocument(),
-      resting: () => this.#resting,
-      confirming: (at) =>
-        !this.#catalogue.keyed ? "no" : duties.reads(at) ? "reads" : "asks",
+      isStandby: () => this.#isStandby,
+      freshnessRole: (at) =>
+        !this.#catalogue.requiresKeys
+          ? "no"
+          : roles.isReader(at)
+          ? "reads"
+          : "asks",
     });
     this.#endpoints = new EndpointRegistry({
       region: self.region,
       regionByZone: self.regionByZone,
       catalogue: this.#catalogue,
-      listened: this.#listened,
+      listened: this.#listenedTime,
       isLeaving: (record) => this.terms.departures.has(record),
       restOf: (record, at) => this.terms.rests.waitFor(record, at),
     });
@@ -123,28 +136,28 @@
     this.fleet = new FleetController({
       self,
       seeds: self.seeds,
-      period: FLEET_PERIOD_MS,
+      period: PING_INTERVAL_MS,
       random,
-      listened: this.#listened,
+      listened: this.#listenedTime,
       send: (to, message) => emit({ kind: "datagram", to, message }),
       holdings: () => ({
         document: this.#catalogue.document?.version ?? 0 as never,
         catalogue: this.#catalogue.position,
       }),
       summary: (at) => this.#regions.summary(at),
-      resting: () => this.#resting,
+      resting: () => this.#isStandby,
       holds: (at) => this.#quarantine.holds.next(at),
     }, now);
-    const duties = new CustomerDuties({ self, fleet: this.fleet });
-    const link = {
+    const roles = new CustomerRoles({ self, fleet: this.fleet });
+    const customerLink = {
       self,
       random,
       fleet: this.fleet,
       catalogue: this.#catalogue,
-      resting: () => this.#resting,
+      isStandby: () => this.#isStandby,
     };
-    this.#exchange = createExchange(link, duties);
-    this.#limits = createLimits(link, duties);
+    this.#freshnessExchange = createFreshnessExchange(customerLink, roles);
+    this.#customerLimits = createCustomerLimits(customerLink, roles);
     this.#serving = new ServingSet({
       self,
       fleet: this.fleet,
@@ -157,12 +170,12 @@
       catalogue: this.#catalogue,
       fleet: this.fleet,
       serving: this.#serving,
-      listened: this.#listened,
-      now: () => this.#lastAt,
+      listened: this.#listenedTime,
+      now: () => this.#lastEventAt,
     });
-    const cold = new ColdAllowance(self.bounds, now);
-    this.#cold = cold;
-    this.#budget = new RepeatBudget(self.bounds);
+    const coldAllowance = new ColdAllowance(self.bounds, now);
+    this.#coldAllowance = coldAllowance;
+    this.#repeatBudget = new RepeatBudget(self.bounds);
     this.terms = createEndpointTerms({
       self,
       emit,
@@ -175,7 +188,7 @@
       endpoints: this.#endpoints,
       regions: this.#regions,
       serving: this.#serving,
-      cold,
+      cold: coldAllowance,
       terms: this.terms,
       random,
     });
@@ -186,17 +199,17 @@
       endpoints: this.#endpoints,
       regions: this.#regions,
       router,
-      budget: this.#budget,
-      cold,
+      budget: this.#repeatBudget,
+      cold: coldAllowance,
       quarantine: this.#quarantine,
       terms: this.terms,
-      limits: this.#limits,
+      limits: this.#customerLimits,
       keyLifetime: () => this.#keyLifetime(),
-      listened: this.#listened,
+      listened: this.#listenedTime,
       entries: () => this.fleet.possible().length + 1,
       regionEntries: () => 1 + this.#endpoints.busyPeers(),
     });
-    this.#reporter = new WorkReporter({
+    this.#workReporter = new WorkReporter({
       self,
       fleet: this.fleet,
       endpoints: this.#endpoints,
@@ -204,32 +217,32 @@
       serving: this.#serving,
       picture: () => this.#catalogue.picture,
     });
-    this.#stop = new StopController({
+    this.#stopController = new StopController({
       emit,
       calls: this.#calls,
-      listened: this.#listened,
+      listened: this.#listenedTime,
       stopTime: self.bounds.stopTime,
     });
   }
 
-  /** Takes one event and returns what is to be done, in order. */
+  /** Handles one event and returns the resulting effects, in order. */
   handle(event: GatewayEvent, now: Instant): GatewayEffect[] {
-    this.#noteLoop(now);
+    this.#detectPause(now);
     this.#apply(event, now);
     const effects = this.#effects;
     this.#effects = [];
     return effects;
   }
 
-  /** Time until the next tick is due, unless something happens before. */
+  /** Time until the next tick is due if no event occurs before. */
   get tickPause(): Milliseconds {
-    return tickPause({
+    return tickInterval({
       active: this.#calls.active > 0 || this.terms.limits.isAsked,
-      joining: this.fleet.isJoining(this.#lastAt),
+      joining: this.fleet.isJoining(this.#lastEventAt),
     });
   }
 
-  /** The published picture in force. */
+  /** The local catalogue. */
   get catalogue(): CatalogueView {
     return this.#catalogue;
   }
@@ -242,7 +255,7 @@
     return this.#regions;
   }
 
-  /** Requests that are held back, and endpoints that ended. */
+  /** Requests that are quarantined, and endpoints that crashed. */
   get quarantine(): QuarantineController {
     return this.#quarantine;
   }
@@ -251,7 +264,7 @@
     return this.#calls;
   }
 
-  /** Whether callers may use this entry. */
+  /** Whether callers may use this instance. */
   get ready(): boolean {
     return this.fleet.record.state === "ready";
   }
@@ -260,12 +273,12 @@
     return this.fleet.record.state === "stopping";
   }
 
-  /** The picture for a peer that cannot read it. */
+  /** The catalogue for a peer that cannot read it from the platform. */
   snapshot(): CatalogueSnapshot | undefined {
     return this.#catalogue.snapshot();
   }
 
-  /** The entries that a caller should use. */
+  /** The instances that a caller should use. */
   nameEntries(
     question: DirectoryQuestion,
     now: Instant,
@@ -283,10 +296,10 @@
     );
   }
 
-  #noteLoop(now: Instant): void {
-    const gap = this.#listened.note(now);
-    this.#lastAt = now;
-    if (gap < PAUSE_MS) {
+  #detectPause(now: Instant): void {
+    const gap = this.#listenedTime.note(now);
+    this.#lastEventAt = now;
+    if (gap < MIN_PAUSE_MS) {
       return;
     }
     this.#effects.push({
@@ -295,7 +308,7 @@
       text: "Woke from a pause.",
       fields: { gapMs: Math.round(gap) },
     });
-    this.#catalogue.woke(now);
+    this.#catalogue.handleWakeUp(now);
     this.terms.limits.woke();
   }
 
@@ -305,32 +318,32 @@
         return this.#tick(now);
       case "stop":
         this.fleet.changeState("stopping", now);
-        return this.#stop.begin(now);
+        return this.#stopController.begin(now);
       case "slept":
         return this.#catalogue.currency.slept(event.time);
       case "rebound":
         this.#bounds = event.bounds;
-        this.#budget.rebound(event.bounds);
-        this.#cold.rebound(event.bounds);
-        return this.#stop.rebound(event.bounds.stopTime);
+        this.#repeatBudget.rebound(event.bounds);
+        this.#coldAllowance.rebound(event.bounds);
+        return this.#stopController.setStopTime(event.bounds.stopTime);
       case "datagram":
         return this.#receive(event.message, now);
       case "catalogueRead":
-        this.#catalogue.read(event.snapshot, now);
-        return this.#followCatalogue(now);
+        this.#catalogue.applySnapshot(event.snapshot, now);
+        return this.#applyCatalogue(now);
       case "catalogueChanged":
-        this.#catalogue.changed(event.changes, now);
-        return this.#followCatalogue(now);
+        this.#catalogue.applyChanges(event.changes, now);
+        return this.#applyCatalogue(now);
       case "catalogueConfirmed":
-        this.#catalogue.confirmed(event.epoch, now);
-        return this.#followCatalogue(now);
+        this.#catalogue.applyConfirmation(event.epoch, now);
+        return this.#applyCatalogue(now);
       case "catalogueCompacted":
-        return this.#catalogue.compacted(event.epoch, now);
+        return this.#catalogue.handleCompaction(event.epoch, now);
       case "catalogueFailed":
-        return this.#catalogue.failed(event.detail, now);
+        return this.#catalogue.handleFailure(event.detail, now);
       case "catalogueCopied":
-        this.#catalogue.copied(event.snapshot, now);
-        return this.#followCatalogue(now);
+        this.#catalogue.applyPeerCopy(event.snapshot, now);
+        return this.#applyCatalogue(now);
       default:
         return this.#applyCall(event, now);
     }
@@ -339,7 +352,7 @@
   #applyCall(event: GatewayEvent, now: Instant): void {
     switch (event.kind) {
       case "arrived":
-        this.#noteUse(now);
+        this.#leaveStandby(now);
         return this.#calls.arrive(event.head, now);
       case "commit":
         return this.#calls.commit(event.attempt, now);
@@ -362,49 +375,51 @@
     }
   }
 
-  #noteUse(now: Instant): void {
-    if (this.#resting) {
-      this.#resting = false;
-      this.#catalogue.noteUse(now);
+  #leaveStandby(now: Instant): void {
+    if (this.#isStandby) {
+      this.#isStandby = false;
+      this.#catalogue.leaveStandby(now);
     }
   }
 
-  #noteRest(now: Instant): void {
+  #updateStandby(now: Instant): void {
     const { active, lastArrivalAt } = this.#calls;
-    const idle = active === 0 &&
-      now - (lastArrivalAt ?? -Infinity) >= REST_AFTER_MS;
-    this.#resting = idle && this.ready &&
+    const isIdle = active === 0 &&
+      now - (lastArrivalAt ?? -Infinity) >= STANDBY_AFTER_MS;
+    this.#isStandby = isIdle && this.ready &&
       !this.#serving.has(this.fleet.record, now);
   }
 
   #tick(now: Instant): void {
-    this.#noteRest(now);
+    this.#updateStandby(now);
     this.#catalogue.tick(now);
-    this.#followCatalogue(now);
+    this.#applyCatalogue(now);
     this.#endpoints.expire(now);
     this.fleet.tick(now);
     this.#regions.tick(this.fleet, now);
     this.#quarantine.tick(now);
-    this.#exchange.tick(now);
-    this.#limits.tick(now);
+    this.#freshnessExchange.tick(now);
+    this.#customerLimits.tick(now);
     this.terms.limits.tick(now);
     this.terms.departures.tick(now);
-    this.#judgeCurrency(now);
+    this.#updateOutdatedState(now);
     this.#calls.tick(now);
-    this.#reporter.tick(this.#calls.takePrefixNews(), now);
-    this.#stop.tick(now);
+    this.#workReporter.tick(this.#calls.takePrefixNews(), now);
+    this.#stopController.tick(now);
   }
 
-  #followCatalogue(now: Instant): void {
+  #applyCatalogue(now: Instant): void {
     this.#endpoints.follow(now);
     this.#calls.releaseHeld(now);
-    const starting = this.fleet.record.state === "starting";
-    if (starting && this.#catalogue.document !== undefined) {
+    const isStarting = this.fleet.record.state === "starting";
+    if (isStarting && this.#catalogue.document !== undefined) {
       this.fleet.changeState("ready", now);
     }
   }
 
-  /** Time that the document may be old, less what clocks and steps of ours may hide. */
+  /**
+   * How old the document may be, reduced by a margin for clock differences and for delays within the process.
+   */
   #keyLifetime(): Milliseconds | undefined {
     const lifetime = this.#bounds.keyLifetime;
     return lifetime === undefined
@@ -412,15 +427,15 @@
       : milliseconds(Math.max(0, lifetime - KEY_MARGIN_MS));
   }
 
-  /** Sends callers elsewhere before their keys are in doubt here. */
-  #judgeCurrency(now: Instant): void {
+  /** Directs callers to other instances before their keys can no longer be verified here. */
+  #updateOutdatedState(now: Instant): void {
     const { state } = this.fleet.record;
     const lifetime = this.#bounds.keyLifetime;
-    const { currency, keyed } = this.#catalogue;
-    const old = keyed && lifetime !== undefined &&
-      !currency.isWithin(milliseconds(lifetime * OUTDATED_PART), now);
-    if (state === (old ? "ready" : "outdated")) {
-      this.fleet.changeState(old ? "outdated" : "ready", now);
+    const { currency, requiresKeys } = this.#catalogue;
+    const isOutdated = requiresKeys && lifetime !== undefined &&
+      !currency.isWithin(milliseconds(lifetime * OUTDATED_SHARE), now);
+    if (state === (isOutdated ? "ready" : "outdated")) {
+      this.fleet.changeState(isOutdated ? "outdated" : "ready", now);
     }
   }
 
@@ -434,10 +449,10 @@
     } else if (message.kind === "ping" || message.kind === "ack") {
       this.#quarantine.learnHolds(message.holds, now);
     } else if (message.kind === "currency") {
-      this.#exchange.receive(message.message, now);
-      this.#followCatalogue(now);
+      this.#freshnessExchange.receive(message.message, now);
+      this.#applyCatalogue(now);
     } else if (message.kind === "spending") {
-      this.#limits.receive(message.message, now);
+      this.#customerLimits.receive(message.message, now);
       this.#calls.noteSpending(now);
     } else if (message.kind === "limits") {
       if (this.terms.limits.receive(message.message, now)) {
@@ -447,8 +462,8 @@
       this.terms.departures.receive(message.message);
     } else if (message.kind === "work") {
       this.#endpoints.learn(message.incarnation, message.report, now);
-      if (this.#resting) {
-        this.#catalogue.noteOther(message.report.picture, now);
+      if (this.#isStandby) {
+        this.#catalogue.notePeerCatalogue(message.report.picture, now);
       }
     }
   }
--- a/packages/core/src/gateway/held_catalogue.ts
+++ b/packages/core/src/gateway/held_catalogue.ts
@@ -1,6 +1,6 @@
 /**
- * The published picture as this entry holds it: document, endpoints, evacuations, and where in its history
- * that is.
+ * The local copy of the catalogue: the document, the endpoints, the evacuations and the position in the
+ * catalogue's history.
  *
  * @module
  */
@@ -29,44 +29,46 @@
 import { RecentChanges } from "./recent_changes.ts";
 
 /**
- * An endpoint that is gone, and whose record a copy brought back, may be used after this. One that lives
- * writes within seconds and is used then; the records of the others are removed by the platform well before.
+ * A restored backup may contain the record of an endpoint that has ended since. Such an endpoint is not used
+ * until this time has passed. If it still runs, it writes its record within seconds and is used from then on;
+ * the platform removes the records of ended endpoints well before.
  */
 const DEPARTED_WITHHELD_MS = 10_000;
 /**
- * A zone stays evacuated for so long although a copy lacks it. Operators write again what was lost; until
- * then a zone that is wrongly left alone costs capacity, one that is wrongly used costs requests.
+ * A zone stays evacuated for this long although a restored backup does not say so. Operators write again what
+ * was lost. Until then, excluding a zone by mistake costs capacity, whereas using it by mistake costs
+ * requests.
  */
 const EVACUATION_KEPT_MS = 10_000;
 
-/** What the picture tells of its changes. */
-export interface HeldCatalogueSources {
-  readonly adopted: (document: RoutingDocument) => void;
+/** Dependencies of the local catalogue. */
+export interface LocalCatalogueDependencies {
+  readonly onDocument: (document: RoutingDocument) => void;
   readonly log: (
     text: string,
     fields: Readonly<Record<string, unknown>>,
   ) => void;
 }
 
-/** Applies what was read to what is held. */
-export class HeldCatalogue {
+/** Applies snapshots and changes to the local catalogue. */
+export class LocalCatalogue {
   position = NO_POSITION;
   table: RouteTable | undefined;
-  /** Grows with each change. */
+  /** Incremented with each change. */
   generation = 0;
-  /** Version of the document that the platform has, which may be older than the one held. */
-  published = 0 as Revision;
-  readonly #sources: HeldCatalogueSources;
+  /** Version of the document that the platform has, which may be older than the local one. */
+  publishedVersion = 0 as Revision;
+  readonly #dependencies: LocalCatalogueDependencies;
   readonly #records = new EndpointRecords();
   readonly #evacuations = new Evacuations();
-  /** For peers that are behind by a few changes. */
-  readonly #recent = new RecentChanges();
-  #picture = 0;
-  /** The generation that it was made of. */
-  #pictureOf = -1;
+  /** For peers that are a few revisions behind. */
+  readonly #recentChanges = new RecentChanges();
+  #contentHash = 0;
+  /** The generation that the hash was computed for. */
+  #hashedGeneration = -1;
 
-  constructor(sources: HeldCatalogueSources) {
-    this.#sources = sources;
+  constructor(dependencies: LocalCatalogueDependencies) {
+    this.#dependencies = dependencies;
   }
 
   get document(): RoutingDocument | undefined {
@@ -81,29 +83,34 @@
     return this.#evacuations.zones;
   }
 
-  /** Of all that decisions are made from; records that only beat do not change it. */
-  get picture(): number {
-    if (this.#pictureOf !== this.generation) {
-      this.#pictureOf = this.generation;
+  /**
+   * Hash of everything that routing decisions depend on. Periodic updates of records that change nothing else
+   * don't affect it.
+   */
+  get contentHash(): number {
+    if (this.#hashedGeneration !== this.generation) {
+      this.#hashedGeneration = this.generation;
       const endpoints = [...this.endpoints.values()]
         .map(({ id, life, state }) => `${id} ${life} ${state}`).sort();
       const zones = [...this.evacuated].sort();
       const version = this.document?.version ?? 0;
-      this.#picture = hash32([version, ...zones, ...endpoints].join(";"));
+      this.#contentHash = hash32([version, ...zones, ...endpoints].join(";"));
     }
-    return this.#picture;
+    return this.#contentHash;
   }
 
-  /** How many things are not believed to be as they were read, for reports. */
-  get doubted(): Readonly<Record<string, number>> {
+  /**
+   * Number of endpoints and zones that are treated differently from what the platform published, for reports.
+   */
+  get uncertainCounts(): Readonly<Record<string, number>> {
     return {
       keptEndpoints: this.#records.kept,
       withheldEndpoints: this.#records.withheld,
-      keptZones: this.#evacuations.kept,
+      keptZones: this.#evacuations.keptCount,
     };
   }
 
-  /** The picture for a peer. */
+  /** The catalogue for a peer. */
   snapshot(): CatalogueSnapshot | undefined {
     return this.document === undefined ? undefined : {
       ...this.position,
@@ -113,70 +120,84 @@
     };
   }
 
-  /** What changed since a position, for a peer that holds it. */
-  newsSince({ epoch, revision }: CataloguePosition): PictureNews | undefined {
+  /** The changes since a position, for a peer that has the catalogue as of that position. */
+  changesSince(
+    { epoch, revision }: CataloguePosition,
+  ): PictureNews | undefined {
     return epoch === this.position.epoch
-      ? this.#recent.since(revision)
+      ? this.#recentChanges.since(revision)
       : undefined;
   }
 
   /**
-   * Where an answer stands that states this. Peers compare epochs, so that the highest one is kept, also
-   * where the platform states a lower one.
+   * The position that an answer belongs to. The highest known epoch is kept even if the platform states a
+   * lower one, since peers compare epochs.
    */
   positionOf(
     { epoch, revision }: Pick<CatalogueSnapshot, "epoch" | "revision">,
   ): CataloguePosition {
-    const held = this.position.epoch;
+    const localEpoch = this.position.epoch;
     return {
-      epoch: Math.max(held, epoch ?? held) as CatalogueEpoch,
+      epoch: Math.max(localEpoch, epoch ?? localEpoch) as CatalogueEpoch,
       revision,
     };
   }
 
-  /** A document never goes back within a process's life, whatever a stale read says. */
-  adopt(document: RoutingDocument): void {
+  /**
+   * Takes a document if it is newer. Within the life of a process an older document never replaces a newer
+   * one, whatever an outdated read returns.
+   */
+  adoptDocument(document: RoutingDocument): void {
     if (document.version > (this.document?.version ?? 0)) {
       this.table = new RouteTable(document);
       this.generation++;
-      this.#sources.adopted(document);
+      this.#dependencies.onDocument(document);
     }
   }
 
-  /** Ends what was to hold for a while. */
+  /** Ends temporary exceptions whose time is over. */
   expire(now: Instant): void {
-    const endpoints = this.#records.expire(now);
-    if (this.#evacuations.expire(now) || endpoints) {
+    const endpointsExpired = this.#records.expire(now);
+    if (this.#evacuations.expire(now) || endpointsExpired) {
       this.generation++;
     }
   }
 
-  /** Takes changes since the position held. Records that go missing are used until `keptUntil`. */
-  follow(
+  /**
+   * Applies changes since the local position. Endpoints whose records are removed are used until `keptUntil`.
+   */
+  applyChanges(
     { revision, changes }: Pick<CatalogueChanges, "revision" | "changes">,
     keptUntil: Instant | undefined,
   ): void {
-    this.#recent.note({ from: this.position.revision, to: revision, changes });
-    changes.forEach((change) => this.#apply(change, keptUntil));
+    this.#recentChanges.add({
+      from: this.position.revision,
+      to: revision,
+      changes,
+    });
+    changes.forEach((change) => this.#applyChange(change, keptUntil));
     this.position = { ...this.position, revision };
     if (changes.length > 0) {
       this.generation++;
     }
   }
 
-  /** Takes a whole picture. */
-  replace(snapshot: CatalogueSnapshot, keptUntil: Instant | undefined): void {
+  /** Replaces the catalogue. Endpoints whose records are missing are used until `keptUntil`. */
+  applySnapshot(
+    snapshot: CatalogueSnapshot,
+    keptUntil: Instant | undefined,
+  ): void {
     this.#records.replace(snapshot.endpoints, keptUntil);
     this.#evacuations.replace(snapshot.evacuated);
-    this.#hold(snapshot);
+    this.#storeSnapshot(snapshot);
   }
 
   /**
-   * Takes a whole picture of another epoch, with its position: what is held counts from revisions that are
-   * given out again. What the platform had acknowledged may be missing from it, and what was over may stand
-   * again.
+   * Replaces the catalogue and its position by one of another epoch, in which the revisions of the local
+   * catalogue are assigned again. The snapshot may be missing what the platform had acknowledged, and may
+   * contain records of endpoints that have ended.
    */
-  restore(
+  applyRestoredSnapshot(
     snapshot: CatalogueSnapshot,
     { keptUntil, now }: { keptUntil: Instant | undefined; now: Instant },
   ): void {
@@ -186,34 +207,38 @@
       snapshot.evacuated,
       after(now, EVACUATION_KEPT_MS),
     );
-    this.#hold(snapshot);
+    this.#storeSnapshot(snapshot);
   }
 
-  #hold(snapshot: CatalogueSnapshot): void {
-    this.published = snapshot.document?.version ?? 0 as Revision;
+  #storeSnapshot(snapshot: CatalogueSnapshot): void {
+    this.publishedVersion = snapshot.document?.version ?? 0 as Revision;
     if (snapshot.document !== undefined) {
-      this.adopt(snapshot.document);
+      this.adoptDocument(snapshot.document);
     }
-    this.#recent.clear();
+    this.#recentChanges.clear();
     this.position = this.positionOf(snapshot);
     this.generation++;
   }
 
-  #apply(change: CatalogueChange, keptUntil: Instant | undefined): void {
+  #applyChange(change: CatalogueChange, keptUntil: Instant | undefined): void {
     switch (change.kind) {
       case "document":
-        this.published = change.document.version;
-        return this.adopt(change.document);
+        this.publishedVersion = change.document.version;
+        return this.adoptDocument(change.document);
       case "endpoint":
         return this.#records.put(change.record);
       case "endpointRemoved":
         return this.#records.remove(change.id, keptUntil);
       case "evacuated":
         this.#evacuations.begin(change.zone);
-        return this.#sources.log("Zone is evacuated.", { zone: change.zone });
+        return this.#dependencies.log("Zone is evacuated.", {
+          zone: change.zone,
+        });
       case "evacuationEnded":
         this.#evacuations.end(change.zone);
-        return this.#sources.log("Zone is taken back.", { zone: change.zone });
+        return this.#dependencies.log("Zone is taken back.", {
+          zone: change.zone,
+        });
     }
   }
 }
--- a/packages/core/src/gateway/messages.ts
+++ b/packages/core/src/gateway/messages.ts
@@ -1,6 +1,6 @@
 /**
- * What the shell tells the gateway, and what the gateway has it do. The bytes of requests and answers
- * stay in the shell.
+ * Events that the daemon delivers to the gateway, and effects that the gateway asks the daemon to carry out.
+ * Request and answer bodies stay in the daemon.
  *
  * @module
  */
@@ -27,7 +27,7 @@
 import type { CatalogueChanges, CatalogueSnapshot } from "../routes/index.ts";
 import type { Verdict } from "../verdict/index.ts";
 
-/** What an entry knows of itself from its settings. Never changes. */
+/** The gateway instance's own identity and settings. Immutable. */
 export interface GatewaySelf {
   readonly id: EntryId;
   readonly incarnation: Incarnation;
@@ -35,84 +35,84 @@
   readonly region: RegionId;
   readonly callerAddress: string;
   readonly peerAddress: string;
-  /** What it can carry, relative to other entries. */
+  /** Capacity relative to other instances. */
   readonly weight: number;
   readonly seeds: readonly string[];
-  /** Region of each availability zone. */
+  /** The region of each availability zone. */
   readonly regionByZone: ReadonlyMap<ZoneId, RegionId>;
   readonly bounds: GatewayBounds;
 }
 
-/** Figures that the deployment promises, from the settings. */
+/** Limits and guarantees of the deployment, from the settings. */
 export interface GatewayBounds {
-  /** Repeats allowed over all entries: this part of the requests of a window, and `repeatSlack`. */
+  /** Retries allowed over all instances: this fraction of the requests in a window, plus `repeatSlack`. */
   readonly repeatRatio: number;
   readonly repeatWindow: Milliseconds;
   readonly repeatSlack: number;
-  /** Time after which a key that was taken away opens nothing, `undefined` where none is promised. */
+  /** How soon after its revocation a key is rejected everywhere; `undefined` where nothing is guaranteed. */
   readonly keyLifetime: Milliseconds | undefined;
-  /** A cold endpoint bears its rate times this, and `coldSlack`, in one second. */
+  /** In any one second a cold endpoint receives at most its rate times this factor, plus `coldSlack`. */
   readonly coldOvershoot: number;
   readonly coldSlack: number;
-  /** Longest that callers may keep a list of entries. */
+  /** The longest time for which callers may cache a list of instances. */
   readonly listLifetime: Milliseconds;
-  /** Time from the signal to stop until the process is killed. */
+  /** Time between the stop signal and the process being killed. */
   readonly stopTime: Milliseconds;
 }
 
-/** What a caller says of its prompt. */
+/** What a caller declares about its prompt. */
 export interface Prompt {
   readonly model: string;
   readonly promptTokens: number;
-  /** Longest answer that the caller allows for. */
+  /** The maximum answer length that the caller accepts. */
   readonly outputTokens: number;
-  /** Length of the answer that the caller expects; right in the middle, often far off. */
+  /** The answer length that the caller expects. Correct in the median, but often far off for one request. */
   readonly outputHint: number | undefined;
-  /** In order; the last one belongs to the request itself. */
+  /** In order. The last part is specific to this request. */
   readonly parts: readonly PromptPart[];
 }
 
-/** All that is known of one request of a caller. */
+/** Everything known about one request of a caller. */
 export interface CallHead {
   readonly id: RequestId;
   readonly call: CallId;
   readonly host: string;
-  /** Path with its query, as sent. */
+  /** The path with its query, as received. */
   readonly target: string;
-  /** How long the caller will wait, `undefined` where it does not say. */
+  /** How long the caller will wait; `undefined` if it does not say. */
   readonly timeLeft: Milliseconds | undefined;
   readonly prompt: Prompt | undefined;
-  /** Of the key by which the caller names its customer. */
+  /** Digest of the key that identifies the customer. */
   readonly key: KeyDigest | undefined;
-  /** Last event that the caller has of an interrupted stream. */
+  /** The last event that the caller received of an interrupted stream. */
   readonly lastEventId: string | undefined;
   readonly bodyBytes: number;
-  /** What it is known by when it comes again. */
+  /** Identifies the request when it is sent again. */
   readonly fingerprint: RequestFingerprint;
-  /** `undefined` where the caller itself sent it. */
+  /** `undefined` if the request came directly from the caller. */
   readonly relay: RelayFacts | undefined;
 }
 
-/** What one entry tells another with a request that it passes on. */
+/** What an instance sends along with a request that it relays to a peer. */
 export interface RelayFacts {
   readonly from: Incarnation;
-  /** Endpoints that may have got the request before. */
+  /** The number of endpoints that may have received the request already. */
   readonly sentBefore: number;
-  /** Whose request it is, as its first entry found: only that one sees the key. */
+  /** The customer, as identified by the first instance: only that one sees the key. */
   readonly customer: CustomerId | undefined;
 }
 
-/** Where an attempt goes. */
+/** Destination of an attempt. */
 export type CallTarget =
   | {
     readonly kind: "endpoint";
     readonly endpoint: EndpointId;
     readonly address: string;
-    /** Connections that this entry may have open there. */
+    /** The number of connections that this instance may have open to the endpoint. */
     readonly connections: number;
-    /** 0 first, 9 last. */
+    /** From 0 (most urgent) to 9 (least urgent). */
     readonly urgency: number | undefined;
-    /** Address of an endpoint that holds more of the prompt's prefix. */
+    /** Address of an endpoint that has cached a longer prefix of the prompt. */
     readonly prefixFrom: string | undefined;
   }
   | {
@@ -123,54 +123,67 @@
     readonly sentBefore: number;
   };
 
-/** One attempt for the shell to make. */
+/** One attempt for the daemon to make. */
 export interface CallAttempt {
   readonly id: AttemptId;
   readonly request: RequestId;
   readonly target: CallTarget;
-  /** Whether the answer is a stream of events, to be passed on as they come. */
+  /** Whether the answer is an event stream, to be forwarded event by event. */
   readonly streaming: boolean;
-  /** A connection that was idle for longer may be dead, and the request may not repeat. */
+  /**
+   * Connections that were idle for longer are not reused: they may be dead, and the request may not be
+   * retried.
+   */
   readonly mostIdle: Milliseconds;
-  /** Whose request it is. */
+  /** The customer that sent the request. */
   readonly customer: CustomerId | undefined;
-  /** Event after which a stream goes on. */
+  /** The event after which an interrupted stream resumes. */
   readonly resumeAfter: string | undefined;
 }
 
-/** Load that an endpoint told with an answer. */
+/** The load that an endpoint reported with an answer. */
 export interface ToldLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
 }
 
-/** The head of an answer, as its sender wrote it. */
+/** The status and the parsed headers of an answer. */
 export interface AnswerHead {
   readonly status: number;
-  /** Whether the answerer vouches that the request did not run and will not. */
+  /** Whether the sender guarantees that the request was not executed and will not be. */
   readonly notRun: boolean;
-  /** Whether it is the endpoint's own answer, not a refusal by an entry on the way. */
+  /** Whether the endpoint itself answered, rather than an instance on the way that refused the request. */
   readonly genuine: boolean;
   readonly load: ToldLoad | undefined;
   readonly retryAfter: Milliseconds | undefined;
-  /** Requests a second that the endpoint takes from all entries together, `undefined` where it states none. */
+  /**
+   * Requests per second that the endpoint accepts from all instances together; `undefined` if it states none.
+   */
   readonly limit: Stated | undefined;
-  /** Whether the endpoint says that it leaves. */
+  /** Whether the endpoint announces that it is shutting down. */
   readonly leaving: boolean;
-  /** Seconds for which an endpoint that turned the request away wants nothing, `undefined` where it states none. */
+  /**
+   * Seconds for which an endpoint that rejected the request wants no requests; `undefined` if it states none.
+   */
   readonly rest: Stated | undefined;
-  /** Endpoints that an entry on the way offered it to before it refused, `undefined` where none says. */
+  /**
+   * The number of endpoints to which a relaying instance offered the request before it refused it;
+   * `undefined` if not stated.
+   */
   readonly offered: number | undefined;
 }
 
-/** An answer as it is about to be passed on. */
+/** An answer that is about to be forwarded. */
 export interface CallAnswer extends AnswerHead {
-  /** Whether event by event, so that another endpoint may go on after its last one. */
+  /** Whether it is forwarded event by event, so that another endpoint can continue after the last event. */
   readonly events: boolean;
 }
 
-/** Detail of an attempt that found all connections to its endpoint taken: no fault of the endpoint. */
+/**
+ * Failure detail of an attempt for which all connections to the endpoint were in use. Not a fault of the
+ * endpoint.
+ */
 export const CONNECTION_LIMIT = "Connections are at their limit";
 
 /** How an attempt ended. */
@@ -179,19 +192,19 @@
   | {
     readonly kind: "unsent";
     readonly detail: string;
-    /** Whether nothing listens at the address: the process behind it has ended. */
+    /** Whether the connection was refused: the process behind the address has ended. */
     readonly refused: boolean;
   }
-  /** Bytes were written, and no whole answer came. */
+  /** Some of the request was written, but no complete answer arrived. */
   | { readonly kind: "lost"; readonly detail: string }
-  /** The whole answer came. */
+  /** The complete answer arrived. */
   | { readonly kind: "complete" };
 
-/** Something that happened. The time is given beside it. */
+/** An input of the gateway. The time is passed separately. */
 export type GatewayEvent =
   | { readonly kind: "tick" }
   | { readonly kind: "stop" }
-  /** The settings have changed. */
+  /** The settings were reloaded. */
   | { readonly kind: "rebound"; readonly bounds: GatewayBounds }
   | { readonly kind: "datagram"; readonly message: FleetMessage }
   | {
@@ -202,14 +215,14 @@
     readonly kind: "catalogueChanged";
     readonly changes: CatalogueChanges;
   }
-  /** A verified read found nothing newer than the revision in force. */
+  /** A verified read found nothing newer than the local revision. */
   | {
     readonly kind: "catalogueConfirmed";
     readonly epoch?: CatalogueEpoch | undefined;
   }
-  /** The machine was suspended for so long, and the process's clock did not run. */
+  /** The machine was suspended for this long, during which the process's clock did not advance. */
   | { readonly kind: "slept"; readonly time: Milliseconds }
-  /** Changes since the revision in force are no longer to be had. */
+  /** The changes since the local revision have been compacted away. */
   | {
     readonly kind: "catalogueCompacted";
     readonly epoch?: CatalogueEpoch | undefined;
@@ -220,24 +233,24 @@
     readonly snapshot: CatalogueSnapshot | undefined;
   }
   | { readonly kind: "arrived"; readonly head: CallHead }
-  /** The connection stands; may the request be written? */
+  /** The connection is established, and the daemon asks whether to write the request. */
   | { readonly kind: "commit"; readonly attempt: AttemptId }
   | {
     readonly kind: "answered";
     readonly attempt: AttemptId;
     readonly answer: CallAnswer;
   }
-  /** Events of a stream, or bytes of a body, arrived. */
+  /** Events of a stream or bytes of a body arrived. */
   | {
     readonly kind: "progress";
     readonly attempt: AttemptId;
     readonly lastEventId: string | undefined;
-    /** Whether events without an id have gone to the caller after that one. */
+    /** Whether events without an id were forwarded to the caller after `lastEventId`. */
     readonly unnumbered: boolean;
-    /** Bytes of an event that is not whole yet. */
+    /** Number of bytes received of an incomplete event. */
     readonly unfinished: number;
   }
-  /** Its caller has no room for more, so that it is not read; or it is read again. */
+  /** Reading the answer was paused because its caller reads too slowly, or was resumed. */
   | {
     readonly kind: "held";
     readonly attempt: AttemptId;
@@ -249,50 +262,53 @@
     readonly end: CallEnd;
   }
   | { readonly kind: "callerGone"; readonly request: RequestId }
-  /** Nothing listens at the address of an endpoint that was knocked at. */
+  /** The address of a probed endpoint refused the connection. */
   | {
     readonly kind: "portClosed";
     readonly endpoint: EndpointId;
     readonly life: EndpointLife | undefined;
   }
-  /** An operator ends a hold. */
+  /** An operator releases a quarantined request. */
   | { readonly kind: "release"; readonly content: ContentDigest };
 
-/** Why a request is refused by an entry itself. */
+/** Why an instance itself refuses a request. */
 export type CallRefusalReason =
   | "no_document"
   | "no_route"
-  /** It names no customer, or by a key that none has. */
+  /** The request has no key, or one that belongs to no customer. */
   | "unknown_key"
-  /** It cannot be told whether its key still holds. */
+  /** It cannot be determined whether the key is still valid. */
   | "key_in_doubt"
-  /** Its customer has had as much as it may. */
+  /** The customer has reached its limit. */
   | "over_limit"
   | "no_endpoint"
   | "overloaded"
-  /** The endpoints that could serve it take no more than the limits that they stated. */
+  /** All eligible endpoints have reached the limits that they stated. */
   | "endpoints_limited"
-  /** The endpoints that could serve it have asked for rest. */
+  /** All eligible endpoints have asked for a rest. */
   | "endpoints_resting"
   | "rejected"
   | "deadline"
   | "endpoint_failed"
-  /** It has ended endpoints that ran it. */
+  /** The request is quarantined: endpoints crashed while they ran it. */
   | "held"
   | "stopping";
 
-/** A final answer of an entry itself. */
+/** A final answer from the instance itself. */
 export interface CallRefusal {
   readonly reason: CallRefusalReason;
   readonly status: number;
   readonly verdict: Verdict;
-  /** Endpoints that may have got it, through this entry or one that it was passed on to. */
+  /**
+   * The number of endpoints that may have received the request, through this instance or a peer it was
+   * relayed to.
+   */
   readonly offered: number;
-  /** When asking again makes sense; only where the request has not run. */
+  /** When a retry is worthwhile; set only if the request was not executed. */
   readonly retryAfter: Milliseconds | undefined;
 }
 
-/** Parts of the gateway that log, each with its fixed prefix. */
+/** Components of the gateway that log, each with its own prefix. */
 export type GatewayPart =
   | "catalogue"
   | "fleet"
@@ -302,42 +318,42 @@
   | "region"
   | "stop";
 
-/** What the answer to a read has to show of the changes that it names. */
+/** What the answer to a catalogue read must prove about the changes in it. */
 export type ReadProof =
-  /** Nothing. */
+  /** No proof is needed. */
   | { readonly kind: "none" }
-  /** That they lead, one by one, to the newest revision at present. */
+  /** The changes must lead without a gap to the newest revision. */
   | { readonly kind: "newest" }
-  /** That they lead, one by one, to a revision that another entry told. */
+  /** The changes must lead without a gap to a revision that a peer reported. */
   | { readonly kind: "reaches"; readonly revision: Revision };
 
-/** Something for the shell to do. */
+/** An action for the daemon. */
 export type GatewayEffect =
   | { readonly kind: "send"; readonly attempt: CallAttempt }
-  /** Answer to `commit`: write the request now, with this time left. */
+  /** Reply to `commit`: write the request now, with this much time left. */
   | {
     readonly kind: "proceed";
     readonly attempt: AttemptId;
     readonly timeLeft: Milliseconds;
   }
   | { readonly kind: "abort"; readonly attempt: AttemptId }
-  /** Connect to an address and close at once; tell if nothing listens there. */
+  /** Connect to an address and close at once, and report it if the connection is refused. */
   | {
     readonly kind: "knock";
     readonly endpoint: EndpointId;
     readonly life: EndpointLife | undefined;
     readonly address: string;
   }
-  /** Answer to `answered`: pass the answer on to the caller. */
+  /** Reply to `answered`: forward the answer to the caller. */
   | { readonly kind: "forward"; readonly attempt: AttemptId }
-  /** Answer to `answered`: its events go on where the former attempt broke off. */
+  /** Reply to `answered`: continue the stream where the previous attempt broke off. */
   | { readonly kind: "goOn"; readonly attempt: AttemptId }
   | {
     readonly kind: "refuse";
     readonly request: RequestId;
     readonly refusal: CallRefusal;
   }
-  /** The answer that has begun cannot be completed: end the caller's connection. */
+  /** The answer that was started cannot be completed: close the caller's connection. */
   | { readonly kind: "breakOff"; readonly request: RequestId }
   | { readonly kind: "complete"; readonly request: RequestId }
   | {
@@ -345,7 +361,7 @@
     readonly to: string;
     readonly message: FleetMessage;
   }
-  /** Read everything, or what changed after a revision, waiting for that. */
+  /** Read the whole catalogue, or only the changes after a revision, waiting for one if there is none. */
   | {
     readonly kind: "readCatalogue";
     readonly proof: ReadProof;
@@ -364,10 +380,10 @@
     readonly text: string;
     readonly fields: Readonly<Record<string, unknown>>;
   }
-  /** Take no new connection, and close those that have no request. */
+  /** Accept no more connections, and close those without a request. */
   | { readonly kind: "stopListening" }
-  /** End the process once answers have left, within this time. */
+  /** Exit the process once all answers are sent, within this time at the latest. */
   | { readonly kind: "exit"; readonly within: Milliseconds };
 
-/** Where controllers put what the shell must do. */
+/** Queues an effect for the daemon. */
 export type GatewayEmit = (effect: GatewayEffect) => void;
--- a/packages/core/src/gateway/peer_copies.ts
+++ b/packages/core/src/gateway/peer_copies.ts
@@ -1,5 +1,5 @@
 /**
- * Copies of the picture from peers.
+ * Requests for copies of the catalogue from peers.
  *
  * @module
  */
@@ -8,17 +8,17 @@
 import { type CataloguePosition, isAfter } from "../routes/index.ts";
 import type { GatewayEmit } from "./messages.ts";
 
-/** Between two copies. */
-const COPY_PAUSE_MS = 1_200;
+/** Minimum interval between two requests. */
+const COPY_INTERVAL_MS = 1_200;
 const COPY_TIMEOUT_MS = 1_000;
 
-/** Asks for copies, one at a time. */
+/** Requests copies, at most one per interval. */
 export class PeerCopies {
   readonly #emit: GatewayEmit;
   readonly #newestHolder: () => CatalogueHolder | undefined;
-  #nextAt: Instant;
+  #nextRequestAt: Instant;
 
-  /** `newestHolder`: the peer with the newest picture. */
+  /** `newestHolder` returns the peer with the newest catalogue. */
   constructor(
     { emit, newestHolder }: {
       emit: GatewayEmit;
@@ -28,25 +28,26 @@
   ) {
     this.#emit = emit;
     this.#newestHolder = newestHolder;
-    this.#nextAt = now;
+    this.#nextRequestAt = now;
   }
 
   /**
-   * An entry that cannot read the platform serves on from old records: to endpoints that have left, by a
-   * document that was replaced. One notices by refusals of endpoints long gone. A peer with a newer picture
-   * passes it on.
+   * Requests a copy if a peer has a newer catalogue.
+   *
+   * An instance that cannot read the platform keeps routing by old records: to endpoints that have shut down,
+   * by a document that was replaced. Refused connections to endpoints that are long gone are the symptom.
    */
-  askForNewer(held: CataloguePosition, now: Instant): void {
-    const holder = now < this.#nextAt ? undefined : this.#newestHolder();
-    if (holder !== undefined && isAfter(holder.position, held)) {
-      this.ask(holder.address, now);
+  requestNewer(position: CataloguePosition, now: Instant): void {
+    const holder = now < this.#nextRequestAt ? undefined : this.#newestHolder();
+    if (holder !== undefined && isAfter(holder.position, position)) {
+      this.request(holder.address, now);
     }
   }
 
-  /** Asks a peer, unless another copy was asked for lately. */
-  ask(address: string, now: Instant): void {
-    if (now >= this.#nextAt) {
-      this.#nextAt = after(now, COPY_PAUSE_MS);
+  /** Requests a copy from a peer, unless one was requested within the last interval. */
+  request(address: string, now: Instant): void {
+    if (now >= this.#nextRequestAt) {
+      this.#nextRequestAt = after(now, COPY_INTERVAL_MS);
       const timeout = milliseconds(COPY_TIMEOUT_MS);
       this.#emit({ kind: "copyCatalogue", address, timeout });
     }
--- a/packages/core/src/gateway/published_document.ts
+++ b/packages/core/src/gateway/published_document.ts
@@ -1,44 +1,53 @@
 /**
- * Whether the platform has every document that it is known to have acknowledged.
+ * Detects that the platform lost a document that it had acknowledged.
  *
  * @module
  */
 import type { DocumentHolder } from "../fleet/index.ts";
 import type { Instant, Revision } from "../ids/index.ts";
 
-/** A copy lacks what was written after it. Operators write it again; after this the copy is what there is. */
-const MOST_LACKING_MS = 10_000;
+/**
+ * A restored backup is missing what was written after it was taken. Operators are expected to write it again;
+ * after this time the document of the backup is accepted.
+ */
+const LOST_DOCUMENT_WAIT_MS = 10_000;
 
-/** Compares what a read showed with what was known when it was sent. */
-export class PublishedDocument {
+/** Compares the document that a read returned with the newest one that was known when the read was sent. */
+export class DocumentLossDetector {
   readonly #newestHolder: () => DocumentHolder | undefined;
-  #known = 0 as Revision;
+  #knownVersion = 0 as Revision;
   #holder: DocumentHolder | undefined;
-  #lackingSince: Instant | undefined;
+  #missingSince: Instant | undefined;
 
-  /** `newestHolder`: the peer with the newest document. */
+  /** `newestHolder` returns the peer with the newest document. */
   constructor(newestHolder: () => DocumentHolder | undefined) {
     this.#newestHolder = newestHolder;
   }
 
-  /** A read is sent by an entry that holds a version. */
-  ask(held: Revision): void {
+  /** Records the newest known version when a read is sent. `localVersion` is that of the local document. */
+  noteRead(localVersion: Revision): void {
     this.#holder = this.#newestHolder();
-    this.#known = Math.max(held, this.#holder?.version ?? 0) as Revision;
+    this.#knownVersion = Math.max(
+      localVersion,
+      this.#holder?.version ?? 0,
+    ) as Revision;
   }
 
-  /** Whether the answer showed an older document than was known: then it proves nothing. */
-  isLacking(published: Revision, now: Instant): boolean {
-    if (published >= this.#known) {
-      this.#lackingSince = undefined;
+  /**
+   * Whether the answer contained an older document than the newest known one, so that it does not prove the
+   * local document to be current. False again once this has lasted for `LOST_DOCUMENT_WAIT_MS`.
+   */
+  isDocumentLost(published: Revision, now: Instant): boolean {
+    if (published >= this.#knownVersion) {
+      this.#missingSince = undefined;
       return false;
     }
-    this.#lackingSince ??= now;
-    return now - this.#lackingSince < MOST_LACKING_MS;
+    this.#missingSince ??= now;
+    return now - this.#missingSince < LOST_DOCUMENT_WAIT_MS;
   }
 
-  /** Who holds a newer document than one version, if the platform may not have it. */
-  newerThan(version: Revision): DocumentHolder | undefined {
+  /** Returns the peer that has a newer document than `version`, if there was one when the read was sent. */
+  holderNewerThan(version: Revision): DocumentHolder | undefined {
     return this.#holder !== undefined && this.#holder.version > version
       ? this.#holder
       : undefined;
--- a/packages/core/src/gateway/quarantine_link.ts
+++ b/packages/core/src/gateway/quarantine_link.ts
@@ -1,5 +1,5 @@
 /**
- * The quarantine's view of the entry: published endpoints, who is alive, whom to tell.
+ * Connects the quarantine to the catalogue, the fleet and the serving set.
  *
  * @module
  */
@@ -20,17 +20,18 @@
 import type { ServingSet } from "./serving_set.ts";
 
 /**
- * Entries that are told of a hold by one that learns of it. Each passes it on to as many, so that all have
- * it after a few hops and none sends more than these; whom that misses learns from the next pings.
+ * Number of peers to which an instance passes on news of a quarantined request. Each of them does the same,
+ * so that all peers have it after a few hops and none sends more than this. Peers that are missed learn of it
+ * from the next pings.
  */
-const FANOUT = 5;
-/** Twice the way between two regions that lie far apart, and a tick. */
-const CLAIM_MS = 200;
-/** In a fleet of so many all are told at once. */
-const SMALL_FLEET = 16;
+const NEWS_FANOUT = 5;
+/** Twice the latency between two distant regions, plus a tick. */
+const CLAIM_TIME_MS = 200;
+/** In a fleet of up to this size all peers are told directly. */
+const SMALL_FLEET_SIZE = 16;
 
-/** What the link is made of. */
-export interface QuarantineLinkSources {
+/** Dependencies of the quarantine. */
+export interface QuarantineDependencies {
   readonly self: Pick<GatewaySelf, "incarnation" | "regionByZone">;
   readonly emit: GatewayEmit;
   readonly random: Randomness;
@@ -41,17 +42,17 @@
   readonly now: () => Instant;
 }
 
-/** Makes the quarantine of an entry. */
+/** Creates the quarantine of an instance. */
 export function createQuarantine(
-  sources: QuarantineLinkSources,
+  dependencies: QuarantineDependencies,
 ): QuarantineController {
-  const { self, emit, catalogue, fleet, serving, listened, now } = sources;
+  const { self, emit, catalogue, fleet, serving, listened, now } = dependencies;
   return new QuarantineController({
     self,
     listened,
-    claimTime: milliseconds(CLAIM_MS),
+    claimTime: milliseconds(CLAIM_TIME_MS),
     tell: (news, to) =>
-      fleet.mail.sendQuarantine(news, recipients(sources, to)),
+      fleet.mail.sendQuarantine(news, selectRecipients(dependencies, to)),
     knock: ({ id, life, address }) =>
       emit({ kind: "knock", endpoint: id, life, address }),
     endpoints: () => catalogue.endpoints,
@@ -67,8 +68,9 @@
   });
 }
 
-function recipients(
-  { fleet, random, serving, now }: QuarantineLinkSources,
+/** Returns a filter of the peers that receive news. */
+function selectRecipients(
+  { fleet, random, serving, now }: QuarantineDependencies,
   to: NewsRecipients,
 ): (record: FleetRecord) => boolean {
   if (to === "carriers") {
@@ -76,9 +78,11 @@
     return (record) => serving.has(record, at);
   }
   const live = fleet.live().map(({ record }) => record);
-  const picked = live.length <= SMALL_FLEET
+  const selected = live.length <= SMALL_FLEET_SIZE
     ? live
-    : sample(live, FANOUT, random);
-  const told = new Set(picked.map(({ incarnation }) => incarnation));
-  return ({ incarnation }) => told.has(incarnation);
+    : sample(live, NEWS_FANOUT, random);
+  const selectedIncarnations = new Set(
+    selected.map(({ incarnation }) => incarnation),
+  );
+  return ({ incarnation }) => selectedIncarnations.has(incarnation);
 }
--- a/packages/core/src/gateway/read_proofs.ts
+++ b/packages/core/src/gateway/read_proofs.ts
@@ -1,32 +1,41 @@
 /**
- * What reads of the platform prove about the document that is held.
+ * Derives from reads of the platform how recently the local document was the newest.
  *
  * @module
  */
 import type { Currency, CurrencyMark } from "../customers/index.ts";
 import type { DocumentHolder } from "../fleet/index.ts";
 import { type Instant, milliseconds, type Revision } from "../ids/index.ts";
-import type { HeldCatalogue } from "./held_catalogue.ts";
+import type { LocalCatalogue } from "./held_catalogue.ts";
 import type { ReadProof } from "./messages.ts";
-import { PublishedDocument } from "./published_document.ts";
+import { DocumentLossDetector } from "./published_document.ts";
 
-/** Within this operators write again what a copy lacks: a key that it still has may have been taken away. */
-const REWRITE_MS = 2_200;
+/**
+ * After a restore, operators write again what the backup is missing within this time. Until then, the backup
+ * may still contain a key that was revoked after it was taken.
+ */
+const REWRITE_AFTER_RESTORE_MS = 2_200;
 
-type Held = Pick<HeldCatalogue, "document" | "published" | "position">;
+type LocalState = Pick<
+  LocalCatalogue,
+  "document" | "publishedVersion" | "position"
+>;
 
-/** Dates what is held. */
-export class ReadProofs {
+/** Records when the local document was last known to be the newest. */
+export class FreshnessProofs {
   readonly #currency: Currency;
-  readonly #documents: PublishedDocument;
+  readonly #documentLoss: DocumentLossDetector;
   /** When the read under way was sent. */
-  #mark: CurrencyMark | undefined;
-  /** Whether its answer, if it is one of changes, tells the present state. */
-  #verifies = false;
-  /** A newer revision of the epoch held that another entry told. */
-  #toldRevision: Revision | undefined;
+  #readSentAt: CurrencyMark | undefined;
+  /**
+   * Whether its answer, if it contains only changes, shows the platform's current state and so proves
+   * freshness.
+   */
+  #changesProveFreshness = false;
+  /** A newer revision of the same epoch that a peer reported. */
+  #peerRevision: Revision | undefined;
 
-  /** `newestDocument`: the peer with the newest document. */
+  /** `newestDocument` returns the peer with the newest document. */
   constructor(
     { currency, newestDocument }: {
       currency: Currency;
@@ -34,53 +43,58 @@
     },
   ) {
     this.#currency = currency;
-    this.#documents = new PublishedDocument(newestDocument);
+    this.#documentLoss = new DocumentLossDetector(newestDocument);
   }
 
-  /** Another entry told that it holds a newer revision of the same epoch. */
-  noteTold(revision: Revision): void {
-    this.#toldRevision = revision;
+  /** Records that a peer reported a newer revision of the same epoch. */
+  notePeerRevision(revision: Revision): void {
+    this.#peerRevision = revision;
   }
 
-  /** The platform was restored: it may lack what it had acknowledged. */
+  /** Records that the platform was restored, so that data which it had acknowledged may be missing. */
   noteRestore(now: Instant): void {
-    this.#currency.doubt(milliseconds(REWRITE_MS), now);
+    this.#currency.doubt(milliseconds(REWRITE_AFTER_RESTORE_MS), now);
   }
 
-  /** A read is sent. What is told to be newer was proven by who told it: one call brings what leads there. */
-  ask(
-    { document, position }: Held,
-    { keyed, now }: { keyed: boolean; now: Instant },
+  /**
+   * Prepares a read and returns what its answer has to prove. For a newer revision that a peer reported, the
+   * changes up to it suffice: the peer has proved that revision, and one call returns them.
+   */
+  prepareRead(
+    { document, position }: LocalState,
+    { requiresKeys, now }: { requiresKeys: boolean; now: Instant },
   ): ReadProof {
-    const told = this.#toldRevision;
-    const reaches = told !== undefined && told > position.revision;
-    this.#toldRevision = undefined;
-    this.#mark = this.#currency.mark(now);
-    this.#documents.ask(document?.version ?? 0 as Revision);
-    this.#verifies = keyed && !reaches;
-    if (!keyed) {
+    const newer = this.#peerRevision;
+    const reaches = newer !== undefined && newer > position.revision;
+    this.#peerRevision = undefined;
+    this.#readSentAt = this.#currency.mark(now);
+    this.#documentLoss.noteRead(document?.version ?? 0 as Revision);
+    this.#changesProveFreshness = requiresKeys && !reaches;
+    if (!requiresKeys) {
       return { kind: "none" };
     }
-    return reaches ? { kind: "reaches", revision: told } : { kind: "newest" };
+    return reaches ? { kind: "reaches", revision: newer } : { kind: "newest" };
   }
 
   /**
-   * What was just read was the present state when its read was sent: so what is held is current, unless the
-   * platform lacks a document that it had acknowledged. Returns the peer that holds that one.
+   * Evaluates an answer. It shows the platform's state as of the time when the read was sent, which proves
+   * that the local document is current, unless the platform lost a document that it had acknowledged. In that
+   * case returns the peer that has the lost document.
    */
-  judge(
-    { document, published }: Held,
-    { whole, now }: { whole: boolean; now: Instant },
+  evaluate(
+    { document, publishedVersion }: LocalState,
+    { isFullRead, now }: { isFullRead: boolean; now: Instant },
   ): DocumentHolder | undefined {
     const version = document?.version ?? 0 as Revision;
-    if (this.#documents.isLacking(published, now)) {
-      return this.#documents.newerThan(version);
+    if (this.#documentLoss.isDocumentLost(publishedVersion, now)) {
+      return this.#documentLoss.holderNewerThan(version);
     }
     if (
-      (whole || this.#verifies) && this.#mark !== undefined &&
+      (isFullRead || this.#changesProveFreshness) &&
+      this.#readSentAt !== undefined &&
       document !== undefined
     ) {
-      this.#currency.prove({ version, at: this.#mark });
+      this.#currency.prove({ version, at: this.#readSentAt });
     }
     return undefined;
   }
--- a/packages/core/src/gateway/read_schedule.ts
+++ b/packages/core/src/gateway/read_schedule.ts
@@ -1,5 +1,5 @@
 /**
- * When the published picture is read again, and how old what was read may be.
+ * Schedules reads of the catalogue, and judges how old the last one is.
  *
  * @module
  */
@@ -13,249 +13,270 @@
 } from "../ids/index.ts";
 
 /**
- * Pause between two reads of changes. Endpoints write their records every second or so: without a
- * pause a waiting read would return for each of them. Well under the seconds that a change may take.
+ * Interval between two reads of changes. Endpoints write their records about once a second: without a pause a
+ * long poll would return for each of them. Well below the seconds within which a change has to take effect.
  */
-const READ_PAUSE_MS = 1_200;
+const READ_INTERVAL_MS = 1_200;
 /**
- * The same for an entry that stands by: nearly two hundred entries that read each second are most of what
- * the platform is asked. It is told when the picture of those that carry differs, and reads at once when
- * a request comes.
+ * The same for an instance on standby. Nearly two hundred instances that read every second would cause most
+ * of the platform's load. An instance on standby learns from peers when the catalogue of the serving
+ * instances differs from its own, and reads at once when a request arrives.
  */
-const RESTING_READ_PAUSE_MS = 8_000;
-/** The same after a failed read. */
-const RESTING_RETRY_MS = 2_000;
+const STANDBY_READ_INTERVAL_MS = 8_000;
+/** The same on standby or while relying on peers, after a failed read. */
+const STANDBY_RETRY_MS = 2_000;
 /**
- * A picture that was read at rest is old after this. While endpoints come and go each second, those that
- * stand by read every third: what they decide is to which regions callers go.
+ * A catalogue that was last read on standby is stale after this time. While endpoints come and go every
+ * second, instances on standby then read every three seconds: all that they decide is to which regions
+ * callers are directed.
  */
-const OLD_MS = 3_000;
+const STANDBY_STALE_AFTER_MS = 3_000;
 /**
- * Between two reads of an entry that reads for others, where what is held must be known to be current: these
- * do not wait for a change, since a wait tells nothing of the time that it took.
+ * Interval between two reads of a reader, an instance that reads the platform on behalf of its peers. Readers
+ * exist where the document must be known to be current. Their reads don't long-poll, since an answer proves
+ * nothing about the time spent waiting for it.
  */
-const CONFIRM_PAUSE_MS = 800;
-/** Without word from those for so long an entry reads for itself; at rest it decides nothing from it. */
-const UNCONFIRMED_MS = 2_200;
-const RESTING_UNCONFIRMED_MS = 2_600;
-/** Between reads that requests with an unknown key ask for. */
-const DOUBT_PAUSE_MS = 250;
-/** Longest that one read waits for a change. */
-const READ_WAIT_MS = 1_500;
-/** Endpoints write every second or so: a longer silence was the platform's, not theirs. */
-const SILENT_READ_MS = 1_400;
-/** After a failed read; doubles up to the most. */
-const FIRST_RETRY_MS = 200;
-const MOST_RETRY_MS = 500;
+const READER_INTERVAL_MS = 800;
+/** An instance that learns from readers reads the platform itself after this long without news from them. */
+const MAX_UNCONFIRMED_MS = 2_200;
+/** The same on standby, where hardly anything is decided by the document. */
+const STANDBY_MAX_UNCONFIRMED_MS = 2_600;
+/** Minimum interval between two reads that are caused by requests with an unknown key. */
+const UNKNOWN_KEY_READ_INTERVAL_MS = 250;
+/** How long one read waits for a change. */
+const LONG_POLL_MS = 1_500;
 /**
- * Between two whole reads. Reads of changes go on from what is held, so that a change that was missed once
- * would be missed for good.
+ * A read of changes that takes longer than this shows that the platform was silent: endpoints write about
+ * once a second.
  */
-const WHOLE_READ_PERIOD_MS = 60_000;
-/** The same for an entry that stands by. */
-const RESTING_WHOLE_READ_PERIOD_MS = 300_000;
-/** And no more than this part of the time is spent in them, where pictures are large and links slow. */
-const WHOLE_READ_PART = 0.005;
-/** Time by which an answer is overdue when a peer is asked. */
+const MAX_SILENT_READ_MS = 1_400;
+/** Delay after a failed read. Doubles with each further failure, up to the maximum. */
+const INITIAL_RETRY_MS = 200;
+const MAX_RETRY_MS = 500;
+/**
+ * Interval between two full reads. Reads of changes build on the local catalogue, so that a change which was
+ * missed once would stay missing without full reads.
+ */
+const FULL_READ_INTERVAL_MS = 60_000;
+/** The same on standby. */
+const STANDBY_FULL_READ_INTERVAL_MS = 300_000;
+/** Maximum share of time spent in full reads, for large catalogues and slow links. */
+const MAX_FULL_READ_SHARE = 0.005;
+/** A peer is asked for a copy once an answer is overdue by this much. */
 const ASK_PEER_AFTER_MS = 800;
 
-/** What the schedule needs. */
+/** Dependencies of the schedule. */
 export interface ReadScheduleOptions {
   readonly random: Randomness;
-  /** Whether this entry stands by. */
-  readonly resting: () => boolean;
+  /** Whether this instance is on standby. */
+  readonly isStandby: () => boolean;
   /**
-   * Whether what is held must be known to be current: then a few entries read for all, this one among them
-   * or not.
+   * This instance's role in keeping the document current: `no` if keys are not required, `reads` if it reads
+   * the platform for its peers, `asks` if it learns from those readers.
    */
-  readonly confirming: (now: Instant) => "no" | "reads" | "asks";
+  readonly freshnessRole: (now: Instant) => "no" | "reads" | "asks";
 }
 
-/** Keeps the time of the next read. */
+/** Keeps track of when the next read is due. */
 export class ReadSchedule {
-  /** Reads that failed in a row. */
+  /** Number of consecutive failed reads. */
   failures = 0;
   readonly #options: ReadScheduleOptions;
   #reading = false;
-  /** Whether the answer under way may be from before a pause of this process. */
-  #readsAgain = false;
-  #readAt: Instant;
-  #nextAt: Instant;
-  /** When the last whole read ended, and how long after it the next one is due. */
-  #wholeAt: Instant | undefined;
-  #wholePause = 0;
-  /** When the next answer was to be expected. */
-  #dueAt: Instant;
+  /**
+   * Whether to read again right after the read under way, because its answer may date from before a pause of
+   * this process.
+   */
+  #readAgain = false;
+  #readSentAt: Instant;
+  #nextReadAt: Instant;
+  /** When the last full read ended, and how long after that the next one is due. */
+  #fullReadAt: Instant | undefined;
+  #fullReadInterval = 0;
+  /** When the next answer was expected. */
+  #answerDueAt: Instant;
   #answeredAt: Instant | undefined;
-  /** Until when another entry is known to have held the same. */
+  /** The latest time at which a peer is known to have held the same catalogue. */
   #confirmedAt: Instant | undefined;
-  /** Whether the last answer came while this entry stood by. */
-  #answeredAtRest = false;
-  /** The same two of the answer before. */
-  #former: {
+  /** Whether the last answer arrived while this instance was on standby. */
+  #answeredOnStandby = false;
+  /** Both values as of the answer before. */
+  #previousAnswer: {
     readonly answeredAt: Instant | undefined;
-    readonly answeredAtRest: boolean;
-  } = { answeredAt: undefined, answeredAtRest: false };
+    readonly answeredOnStandby: boolean;
+  } = { answeredAt: undefined, answeredOnStandby: false };
 
   constructor(options: ReadScheduleOptions, now: Instant) {
     this.#options = options;
-    this.#readAt = now;
-    this.#nextAt = now;
-    this.#dueAt = after(now, READ_PAUSE_MS);
+    this.#readSentAt = now;
+    this.#nextReadAt = now;
+    this.#answerDueAt = after(now, READ_INTERVAL_MS);
   }
 
-  /** Whether a read is to be made now; it is then under way. */
-  begin(now: Instant): boolean {
-    const due = !this.#reading && now >= this.#nextAt;
+  /** Returns whether a read is due, and marks it as under way. */
+  beginIfDue(now: Instant): boolean {
+    const due = !this.#reading && now >= this.#nextReadAt;
     if (due) {
       this.#reading = true;
-      this.#readsAgain = false;
-      this.#readAt = now;
+      this.#readAgain = false;
+      this.#readSentAt = now;
     }
     return due;
   }
 
   /**
-   * How long the read under way may wait for a change. After a failure nothing is waited for: what matters
-   * is to know at once that the platform answers again. Nor where the picture is old: something may be
-   * waiting for it.
+   * How long the read under way may wait for a change. It does not wait after a failure, in order to notice
+   * at once that the platform answers again; nor while the catalogue is stale, since requests may be waiting
+   * for it; nor where the document must be known to be current.
    */
-  wait(now: Instant): Milliseconds {
-    const waits = this.failures === 0 && !this.isOld(now) &&
-      this.#options.confirming(now) === "no";
-    return milliseconds(waits ? READ_WAIT_MS : 0);
+  longPollTime(now: Instant): Milliseconds {
+    const mayWait = this.failures === 0 && !this.isStale(now) &&
+      this.#options.freshnessRole(now) === "no";
+    return milliseconds(mayWait ? LONG_POLL_MS : 0);
   }
 
-  /** An answer has come. Tells whether the platform had been away, or silent for a while. */
-  answered(now: Instant): boolean {
-    const resting = this.#options.resting();
-    const returned = this.failures > 0 || now - this.#readAt > SILENT_READ_MS;
+  /** Records an answer. Returns whether the platform had been unavailable or silent for a while. */
+  noteAnswer(now: Instant): boolean {
+    const isStandby = this.#options.isStandby();
+    const returned = this.failures > 0 ||
+      now - this.#readSentAt > MAX_SILENT_READ_MS;
     this.#reading = false;
     this.failures = 0;
-    this.#former = {
+    this.#previousAnswer = {
       answeredAt: this.#answeredAt,
-      answeredAtRest: this.#answeredAtRest,
+      answeredOnStandby: this.#answeredOnStandby,
     };
     this.#answeredAt = now;
-    this.#answeredAtRest = resting;
-    this.#nextAt = after(now, this.#readsAgain ? 0 : this.#pause(now));
-    this.#dueAt = this.#nextAt;
+    this.#answeredOnStandby = isStandby;
+    this.#nextReadAt = after(now, this.#readAgain ? 0 : this.#interval(now));
+    this.#answerDueAt = this.#nextReadAt;
     return returned;
   }
 
-  /** The answer that has just come brought nothing: the picture is as old as it was. */
-  noteNothingRead(): void {
-    this.#answeredAt = this.#former.answeredAt;
-    this.#answeredAtRest = this.#former.answeredAtRest;
+  /** Undoes `noteAnswer` for an answer that could not be used: the catalogue is as old as before. */
+  revertAnswer(): void {
+    this.#answeredAt = this.#previousAnswer.answeredAt;
+    this.#answeredOnStandby = this.#previousAnswer.answeredOnStandby;
   }
 
-  /** The answer to a whole read has come. */
-  noteWhole(now: Instant): void {
-    const { random, resting } = this.#options;
-    const period = resting()
-      ? RESTING_WHOLE_READ_PERIOD_MS
-      : WHOLE_READ_PERIOD_MS;
-    const least = (now - this.#readAt) / WHOLE_READ_PART;
-    this.#wholeAt = now;
-    // Drawn, so that entries that started together do not go on doing so.
-    this.#wholePause = Math.max(period, least) * (0.5 + random.next());
+  /** Records the answer to a full read. */
+  noteFullRead(now: Instant): void {
+    const { random, isStandby } = this.#options;
+    const interval = isStandby()
+      ? STANDBY_FULL_READ_INTERVAL_MS
+      : FULL_READ_INTERVAL_MS;
+    const minInterval = (now - this.#readSentAt) / MAX_FULL_READ_SHARE;
+    this.#fullReadAt = now;
+    // Randomized, so that instances that started together do not stay synchronized.
+    this.#fullReadInterval = Math.max(interval, minInterval) *
+      (0.5 + random.next());
   }
 
-  /** Whether everything is to be read again, whatever was read of changes. */
-  isWholeDue(now: Instant): boolean {
-    return this.#wholeAt !== undefined &&
-      now - this.#wholeAt >= this.#wholePause;
+  /** Whether a full read is due, regardless of reads of changes. */
+  isFullReadDue(now: Instant): boolean {
+    return this.#fullReadAt !== undefined &&
+      now - this.#fullReadAt >= this.#fullReadInterval;
   }
 
-  /** No answer has come. */
-  failed(now: Instant): void {
-    const { random, resting } = this.#options;
+  /** Records a failed read. */
+  noteFailure(now: Instant): void {
+    const { random, isStandby } = this.#options;
     this.#reading = false;
     this.failures++;
-    const asks = this.#options.confirming(now) === "asks";
-    const pause = resting() || asks
-      ? RESTING_RETRY_MS
-      : Math.min(MOST_RETRY_MS, FIRST_RETRY_MS * 2 ** (this.failures - 1));
-    this.#nextAt = after(now, pause * (0.5 + random.next()));
+    const asksPeers = this.#options.freshnessRole(now) === "asks";
+    const delay = isStandby() || asksPeers
+      ? STANDBY_RETRY_MS
+      : Math.min(MAX_RETRY_MS, INITIAL_RETRY_MS * 2 ** (this.failures - 1));
+    this.#nextReadAt = after(now, delay * (0.5 + random.next()));
   }
 
-  /** Another entry holds the same, and knew it to be current at an instant. */
+  /** Records that a peer holds the same catalogue and knew it to be current at `at`. */
   noteConfirmed(at: Instant, now: Instant): void {
-    const known = this.#confirmedAt ?? -Infinity;
-    this.#confirmedAt = instant(Math.max(known, at));
-    if (this.#options.confirming(now) === "asks") {
+    const lastConfirmedAt = this.#confirmedAt ?? -Infinity;
+    this.#confirmedAt = instant(Math.max(lastConfirmedAt, at));
+    if (this.#options.freshnessRole(now) === "asks") {
       this.#answeredAt = instant(Math.max(this.#answeredAt ?? at, at));
-      this.#nextAt = instant(
-        Math.max(this.#nextAt, this.#confirmedAt + this.#pause(now)),
+      this.#nextReadAt = instant(
+        Math.max(this.#nextReadAt, this.#confirmedAt + this.#interval(now)),
       );
-      this.#dueAt = this.#nextAt;
+      this.#answerDueAt = this.#nextReadAt;
     }
   }
 
-  /** Endpoints changed, and this entry stands by: it reads as seldom as any that does, and at its first use. */
-  noteBehind(): void {
-    const at = after(this.#answeredAt ?? this.#readAt, RESTING_READ_PAUSE_MS);
-    this.#nextAt = instant(Math.max(this.#nextAt, at));
+  /**
+   * Endpoints changed while this instance is on standby. Delays the next read to the usual standby interval;
+   * a request causes an earlier one.
+   */
+  postponeOnStandby(): void {
+    const at = after(
+      this.#answeredAt ?? this.#readSentAt,
+      STANDBY_READ_INTERVAL_MS,
+    );
+    this.#nextReadAt = instant(Math.max(this.#nextReadAt, at));
   }
 
-  /** A request came that only a newer picture can judge. */
-  noteDoubt(now: Instant): void {
-    this.#hasten(DOUBT_PAUSE_MS, now);
+  /** Schedules an early read, for a request that only a newer catalogue can decide. */
+  hastenForUnknownKey(now: Instant): void {
+    this.#hasten(UNKNOWN_KEY_READ_INTERVAL_MS, now);
   }
 
-  /** Whatever was planned, the next read is due; one under way may have been answered long ago. */
+  /** Makes the next read due now. A read under way is repeated, since it may have been answered long ago. */
   readAtOnce(now: Instant): void {
-    this.#nextAt = now;
-    this.#readsAgain = this.#reading;
+    this.#nextReadAt = now;
+    this.#readAgain = this.#reading;
   }
 
-  /** The next read is due at an instant that is drawn from so long a time. */
+  /** Makes the next read due after a random part of `spread`. */
   readWithin(spread: Milliseconds, now: Instant): void {
     this.readAtOnce(now);
-    this.#nextAt = after(now, spread * this.#options.random.next());
+    this.#nextReadAt = after(now, spread * this.#options.random.next());
   }
 
-  /** The picture is needed, and may be older than that of an entry that carries. */
-  noteUse(now: Instant): void {
-    this.#hasten(READ_PAUSE_MS, now);
+  /**
+   * Schedules an early read because a request arrived on standby: the catalogue may be older than that of a
+   * serving instance.
+   */
+  hastenAfterStandby(now: Instant): void {
+    this.#hasten(READ_INTERVAL_MS, now);
   }
 
-  /** An entry that carries has another picture. */
-  noteOther(now: Instant): void {
-    this.#hasten(OLD_MS, now);
+  /** Schedules an early read because a serving instance has a different catalogue. */
+  hastenForPeerCatalogue(now: Instant): void {
+    this.#hasten(STANDBY_STALE_AFTER_MS, now);
   }
 
   /**
-   * Whether a request has to wait for the read under way. An entry that carries reads in time: should its
-   * platform fall silent, its requests do not wait for it.
+   * Whether requests have to wait for the read under way. Only a catalogue that was last read on standby can
+   * be stale: serving instances read regularly, and their requests don't wait if the platform falls silent.
    */
-  isOld(now: Instant): boolean {
+  isStale(now: Instant): boolean {
     const age = now - (this.#answeredAt ?? now);
-    return this.#answeredAtRest && this.failures === 0 && age > OLD_MS;
+    return this.#answeredOnStandby && this.failures === 0 &&
+      age > STANDBY_STALE_AFTER_MS;
   }
 
-  /** Whether the platform is so late that a peer is asked. */
+  /** Whether an answer is so late that a peer should be asked. */
   isOverdue(now: Instant): boolean {
-    return now - this.#dueAt >= ASK_PEER_AFTER_MS;
+    return now - this.#answerDueAt >= ASK_PEER_AFTER_MS;
   }
 
-  #pause(now: Instant): number {
-    const resting = this.#options.resting();
-    switch (this.#options.confirming(now)) {
+  #interval(now: Instant): number {
+    const isStandby = this.#options.isStandby();
+    switch (this.#options.freshnessRole(now)) {
       case "no":
-        return resting ? RESTING_READ_PAUSE_MS : READ_PAUSE_MS;
+        return isStandby ? STANDBY_READ_INTERVAL_MS : READ_INTERVAL_MS;
       case "reads":
-        return CONFIRM_PAUSE_MS;
+        return READER_INTERVAL_MS;
       case "asks":
-        return resting ? RESTING_UNCONFIRMED_MS : UNCONFIRMED_MS;
+        return isStandby ? STANDBY_MAX_UNCONFIRMED_MS : MAX_UNCONFIRMED_MS;
     }
   }
 
-  /** Reads so long after the last answer, if it would be later. */
-  #hasten(pause: number, now: Instant): void {
-    const soon = after(this.#answeredAt ?? now, pause);
-    const at = instant(Math.max(now, soon));
-    this.#nextAt = instant(Math.min(this.#nextAt, at));
-    this.#dueAt = instant(Math.min(this.#dueAt, at));
+  /** Schedules the next read this long after the last answer, unless it is due earlier. */
+  #hasten(interval: number, now: Instant): void {
+    const earliest = after(this.#answeredAt ?? now, interval);
+    const at = instant(Math.max(now, earliest));
+    this.#nextReadAt = instant(Math.min(this.#nextReadAt, at));
+    this.#answerDueAt = instant(Math.min(this.#answerDueAt, at));
   }
 }
--- a/packages/core/src/gateway/recent_changes.ts
+++ b/packages/core/src/gateway/recent_changes.ts
@@ -1,14 +1,15 @@
 /**
- * Changes of the picture that this entry applied lately, for peers that are behind by a few.
+ * Recently applied changes of the catalogue, for peers that are a few revisions behind.
  *
  * @module
  */
 import type { Revision } from "../ids/index.ts";
 import type { CatalogueChange, PictureNews } from "../routes/index.ts";
 
-/** Reads that are remembered, and changes in one answer: a datagram holds no more. */
-const MOST_READS = 32;
-const MOST_CHANGES = 6;
+/** Number of reads that are remembered. */
+const MAX_READS = 32;
+/** Maximum number of changes in one answer: more do not fit into a datagram. */
+const MAX_CHANGES = 6;
 
 interface Step {
   readonly from: Revision;
@@ -16,40 +17,42 @@
   readonly changes: readonly CatalogueChange[];
 }
 
-/** Remembers what the last reads brought. */
+/** Remembers the changes that the last reads returned. */
 export class RecentChanges {
   #steps: Step[] = [];
 
-  /** A read led from one revision to another. */
-  note(step: Step): void {
+  /** Adds the result of a read that led from one revision to another. */
+  add(step: Step): void {
     if (step.to > step.from) {
       this.#steps.push(step);
-      this.#steps = this.#steps.slice(-MOST_READS);
+      this.#steps = this.#steps.slice(-MAX_READS);
     }
   }
 
-  /** Something else than a read of changes led to the present revision. */
+  /** Forgets all changes, after the catalogue was replaced as a whole. */
   clear(): void {
     this.#steps = [];
   }
 
   /**
-   * All changes since a revision; `undefined` where some are not remembered, are too many, or are a document,
-   * which no datagram holds. A step that began earlier is told whole: done again in order, it comes to the
-   * same.
+   * Returns all changes since a revision. The result is `undefined` if some of them are forgotten, if there
+   * are too many, or if one is a document, which does not fit into a datagram.
+   *
+   * A step that began before the revision is included completely: applying its changes again in order gives
+   * the same result.
    */
   since(revision: Revision): PictureNews | undefined {
     const first = this.#steps.findIndex(({ from, to }) =>
       from <= revision && revision < to
     );
     const steps = first < 0 ? [] : this.#steps.slice(first);
-    const whole = steps.every(({ from }, index) =>
+    const contiguous = steps.every(({ from }, index) =>
       index === 0 || from === steps[index - 1]!.to
     );
     const changes = steps.flatMap(({ changes }) => changes);
-    const small = changes.length <= MOST_CHANGES &&
+    const small = changes.length <= MAX_CHANGES &&
       changes.every(({ kind }) => kind !== "document");
-    return steps.length > 0 && whole && small
+    return steps.length > 0 && contiguous && small
       ? { revision: steps.at(-1)!.to, changes }
       : undefined;
   }
--- a/packages/core/src/gateway/stop_controller.ts
+++ b/packages/core/src/gateway/stop_controller.ts
@@ -1,5 +1,5 @@
 /**
- * A planned stop that cuts off no request.
+ * Graceful shutdown that interrupts no request.
  *
  * @module
  */
@@ -14,26 +14,30 @@
 import type { GatewayEmit } from "./messages.ts";
 
 /**
- * Callers keep an old list of entries for some seconds: the entry serves them that long. What it took
- * later might not be answered before the process has to end, and would be cut off.
+ * New requests are accepted for this long, because callers keep using a cached list of instances for some
+ * seconds. A request accepted later might not be answered before the process has to exit.
  */
-const DOORS_OPEN_MS = 2_600;
-const LEAST_LINGER_MS = 3_500;
-/** Without a new request for so long callers have left. */
+const ACCEPT_NEW_MS = 2_600;
+/** Minimum time between the start of the shutdown and its end. */
+const MIN_LINGER_MS = 3_500;
+/** After this long without a new request all callers are taken to have moved on. */
 const QUIET_MS = 1_200;
-/** Ends what is under way this long before it would be killed: the last bytes have to leave. */
-const MARGIN_MS = 600;
-/** And is gone this long before. */
-const LAST_MARGIN_MS = 200;
+/**
+ * Requests in flight are aborted this long before the process would be killed, so that the last bytes can be
+ * sent.
+ */
+const ABORT_MARGIN_MS = 600;
+/** The process exits this long before it would be killed. */
+const EXIT_MARGIN_MS = 200;
 
-/** Ends the process once callers have left and requests in flight are answered. */
+/** Exits the process once callers have moved on and requests in flight are answered. */
 export class StopController {
   readonly #emit: GatewayEmit;
   readonly #calls: CallController;
-  readonly #listened: ListenedTimeView;
+  readonly #listenedTime: ListenedTimeView;
   #stopTime: Milliseconds;
-  #begunAt: Instant | undefined;
-  #doorsClosed = false;
+  #startedAt: Instant | undefined;
+  #refusesNew = false;
   #ended = false;
 
   constructor(
@@ -46,43 +50,44 @@
   ) {
     this.#emit = emit;
     this.#calls = calls;
-    this.#listened = listened;
+    this.#listenedTime = listened;
     this.#stopTime = stopTime;
   }
 
-  /** Takes a new figure. */
-  rebound(stopTime: Milliseconds): void {
+  /** Updates the stop time when the settings are reloaded. */
+  setStopTime(stopTime: Milliseconds): void {
     this.#stopTime = stopTime;
   }
 
-  /** Begins the stop. A second call changes nothing. */
+  /** Starts the shutdown. Further calls have no effect. */
   begin(now: Instant): void {
-    if (this.#begunAt !== undefined) {
+    if (this.#startedAt !== undefined) {
       return;
     }
-    this.#begunAt = now;
+    this.#startedAt = now;
     this.#emit({
       kind: "log",
       part: "stop",
-      text: "Stopping, callers are sent elsewhere.",
+      text: "Stopping, directing callers to other instances.",
       fields: { requests: this.#calls.active },
     });
   }
 
   tick(now: Instant): void {
-    if (this.#begunAt === undefined || this.#ended) {
+    if (this.#startedAt === undefined || this.#ended) {
       return;
     }
-    if (!this.#doorsClosed && now >= after(this.#begunAt, DOORS_OPEN_MS)) {
-      this.#doorsClosed = true;
+    if (!this.#refusesNew && now >= after(this.#startedAt, ACCEPT_NEW_MS)) {
+      this.#refusesNew = true;
       this.#calls.refuseNew();
       this.#emit({ kind: "stopListening" });
     }
-    const overdue = now >= after(this.#begunAt, this.#stopTime - MARGIN_MS);
-    const lingered = now >= after(this.#begunAt, LEAST_LINGER_MS);
-    const lastArrival = this.#calls.lastArrivalAt ?? this.#begunAt;
-    // Requests that came during a pause are yet to be read.
-    const quiet = this.#listened.since(lastArrival, now) >= QUIET_MS;
+    const overdue =
+      now >= after(this.#startedAt, this.#stopTime - ABORT_MARGIN_MS);
+    const lingered = now >= after(this.#startedAt, MIN_LINGER_MS);
+    const lastArrival = this.#calls.lastArrivalAt ?? this.#startedAt;
+    // Requests that arrived while the process was paused have not been read yet.
+    const quiet = this.#listenedTime.since(lastArrival, now) >= QUIET_MS;
     if (overdue || (lingered && quiet && this.#calls.active === 0)) {
       this.#ended = true;
       const active = this.#calls.active;
@@ -93,10 +98,10 @@
         text: "Stopped.",
         fields: { requests: active },
       });
-      const gone = after(this.#begunAt, this.#stopTime - LAST_MARGIN_MS);
+      const exitAt = after(this.#startedAt, this.#stopTime - EXIT_MARGIN_MS);
       this.#emit({
         kind: "exit",
-        within: milliseconds(Math.max(0, gone - now)),
+        within: milliseconds(Math.max(0, exitAt - now)),
       });
     }
   }
--- a/packages/core/src/gateway/tick_pause.ts
+++ b/packages/core/src/gateway/tick_pause.ts
@@ -1,26 +1,28 @@
 /**
- * How often an entry looks at what is due.
+ * How often a gateway instance is ticked.
  *
  * @module
  */
 import { type Milliseconds, milliseconds } from "../ids/index.ts";
 
-/** Between ticks while requests are open: the grain of timeouts and of work reports. */
-const TICK_MS = 25;
+/** Tick interval while requests are open: the granularity of timeouts and of work reports. */
+const ACTIVE_TICK_MS = 25;
 /**
- * Between ticks without any: pings and reads of the picture are late by as much. Waking was a third of
- * what an entry spent that had nothing to do.
+ * Tick interval without open requests: pings and catalogue reads may be late by this much. At shorter
+ * intervals, waking up took a third of the CPU time of an idle instance.
+ */
+const IDLE_TICK_MS = 250;
+/**
+ * Tick interval without open requests while the instance joins the fleet: it sends queries at this interval.
  */
-const RESTING_TICK_MS = 250;
-/** The same while the entry gets to know the fleet: it asks as often. */
 const JOINING_TICK_MS = 100;
 
-/** Time until the next tick is due. */
-export function tickPause(
+/** Returns the time until the next tick is due. */
+export function tickInterval(
   { active, joining }: { active: boolean; joining: boolean },
 ): Milliseconds {
   if (active) {
-    return milliseconds(TICK_MS);
+    return milliseconds(ACTIVE_TICK_MS);
   }
-  return milliseconds(joining ? JOINING_TICK_MS : RESTING_TICK_MS);
+  return milliseconds(joining ? JOINING_TICK_MS : IDLE_TICK_MS);
 }
--- a/playground/src/guards/customer_guards.ts
+++ b/playground/src/guards/customer_guards.ts
@@ -32,7 +32,7 @@
     point: KEYS,
     name: "a lease runs from the sending of the read",
     file: `${GATEWAY}/read_proofs.ts`,
-    find: "this.#currency.prove({ version, at: this.#mark });",
+    find: "this.#currency.prove({ version, at: this.#readSentAt });",
     replace: "this.#currency.prove({ version, at: Infinity as never });",
   },
   {
@@ -40,7 +40,7 @@
     name:
       "what another entry knows is as old as its answer and the time since the question",
     file: `${GATEWAY}/currency_exchange.ts`,
-    find: "const at = question.mark - age as CurrencyMark;",
+    find: "const at = question.sentAt - age as CurrencyMark;",
     replace: "const at = currency.mark(now) as CurrencyMark;",
   },
   {
@@ -55,13 +55,13 @@
     name:
       "changes prove something only where each up to the newest revision is named",
     file: `${GATEWAY}/read_proofs.ts`,
-    find: 'return reaches ? { kind: "reaches", revision: told } : ' +
+    find: 'return reaches ? { kind: "reaches", revision: newer } : ' +
       '{ kind: "newest" };',
     replace: 'return { kind: "none" };',
     also: [{
       file: `${GATEWAY}/read_proofs.ts`,
-      find: "this.#verifies = keyed && !reaches;",
-      replace: "this.#verifies = keyed;",
+      find: "this.#changesProveFreshness = requiresKeys && !reaches;",
+      replace: "this.#changesProveFreshness = requiresKeys;",
     }],
   },
   {
--- a/playground/src/guards/epoch_guards.ts
+++ b/playground/src/guards/epoch_guards.ts
@@ -16,24 +16,26 @@
     point: RESTORED,
     name: "an entry reads on from where a restored store stands",
     file: HELD,
-    find: "      epoch: Math.max(held, epoch ?? held) as CatalogueEpoch,\n" +
+    find:
+      "      epoch: Math.max(localEpoch, epoch ?? localEpoch) as CatalogueEpoch,\n" +
       "      revision,",
-    replace: "      epoch: Math.max(held, epoch ?? held) as CatalogueEpoch,\n" +
+    replace:
+      "      epoch: Math.max(localEpoch, epoch ?? localEpoch) as CatalogueEpoch,\n" +
       "      revision: Math.max(revision, this.position.revision) as Revision,",
   },
   {
     point: RESTORED,
     name: "an answer of another epoch is not applied to what is held",
     file: `${GATEWAY}/epoch_tracker.ts`,
-    find: "if (stated === undefined || stated === this.#stated) {",
-    replace: "if (stated === undefined || stated !== Infinity) {",
+    find: "if (epoch === undefined || epoch === this.#lastEpoch) {",
+    replace: "if (epoch === undefined || epoch !== Infinity) {",
   },
   {
     point: RESTORED,
     name: "what was sent for before a peer's newer picture came is late",
     file: `${GATEWAY}/epoch_tracker.ts`,
-    find: "if (moved && !(whole && stated === held.epoch)) {",
-    replace: "if (moved && whole && stated === Infinity) {",
+    find: "if (epochChanged && !(isFullRead && epoch === position.epoch)) {",
+    replace: "if (epochChanged && isFullRead && epoch === Infinity) {",
   },
   {
     point: RESTORED,
@@ -88,28 +90,28 @@
     point: RESTORED,
     name: "a read that shows an older document than was known renews no lease",
     file: `${GATEWAY}/published_document.ts`,
-    find: "if (published >= this.#known) {",
-    replace: "if (published >= 0 * this.#known) {",
+    find: "if (published >= this.#knownVersion) {",
+    replace: "if (published >= 0 * this.#knownVersion) {",
   },
   {
     point: RESTORED,
     name: "a document that the store lacks is copied from a peer",
     file: CONTROLLER,
-    find: "this.#copies.ask(holder.address, now);",
+    find: "this.#copies.request(holder.address, now);",
     replace: "void holder.address;",
   },
   {
     point: RESTORED,
     name: "a question's answer is not taken for another process's",
     file: `${GATEWAY}/currency_exchange.ts`,
-    find: "sources.random.next() * MOST_FIRST_SEQUENCE",
-    replace: "sources.random.next() * 0 * MOST_FIRST_SEQUENCE",
+    find: "dependencies.random.next() * MAX_FIRST_SEQUENCE",
+    replace: "dependencies.random.next() * 0 * MAX_FIRST_SEQUENCE",
   },
   {
     point: RESTORED,
     name: "everything is read again every minute or so",
     file: `${GATEWAY}/read_schedule.ts`,
-    find: "now - this.#wholeAt >= this.#wholePause;",
-    replace: "now - this.#wholeAt === Infinity;",
+    find: "now - this.#fullReadAt >= this.#fullReadInterval;",
+    replace: "now - this.#fullReadAt === Infinity;",
   },
 ];
--- a/playground/src/guards/route_guards.ts
+++ b/playground/src/guards/route_guards.ts
@@ -132,14 +132,14 @@
     point: "routes: configuration",
     name: "a peer is asked where the store does not answer",
     file: `${GATEWAY}/read_schedule.ts`,
-    find: "now - this.#dueAt >= ASK_PEER_AFTER_MS",
-    replace: "now - this.#dueAt === Infinity",
+    find: "now - this.#answerDueAt >= ASK_PEER_AFTER_MS",
+    replace: "now - this.#answerDueAt === Infinity",
   },
   {
     point: "routes: configuration",
     name: "what changes were forgotten is read anew",
     file: `${GATEWAY}/catalogue_controller.ts`,
-    find: "this.#snapshotWanted = true;\n    this.#schedule.readAtOnce(now);",
+    find: "this.#fullReadNeeded = true;\n    this.#schedule.readAtOnce(now);",
     replace: "this.#schedule.readAtOnce(now);",
   },
   {
--- a/playground/src/guards/stall_guards.ts
+++ b/playground/src/guards/stall_guards.ts
@@ -55,15 +55,15 @@
     point: POINT,
     name: "a stop waits for unread requests",
     file: `${CORE}/gateway/stop_controller.ts`,
-    find: "this.#listened.since(lastArrival, now)",
+    find: "this.#listenedTime.since(lastArrival, now)",
     replace: "now - lastArrival",
   },
   {
     point: POINT,
     name: "a woken entry reads the picture anew",
     file: `${CORE}/gateway/read_schedule.ts`,
-    find: "this.#readsAgain ? 0 : this.#pause(now)",
-    replace: "this.#pause(now)",
+    find: "this.#readAgain ? 0 : this.#interval(now)",
+    replace: "this.#interval(now)",
   },
   {
     point: POINT,
