--- a/packages/core/src/customers/__tests__/judge_key.test.ts
+++ b/packages/core/src/customers/__tests__/judge_key.test.ts
@@ -60,15 +60,15 @@
     expect(judge("k1", 6_001)).toBe("doubtful");
   });
 
-  it("is unknown only by a picture that is newer than its request", () => {
+  it("is refused as unknown only by a document read after the request arrived", () => {
     const { judge } = build(1_000);
     expect(judge("k2", 1_001)).toBe("doubtful");
     expect(judge("k2", 1_050, 990)).toBe("unknown");
   });
 
-  // 5,200 requests came under keys that were gone, each to an entry that read the platform for it: 5,800 reads
-  // on a day where 2,100 did before.
-  it("that was refused just now is refused again without a read", () => {
+  // Guards against a read of the platform for each request with a revoked key: 5,200 such requests in a day raised
+  // the number of reads from 2,100 to 5,800.
+  it("that was refused recently is refused again without a read", () => {
     const { judge } = build(1_000);
     expect(judge("k2", 1_050, 990)).toBe("unknown");
     expect(judge("k2", 2_900)).toBe("unknown");
@@ -78,10 +78,10 @@
 });
 
 describe("refused keys", () => {
-  it("are forgotten where there are very many", () => {
+  it("are forgotten, oldest first, beyond a maximum number", () => {
     const refused = new RefusedKeys();
     for (let index = 0; index < 2_000; index++) {
-      refused.note(keyDigest(`k${index}`));
+      refused.add(keyDigest(`k${index}`));
     }
     expect(refused.has(keyDigest("k0"))).toBe(false);
     expect(refused.has(keyDigest("k1999"))).toBe(true);
--- a/packages/core/src/customers/__tests__/limit_model.ts
+++ b/packages/core/src/customers/__tests__/limit_model.ts
@@ -1,13 +1,13 @@
 /**
- * Entries of three regions before one customer, under virtual time: its requests, what entries tell each
- * other over links that are late, lose and are cut, and processes that are killed.
+ * Simulates, in virtual time, the entries of three regions that serve one customer: the customer's requests,
+ * messages between entries over links with latency, loss and partitions, and killed processes.
  *
  * @module
  */
 import {
   type Customer,
   CustomerLimits,
-  type LimitSources,
+  type CustomerLimitSources,
   type SpendingMessage,
 } from "../index.ts";
 import {
@@ -19,15 +19,16 @@
   SeededRandomness,
 } from "../../ids/index.ts";
 
+/** Step of the virtual time. */
 const TICK_MS = 25;
-const NEAR_MS = 1;
-const FAR_MS = 80;
-/** After it an entry that is silent is known to be. */
+const SAME_REGION_LATENCY_MS = 1;
+const CROSS_REGION_LATENCY_MS = 80;
+/** Time until a partition is detected. */
 const DETECTION_MS = 2_500;
 const REGIONS = ["a", "b", "c"] as RegionId[];
 
-/** Takes a request, at a time, or refuses it. */
-export interface Taken {
+/** The decision on one request. */
+export interface Decision {
   readonly at: number;
   readonly cost: number;
   readonly admitted: boolean;
@@ -37,23 +38,23 @@
 interface Entry {
   readonly name: string;
   readonly region: RegionId;
-  life: number;
+  generation: number;
   limits: CustomerLimits;
   startedAt: number;
 }
 
-/** The world of one run. */
+/** The simulation of one test run. */
 export class LimitModel {
   now = 0;
-  readonly taken: Taken[] = [];
+  readonly decisions: Decision[] = [];
   readonly sent = { count: 0, sums: 0 };
   customer: Customer;
   readonly #random: SeededRandomness;
   readonly #entries: Entry[] = [];
-  /** Side of each region: those on different sides do not hear each other. */
-  readonly #sides = new Map<RegionId, number>();
-  readonly #cutAt = new Map<string, number>();
-  #mail: { at: number; to: Incarnation; message: SpendingMessage }[] = [];
+  /** Side of the network partition that each region is on. Regions on different sides are disconnected. */
+  readonly #partitionSides = new Map<RegionId, number>();
+  readonly #partitionedAt = new Map<string, number>();
+  #inFlight: { at: number; to: Incarnation; message: SpendingMessage }[] = [];
   loss = 0;
 
   constructor(
@@ -71,7 +72,7 @@
         const entry = {
           name: `${region}${index}`,
           region,
-          life: 0,
+          generation: 0,
           startedAt: 0,
           limits: undefined as unknown as CustomerLimits,
         };
@@ -81,14 +82,14 @@
     }
   }
 
-  /** A lower or higher limit is in force everywhere. */
-  limit(perSecond: number, burst: number): void {
+  /** Changes the customer's limit at all entries. */
+  setLimit(perSecond: number, burst: number): void {
     this.customer = customerOf(perSecond, burst);
   }
 
-  /** Every process is killed and starts again. */
+  /** Kills and restarts every entry. */
   restartAll(): void {
-    this.#mail = [];
+    this.#inFlight = [];
     this.#entries.forEach((entry) => this.#start(entry));
   }
 
@@ -96,59 +97,59 @@
     this.#start(this.#entries[index % this.#entries.length]!);
   }
 
-  cut(region: string, side: number): void {
-    this.#sides.set(region as RegionId, side);
-    this.#cutAt.set(region, this.now);
+  partition(region: string, side: number): void {
+    this.#partitionSides.set(region as RegionId, side);
+    this.#partitionedAt.set(region, this.now);
   }
 
   heal(): void {
-    this.#sides.clear();
+    this.#partitionSides.clear();
   }
 
-  /** A request at one of a region's entries; one that waits for word asks again later. */
+  /** Sends a request to an entry of a region. If the entry has no current totals yet, it decides again later. */
   request(
     { region, cost, arrivedAt = this.now }: {
       region: string;
       cost: number;
       arrivedAt?: number;
     },
-    at = this.#pick(region),
+    entry = this.#randomEntry(region),
   ): boolean | undefined {
     const hurried = this.now - arrivedAt >= 150;
-    const verdict = at.limits.take(
+    const verdict = entry.limits.take(
       this.customer,
       { cost, hurried },
       this.#instant(),
     );
     if (verdict.kind === "unheard") {
-      this.#waiting.push({ at, cost, arrivedAt });
+      this.#waiting.push({ entry, cost, arrivedAt });
       return undefined;
     }
     const admitted = verdict.kind === "admitted";
-    this.taken.push({ at: this.now, cost, admitted, region: at.region });
+    this.decisions.push({ at: this.now, cost, admitted, region: entry.region });
     return admitted;
   }
 
-  /** Runs on for a while; `each` is called at each tick. */
-  run(time: number, each: (now: number) => void = () => {}): void {
+  /** Advances the virtual time by `time`. `onTick` is called at each tick. */
+  run(time: number, onTick: (now: number) => void = () => {}): void {
     const end = this.now + time;
     while (this.now < end) {
       this.now += TICK_MS;
       this.#deliver();
       const waiting = this.#waiting;
       this.#waiting = [];
-      for (const { at, cost, arrivedAt } of waiting) {
-        this.request({ region: at.region, cost, arrivedAt }, at);
+      for (const { entry, cost, arrivedAt } of waiting) {
+        this.request({ region: entry.region, cost, arrivedAt }, entry);
       }
-      each(this.now);
+      onTick(this.now);
       this.#entries.forEach(({ limits }) => limits.tick(this.#instant()));
     }
   }
 
-  /** Most that ran within any window. */
-  most(window: number): number {
-    const admitted = this.taken.filter(({ admitted }) => admitted);
-    let most = 0;
+  /** Highest admitted cost within any window of the given length. */
+  maxAdmittedWithin(window: number): number {
+    const admitted = this.decisions.filter(({ admitted }) => admitted);
+    let max = 0;
     let sum = 0;
     let first = 0;
     for (const { at, cost } of admitted) {
@@ -156,41 +157,42 @@
       while (admitted[first]!.at <= at - window) {
         sum -= admitted[first++]!.cost;
       }
-      most = Math.max(most, sum);
+      max = Math.max(max, sum);
     }
-    return most;
+    return max;
   }
 
-  sum(from: number, to: number, admitted: boolean): number {
-    return this.taken.filter((item) =>
+  /** Total cost of the requests that were admitted, or refused, from `from` to `to`. */
+  totalCost(from: number, to: number, admitted: boolean): number {
+    return this.decisions.filter((item) =>
       item.at >= from && item.at < to && item.admitted === admitted
     ).reduce((sum, { cost }) => sum + cost, 0);
   }
 
-  #waiting: { at: Entry; cost: number; arrivedAt: number }[] = [];
+  #waiting: { entry: Entry; cost: number; arrivedAt: number }[] = [];
 
   #instant(): Instant {
     return instant(this.now);
   }
 
-  #pick(region: string): Entry {
-    const among = this.#entries.filter((entry) => entry.region === region);
-    return among[Math.floor(this.#random.next() * among.length)]!;
+  #randomEntry(region: string): Entry {
+    const candidates = this.#entries.filter((entry) => entry.region === region);
+    return candidates[Math.floor(this.#random.next() * candidates.length)]!;
   }
 
   #start(entry: Entry): void {
-    entry.life++;
+    entry.generation++;
     entry.startedAt = this.now;
     entry.limits = new CustomerLimits(this.#sources(entry));
   }
 
-  #sources(entry: Entry): LimitSources {
+  #sources(entry: Entry): CustomerLimitSources {
     const incarnation = incarnationOf(entry);
     return {
       self: { incarnation, region: entry.region },
       regions: REGIONS,
       random: this.#random,
-      keeperOf: (region) => this.#keeperOf(region, entry),
+      keeperOf: (region) => this.#aggregatorOf(region, entry),
       limited: () => true,
       limitOf: () => this.customer.limit,
       entries: () => this.#entries.length,
@@ -198,36 +200,43 @@
     };
   }
 
-  /** A cut is known after a while; until then others are taken to be there. */
-  #keeperOf(region: RegionId, by: Entry): Incarnation | undefined {
-    const known = this.now - (this.#cutAt.get(region) ?? -Infinity) >
-      DETECTION_MS;
-    if (region !== by.region && known && !this.#hears(region, by.region)) {
+  /** A partition is detected after some time. Until then the other side counts as connected. */
+  #aggregatorOf(region: RegionId, by: Entry): Incarnation | undefined {
+    const isDetected =
+      this.now - (this.#partitionedAt.get(region) ?? -Infinity) >
+        DETECTION_MS;
+    if (
+      region !== by.region && isDetected &&
+      !this.#isConnected(region, by.region)
+    ) {
       return undefined;
     }
     const entry = this.#entries.find((item) => item.region === region)!;
     return incarnationOf(entry);
   }
 
-  #hears(left: RegionId, right: RegionId): boolean {
-    return (this.#sides.get(left) ?? 0) === (this.#sides.get(right) ?? 0);
+  #isConnected(left: RegionId, right: RegionId): boolean {
+    return (this.#partitionSides.get(left) ?? 0) ===
+      (this.#partitionSides.get(right) ?? 0);
   }
 
   #send(from: Entry, to: Incarnation, message: SpendingMessage): void {
     this.sent.count++;
     const target = this.#entries.find((item) => incarnationOf(item) === to);
     const lost = target === undefined ||
-      !this.#hears(from.region, target.region) ||
+      !this.#isConnected(from.region, target.region) ||
       this.#random.next() < this.loss;
     if (!lost) {
-      const way = target.region === from.region ? NEAR_MS : FAR_MS;
-      this.#mail.push({ at: this.now + way, to, message });
+      const latencyMs = target.region === from.region
+        ? SAME_REGION_LATENCY_MS
+        : CROSS_REGION_LATENCY_MS;
+      this.#inFlight.push({ at: this.now + latencyMs, to, message });
     }
   }
 
   #deliver(): void {
-    const due = this.#mail.filter(({ at }) => at <= this.now);
-    this.#mail = this.#mail.filter(({ at }) => at > this.now);
+    const due = this.#inFlight.filter(({ at }) => at <= this.now);
+    this.#inFlight = this.#inFlight.filter(({ at }) => at > this.now);
     for (const { to, message } of due) {
       this.#entries.find((item) => incarnationOf(item) === to)
         ?.limits.receive(message, this.#instant());
@@ -235,8 +244,8 @@
   }
 }
 
-function incarnationOf({ name, life }: Entry): Incarnation {
-  return `${name}-${life}` as Incarnation;
+function incarnationOf({ name, generation }: Entry): Incarnation {
+  return `${name}-${generation}` as Incarnation;
 }
 
 function customerOf(perSecond: number, burst: number): Customer {
--- a/packages/core/src/customers/currency.ts
+++ b/packages/core/src/customers/currency.ts
@@ -1,10 +1,10 @@
 /**
- * How long ago the operators' document was known to be the newest one.
+ * Tracks how recently the routing document held by this entry was confirmed as the newest one.
  *
- * A key that was taken away must open nothing a few seconds later, on an entry that cannot ask as well. So
- * what an entry knows of keys is a lease: it runs from the moment at which a read was *sent* whose answer
- * told the present state. What an open connection, a waiting watch or the arrival of an answer suggest is
- * younger than the truth and counts for nothing.
+ * A revoked key must stop working within seconds, also on an entry that has lost contact with the platform.
+ * What an entry knows about keys is therefore a lease. It starts when a read is *sent* whose answer describes
+ * the current state. An open connection, a pending watch or the arrival time of an answer are all later than
+ * the state they describe, so none of them extends the lease.
  *
  * @module
  */
@@ -12,89 +12,95 @@
 import { milliseconds } from "../ids/index.ts";
 
 declare const MARK: unique symbol;
-/** A reading of the clock that runs on while the machine is suspended. */
+/** A clock reading that includes the time during which the machine was suspended. */
 export type CurrencyMark = number & { readonly [MARK]: true };
 
-/** Proof that a version was the newest one at a moment. */
+/** Proof that a document version was the newest one at a given time. */
 export interface CurrencyProof {
   readonly version: Revision;
   readonly at: CurrencyMark;
 }
 
-/** What others see of it. */
+/** Read-only view of the lease. */
 export interface CurrencyView {
   mark(now: Instant): CurrencyMark;
   age(now: Instant): Milliseconds;
   isWithin(bound: Milliseconds, now: Instant): boolean;
-  isProvenSince(since: Instant, now: Instant): boolean;
+  isConfirmedSince(since: Instant, now: Instant): boolean;
 }
 
-/** The lease. */
+/** The lease on the document that this entry holds. */
 export class Currency implements CurrencyView {
-  /** Time that this process's clock did not count. */
-  #slept = 0;
+  /** Total time that the process clock missed while the machine was suspended. */
+  #suspendedMs = 0;
   #version = 0 as Revision;
-  #provenAt = -Infinity;
-  /** Proof for a version that this entry does not hold yet. */
-  #ahead: CurrencyProof | undefined;
-  /** Readings of before prove nothing any more. */
-  #validFrom = -Infinity;
+  #confirmedAt = -Infinity;
+  /** Proof for a newer version that this entry does not hold yet. */
+  #pendingProof: CurrencyProof | undefined;
+  /** Proofs dated before this mark are ignored. */
+  #rejectProofsBefore = -Infinity;
 
-  /** The machine was suspended, and the clock stood still. */
-  slept(time: Milliseconds): void {
-    this.#slept += time;
+  /** Adds time during which the machine was suspended and the process clock stood still. */
+  slept(duration: Milliseconds): void {
+    this.#suspendedMs += duration;
   }
 
-  /** To be taken when a question is sent, so that its answer can be dated. */
+  /** Returns the mark to store when a read or question is sent, so that its answer can be dated. */
   mark(now: Instant): CurrencyMark {
-    return now + this.#slept as CurrencyMark;
+    return now + this.#suspendedMs as CurrencyMark;
   }
 
   /**
-   * The platform was restored from a copy, as was just noticed. For so long its newest document may not be
-   * the newest one that it has acknowledged.
+   * Ignores proofs dated up to `duration` from now. Called when the platform turns out to have been restored
+   * from a backup: until acknowledged writes are repeated, its newest document may be an outdated one.
    */
-  doubt(time: Milliseconds, now: Instant): void {
-    this.#validFrom = Math.max(this.#validFrom, this.mark(now) + time);
+  doubt(duration: Milliseconds, now: Instant): void {
+    this.#rejectProofsBefore = Math.max(
+      this.#rejectProofsBefore,
+      this.mark(now) + duration,
+    );
   }
 
-  /** This entry holds a document; it never goes back to an older one. */
+  /** Records the document version that this entry holds. The version never decreases. */
   hold(version: Revision): void {
     this.#version = version;
-    if (this.#ahead !== undefined) {
-      this.prove(this.#ahead);
+    if (this.#pendingProof !== undefined) {
+      this.prove(this.#pendingProof);
     }
   }
 
-  /** A version was the newest at a moment: so what this entry holds, if it is no older, was too. */
+  /** Extends the lease if the held version is at least as new as the proven one; otherwise keeps the proof. */
   prove(proof: CurrencyProof): void {
-    if (proof.at < this.#validFrom) {
+    if (proof.at < this.#rejectProofsBefore) {
       return;
     }
     if (proof.version > this.#version) {
-      this.#ahead = proof.at > (this.#ahead?.at ?? -Infinity)
+      this.#pendingProof = proof.at > (this.#pendingProof?.at ?? -Infinity)
         ? proof
-        : this.#ahead;
+        : this.#pendingProof;
       return;
     }
-    this.#provenAt = Math.max(this.#provenAt, proof.at);
-    if (this.#ahead !== undefined && this.#ahead.version <= this.#version) {
-      this.#provenAt = Math.max(this.#provenAt, this.#ahead.at);
-      this.#ahead = undefined;
+    this.#confirmedAt = Math.max(this.#confirmedAt, proof.at);
+    if (
+      this.#pendingProof !== undefined &&
+      this.#pendingProof.version <= this.#version
+    ) {
+      this.#confirmedAt = Math.max(this.#confirmedAt, this.#pendingProof.at);
+      this.#pendingProof = undefined;
     }
   }
 
-  /** Since what is held was known to be the newest, without an end where it never was. */
+  /** Time since the held document was last confirmed as the newest, `Infinity` if it never was. */
   age(now: Instant): Milliseconds {
-    return milliseconds(this.mark(now) - this.#provenAt);
+    return milliseconds(this.mark(now) - this.#confirmedAt);
   }
 
   isWithin(bound: Milliseconds, now: Instant): boolean {
     return this.age(now) <= bound;
   }
 
-  /** Whether it was known to be the newest at an instant or later. */
-  isProvenSince(since: Instant, now: Instant): boolean {
+  /** Whether the held document was confirmed as the newest at `since` or later. */
+  isConfirmedSince(since: Instant, now: Instant): boolean {
     return this.age(now) <= now - since;
   }
 }
--- a/packages/core/src/customers/customer.ts
+++ b/packages/core/src/customers/customer.ts
@@ -1,34 +1,34 @@
 /**
- * Customers: who a request is from, as its key says.
+ * Customers: the senders of requests, identified by their API keys.
  *
  * @module
  */
 import type { CustomerId, KeyDigest, RegionId } from "../ids/index.ts";
 
-/** What counts against a customer's limit. */
+/** What is counted against a customer's limit. */
 export type LimitUnit = "requests" | "tokens";
 
-/** How much a customer may ask for over all entries together: a token bucket. */
+/** A customer's rate limit across all entries together, as the parameters of a token bucket. */
 export interface CustomerLimit {
   readonly unit: LimitUnit;
-  /** Units that come back each second. */
+  /** Units added to the bucket per second. */
   readonly perSecond: number;
-  /** Units that may be asked for at once after a rest. */
+  /** Capacity of the bucket: units that may be used at once after an idle period. */
   readonly burst: number;
-  /** Tokens of a request that doesn't tell its own. */
+  /** Tokens charged for a request that does not state its token counts. */
   readonly plainTokens: number;
 }
 
 /** One customer. */
 export interface Customer {
   readonly id: CustomerId;
-  /** Digests of its keys. Keys themselves are kept nowhere. */
+  /** Digests of the customer's keys. The keys themselves are never stored. */
   readonly keyDigests: readonly KeyDigest[];
-  /** Rank of all its requests, 0 first; `undefined` where that is their route's. */
+  /** Priority of all of the customer's requests, 0 being the highest; `undefined` to use the route's priority. */
   readonly rank: number | undefined;
-  /** Regions in which its requests must stay, empty where they may be served anywhere. */
+  /** Regions that the customer's requests must not leave; empty if any region may serve them. */
   readonly homes: readonly RegionId[];
-  /** `undefined` where it may ask for any amount. */
+  /** `undefined` if the customer's usage is unlimited. */
   readonly limit: CustomerLimit | undefined;
 }
 
@@ -41,7 +41,7 @@
   return homes.length === 0 || homes.includes(region);
 }
 
-/** Units that a request takes of a customer's limit. */
+/** Units that a request uses of a customer's limit. */
 export function costOf(
   { unit, plainTokens }: CustomerLimit,
   prompt:
--- a/packages/core/src/customers/customer_directory.ts
+++ b/packages/core/src/customers/customer_directory.ts
@@ -1,16 +1,16 @@
 /**
- * Finds the customer of a request.
+ * Looks up customers by id or by API key.
  *
  * @module
  */
 import type { CustomerId, KeyDigest } from "../ids/index.ts";
 import type { Customer } from "./customer.ts";
 
-/** What a document says of customers, by id and by key. */
+/** The customers of one routing document, indexed by id and by key digest. */
 export class CustomerDirectory {
   readonly #byId: ReadonlyMap<CustomerId, Customer>;
   readonly #byKey = new Map<KeyDigest, Customer>();
-  /** Whether any of them has a limit. */
+  /** Whether any customer has a limit. */
   readonly limited: boolean;
 
   constructor(customers: ReadonlyMap<CustomerId, Customer>) {
@@ -25,7 +25,7 @@
     }
   }
 
-  /** Whether requests have to name a customer at all. */
+  /** Whether requests must carry a customer's key: true if the document lists any customers. */
   get required(): boolean {
     return this.#byId.size > 0;
   }
--- a/packages/core/src/customers/customer_limits.ts
+++ b/packages/core/src/customers/customer_limits.ts
@@ -1,11 +1,12 @@
 /**
- * Customers' limits over all entries without shared state.
+ * Enforces customers' limits across all entries without shared storage.
  *
- * Each entry keeps a copy of each customer's bucket and takes from it what it lets in. One entry a region
- * adds up what its entries let in, tells each of them what the others did, and exchanges sums with the
- * keepers of other regions. While all hear each other a customer may spend its whole limit anywhere;
- * nobody divides a limit that is smaller than a request. Who does not hear the others uses no more than the
- * part that it used before, so that the parts of two halves add up to the whole.
+ * Each entry keeps a copy of each customer's bucket and deducts what it admits. One entry per region, the
+ * aggregator, adds up what the entries of its region admit, sends each of them the usage of the others, and
+ * exchanges sums with the aggregators of other regions. While all are connected, a customer may use its whole
+ * limit at any entry; the limit is not divided, since a share could be smaller than a single request. Entries that
+ * lose contact with the others are restricted to the share that they used before, so that the shares of both
+ * sides of a network partition add up to the whole limit.
  *
  * @module
  */
@@ -21,7 +22,7 @@
 import type { Customer, CustomerLimit } from "./customer.ts";
 import { LimitAccounts } from "./limit_accounts.ts";
 import type { LimitBucket } from "./limit_bucket.ts";
-import { HEARD_MS, SpendingKeeper } from "./spending_keeper.ts";
+import { SILENCE_TIMEOUT_MS, SpendingAggregator } from "./spending_keeper.ts";
 import type {
   CustomerTotal,
   SpendingMessage,
@@ -29,29 +30,29 @@
   SpendingTotals,
 } from "./spending_messages.ts";
 
-/** Between two messages while some customer is near its limit, and otherwise. */
-const NEAR_PERIOD_MS = 100;
-const CALM_PERIOD_MS = 200;
-/** All sums are told again this often: a lost datagram is made up for. */
-const WHOLE_PERIOD_MS = 2_000;
-/** An entry that let nothing in for so long is told nothing more. */
-const ACTIVE_MS = 2_000;
-/** Those that were turned away return spread over this part more than they were told. */
-const RETURN_SPREAD = 0.25;
+/** Time between two messages while any customer is near its limit, and otherwise. */
+const NEAR_LIMIT_PERIOD_MS = 100;
+const DEFAULT_PERIOD_MS = 200;
+/** All sums are sent again this often, which makes up for lost datagrams. */
+const FULL_REPORT_PERIOD_MS = 2_000;
+/** An entry without requests for this long sends no reports, and one without reports is sent no totals. */
+const IDLE_TIMEOUT_MS = 2_000;
+/** Retry delays are extended by up to this fraction at random, so that refused requests do not return together. */
+const RETRY_JITTER = 0.25;
 
-/** Nobody is told to stay away for longer: limits change. */
-const MOST_RETURN_MS = 5_000;
+/** Longest retry delay given to a refused request, kept short because the limit may change meanwhile. */
+const MAX_RETRY_DELAY_MS = 5_000;
 
-/** What becomes of a request. */
+/** Result of checking a request against its customer's limit. */
 export type LimitVerdict =
   | { readonly kind: "admitted" }
-  /** Beyond the limit; it fits after this time. */
+  /** The limit is exceeded; the request may be retried after `wait`. */
   | { readonly kind: "over"; readonly wait: Milliseconds }
-  /** What others let in is not known yet, and will be in a moment. */
+  /** The usage at other entries is not known yet, but will be shortly. */
   | { readonly kind: "unheard" };
 
-/** What the limits work with. */
-export interface LimitSources {
+/** Dependencies of the limits. */
+export interface CustomerLimitSources {
   readonly self: {
     readonly incarnation: Incarnation;
     readonly region: RegionId;
@@ -59,61 +60,68 @@
   readonly regions: readonly RegionId[];
   readonly random: Randomness;
   /**
-   * The entry that adds up for a region. `undefined` where none is known, and for the own region where most
-   * of its entries are not heard: cut off, each of them would think itself the keeper.
+   * Returns the aggregator of a region, `undefined` if none is known. Also `undefined` for the own region while
+   * this entry is disconnected from most of its entries: otherwise each disconnected entry would consider itself
+   * the aggregator.
    */
   readonly keeperOf: (region: RegionId, now: Instant) =>
     | Incarnation
     | undefined;
   /** Whether any customer has a limit. */
   readonly limited: () => boolean;
-  /** What the document in force allows a customer. */
+  /** A customer's limit according to the document in force. */
   readonly limitOf: (customer: CustomerId) => CustomerLimit | undefined;
-  /** Entries that may be alive, this one included. */
+  /** Number of entries that may be alive, including this one. */
   readonly entries: () => number;
   readonly send: (to: Incarnation, message: SpendingMessage) => void;
 }
 
-/** The keeper as this entry hears it. */
-interface HeardKeeper {
+/** What this entry has received from the aggregator of its region. */
+interface AggregatorState {
   readonly incarnation: Incarnation;
-  /** What it told last. */
+  /** The latest total of each customer. */
   readonly totals: Map<CustomerId, CustomerTotal>;
-  heardAt: Instant | undefined;
+  lastTotalsAt: Instant | undefined;
   near: boolean;
 }
 
-/** One entry's limits, and for a while its region's sums. */
+/** Checks requests against customers' limits, and aggregates the region's usage while this entry is its aggregator. */
 export class CustomerLimits {
-  readonly #sources: LimitSources;
+  readonly #sources: CustomerLimitSources;
   readonly #accounts: LimitAccounts;
-  /** Units let in since the start. */
+  /** Units admitted since this process started. */
   readonly #spent = new Map<CustomerId, number>();
-  readonly #changed = new Set<CustomerId>();
-  readonly #keeping: SpendingKeeper;
-  #keeper: HeardKeeper | undefined;
-  /** When this entry last told its own sums, and as a keeper those of all. */
+  readonly #unreported = new Set<CustomerId>();
+  readonly #spendingAggregator: SpendingAggregator;
+  #aggregator: AggregatorState | undefined;
+  /** When this entry last sent its own sums. */
   #reportedAt = -Infinity;
-  #totalsAt = -Infinity;
-  #wholeAt = -Infinity;
-  #spentAt = -Infinity;
-  #told = false;
+  /** When this entry last sent totals as the aggregator. */
+  #totalsSentAt = -Infinity;
+  #fullReportAt = -Infinity;
+  #lastRequestAt = -Infinity;
+  #hasReported = false;
 
-  constructor(sources: LimitSources) {
+  constructor(sources: CustomerLimitSources) {
     this.#sources = sources;
-    this.#keeping = new SpendingKeeper(sources.self.region, sources.regions);
+    this.#spendingAggregator = new SpendingAggregator(
+      sources.self.region,
+      sources.regions,
+    );
     this.#accounts = new LimitAccounts({
-      entries: sources.entries,
-      // A keeper has an account of every customer that is told of; others of those that ask them.
-      limitOf: (id) => this.#keeps ? sources.limitOf(id) : undefined,
-      hears: (now) => this.#hears(now),
-      keptPart: (id, now) =>
-        this.#keeps ? this.#keeping.heardPart(id, now) : undefined,
-      told: (id) => this.#keeper?.totals.get(id),
+      possibleEntries: sources.entries,
+      // An aggregator keeps an account for each reported customer, other entries only for those they serve.
+      limitOf: (id) => this.#isAggregator ? sources.limitOf(id) : undefined,
+      hasCurrentTotals: (now) => this.#hasCurrentTotals(now),
+      aggregatedShare: (id, now) =>
+        this.#isAggregator
+          ? this.#spendingAggregator.reachableShare(id, now)
+          : undefined,
+      lastTotal: (id) => this.#aggregator?.totals.get(id),
     });
   }
 
-  /** Lets a request in, or says when it would be. `hurried`: nothing more is waited for. */
+  /** Admits a request, or returns why not. With `hurried`, decides without waiting for usage from other entries. */
   take(
     { id, limit }: Pick<Customer, "id" | "limit">,
     { cost, hurried }: { cost: number; hurried: boolean },
@@ -122,200 +130,217 @@
     if (limit === undefined) {
       return { kind: "admitted" };
     }
-    this.#spentAt = now;
-    this.#follow(now);
-    const account = this.#accounts.open({ id, limit }, now);
-    if (!this.#hears(now) && !hurried) {
-      this.#report(now, NEAR_PERIOD_MS);
+    this.#lastRequestAt = now;
+    this.#updateAggregator(now);
+    const account = this.#accounts.getOrCreate({ id, limit }, now);
+    if (!this.#hasCurrentTotals(now) && !hurried) {
+      this.#reportIfDue(now, NEAR_LIMIT_PERIOD_MS);
       return { kind: "unheard" };
     }
-    const part = this.#accounts.refill(account, now);
+    const share = this.#accounts.refill(account, now);
     if (!account.bucket.take(cost)) {
       return {
         kind: "over",
-        wait: this.#wait(account.bucket, { cost, part }, now),
+        wait: this.#retryDelay(account.bucket, { cost, share }, now),
       };
     }
-    this.#spend(id, cost, now);
+    this.#recordSpending(id, cost, now);
     return { kind: "admitted" };
   }
 
-  /** A request that was let in did not run. */
+  /** Refunds the cost of an admitted request that did not run. */
   giveBack(customer: CustomerId, cost: number, now: Instant): void {
     this.#accounts.find(customer)?.bucket.charge(-cost);
-    this.#spend(customer, -cost, now);
+    this.#recordSpending(customer, -cost, now);
   }
 
-  /** Takes what another entry tells. */
+  /** Handles a message from another entry. */
   receive(message: SpendingMessage, now: Instant): void {
-    this.#follow(now);
+    this.#updateAggregator(now);
     if (message.kind === "report") {
-      this.#learnReport(message, now);
+      this.#receiveReport(message, now);
       this.tick(now);
     } else if (message.region === this.#sources.self.region) {
-      this.#learnOwnTotals(message, now);
-    } else if (this.#keeps) {
-      this.#accounts.charge(this.#keeping.learnTotals(message, now), now);
-      message.totals.forEach((total) => this.#accounts.settle(total, now));
+      this.#receiveOwnTotals(message, now);
+    } else if (this.#isAggregator) {
+      this.#accounts.charge(
+        this.#spendingAggregator.applyTotals(message, now),
+        now,
+      );
+      message.totals.forEach((total) => this.#accounts.applyTotal(total, now));
     }
   }
 
-  /** Tells what is due. */
+  /** Sends the messages that are due. */
   tick(now: Instant): void {
     if (!this.#sources.limited()) {
       return;
     }
-    this.#follow(now);
-    if (this.#keeps) {
-      this.#tellTotalsIfDue(now);
-    } else if (now - this.#spentAt <= ACTIVE_MS) {
-      this.#report(now, this.#period);
+    this.#updateAggregator(now);
+    if (this.#isAggregator) {
+      this.#sendTotalsIfDue(now);
+    } else if (now - this.#lastRequestAt <= IDLE_TIMEOUT_MS) {
+      this.#reportIfDue(now, this.#period);
     }
   }
 
-  get #keeps(): boolean {
-    return this.#keeper?.incarnation === this.#sources.self.incarnation;
+  get #isAggregator(): boolean {
+    return this.#aggregator?.incarnation === this.#sources.self.incarnation;
   }
 
   get #period(): number {
-    const near = this.#keeper?.near === true || this.#accounts.isNear();
-    return near ? NEAR_PERIOD_MS : CALM_PERIOD_MS;
+    const near = this.#aggregator?.near === true ||
+      this.#accounts.isAnyNearLimit();
+    return near ? NEAR_LIMIT_PERIOD_MS : DEFAULT_PERIOD_MS;
   }
 
-  /** Whether what others let in is known. */
-  #hears(now: Instant): boolean {
-    const heardAt = this.#keeper?.heardAt;
-    return this.#keeps || heardAt !== undefined && now - heardAt <= HEARD_MS;
+  /** Whether the usage at other entries is known. */
+  #hasCurrentTotals(now: Instant): boolean {
+    const lastTotalsAt = this.#aggregator?.lastTotalsAt;
+    return this.#isAggregator ||
+      lastTotalsAt !== undefined && now - lastTotalsAt <= SILENCE_TIMEOUT_MS;
   }
 
-  /** Looks who adds up at present. */
-  #follow(now: Instant): void {
+  /** Determines the current aggregator of the region. */
+  #updateAggregator(now: Instant): void {
     const { keeperOf, self } = this.#sources;
     const incarnation = keeperOf(self.region, now);
-    if (incarnation !== this.#keeper?.incarnation) {
-      this.#keeper = incarnation === undefined ? undefined : {
+    if (incarnation !== this.#aggregator?.incarnation) {
+      this.#aggregator = incarnation === undefined ? undefined : {
         incarnation,
         totals: new Map(),
-        heardAt: undefined,
+        lastTotalsAt: undefined,
         near: false,
       };
-      this.#wholeAt = -Infinity;
+      this.#fullReportAt = -Infinity;
       this.#reportedAt = -Infinity;
     }
   }
 
-  #wait(
+  #retryDelay(
     bucket: LimitBucket,
-    { cost, part }: { cost: number; part: number },
+    { cost, share }: { cost: number; share: number },
     now: Instant,
   ): Milliseconds {
-    const wait = bucket.waitFor(cost, Math.max(part, Number.EPSILON), now);
-    const spread = 1 + RETURN_SPREAD * this.#sources.random.next();
-    return milliseconds(Math.min(wait * spread, MOST_RETURN_MS));
+    const wait = bucket.waitFor(cost, Math.max(share, Number.EPSILON), now);
+    const jitter = 1 + RETRY_JITTER * this.#sources.random.next();
+    return milliseconds(Math.min(wait * jitter, MAX_RETRY_DELAY_MS));
   }
 
-  #spend(customer: CustomerId, cost: number, now: Instant): void {
+  #recordSpending(customer: CustomerId, cost: number, now: Instant): void {
     this.#spent.set(customer, (this.#spent.get(customer) ?? 0) + cost);
-    this.#changed.add(customer);
-    this.#accounts.find(customer)?.own.add(cost, now);
-    if (this.#keeps) {
-      this.#noteOwn(now);
+    this.#unreported.add(customer);
+    this.#accounts.find(customer)?.ownUsage.add(cost, now);
+    if (this.#isAggregator) {
+      this.#recordOwnReport(now);
     }
   }
 
-  /** A keeper counts itself as one of its region's entries. */
-  #noteOwn(now: Instant): void {
-    this.#keeping.learnReport(this.#nextReport(now, false), now);
+  /** Applies this entry's own report, since the aggregator counts itself among its region's entries. */
+  #recordOwnReport(now: Instant): void {
+    this.#spendingAggregator.applyReport(this.#createReport(now, false), now);
   }
 
-  #learnReport(report: SpendingReport, now: Instant): void {
-    if (!this.#keeps) {
+  #receiveReport(report: SpendingReport, now: Instant): void {
+    if (!this.#isAggregator) {
       return;
     }
-    const since = now - HEARD_MS as Instant;
-    const heard = this.#keeping.hearsEntry(report.incarnation, since);
-    this.#accounts.charge(this.#keeping.learnReport(report, now), now);
-    if (!heard) {
+    const since = now - SILENCE_TIMEOUT_MS as Instant;
+    const hasReportedRecently = this.#spendingAggregator.hasReportSince(
+      report.incarnation,
+      since,
+    );
+    this.#accounts.charge(
+      this.#spendingAggregator.applyReport(report, now),
+      now,
+    );
+    if (!hasReportedRecently) {
       this.#sendTotals(report.incarnation, now);
     }
   }
 
-  #learnOwnTotals(
+  #receiveOwnTotals(
     { incarnation, near, totals }: SpendingTotals,
     now: Instant,
   ): void {
-    const keeper = this.#keeper;
-    if (keeper === undefined || keeper.incarnation !== incarnation) {
+    const aggregator = this.#aggregator;
+    if (aggregator === undefined || aggregator.incarnation !== incarnation) {
       return;
     }
-    const begins = !this.#hears(now);
-    if (begins) {
-      this.#accounts.unsettle();
+    const isResuming = !this.#hasCurrentTotals(now);
+    if (isResuming) {
+      this.#accounts.resetAdoptedLevels();
     }
-    keeper.heardAt = now;
-    keeper.near = near;
-    const news = new Map<CustomerId, number>();
+    aggregator.lastTotalsAt = now;
+    aggregator.near = near;
+    const increases = new Map<CustomerId, number>();
     for (const total of totals) {
-      const before = keeper.totals.get(total.customer)?.sum;
-      keeper.totals.set(total.customer, total);
-      if (before !== undefined || !begins) {
-        news.set(total.customer, total.sum - (before ?? 0));
+      const previousSum = aggregator.totals.get(total.customer)?.sum;
+      aggregator.totals.set(total.customer, total);
+      if (previousSum !== undefined || !isResuming) {
+        increases.set(total.customer, total.sum - (previousSum ?? 0));
       }
     }
-    this.#accounts.charge(news, now);
-    totals.forEach((total) => this.#accounts.settle(total, now));
+    this.#accounts.charge(increases, now);
+    totals.forEach((total) => this.#accounts.applyTotal(total, now));
   }
 
-  #report(now: Instant, period: number): void {
-    const keeper = this.#keeper;
-    if (keeper === undefined || now - this.#reportedAt < period) {
+  #reportIfDue(now: Instant, period: number): void {
+    const aggregator = this.#aggregator;
+    if (aggregator === undefined || now - this.#reportedAt < period) {
       return;
     }
-    const whole = keeper.heardAt === undefined ||
-      now - this.#wholeAt >= WHOLE_PERIOD_MS;
-    this.#sources.send(keeper.incarnation, this.#nextReport(now, whole));
+    const isFull = aggregator.lastTotalsAt === undefined ||
+      now - this.#fullReportAt >= FULL_REPORT_PERIOD_MS;
+    this.#sources.send(aggregator.incarnation, this.#createReport(now, isFull));
   }
 
-  #nextReport(now: Instant, whole: boolean): SpendingReport {
-    const customers = whole ? this.#spent.keys() : this.#changed;
+  #createReport(now: Instant, isFull: boolean): SpendingReport {
+    const customers = isFull ? this.#spent.keys() : this.#unreported;
     const spent = [...customers].map((customer) => ({
       customer,
       sum: Math.round(this.#spent.get(customer)!),
     }));
-    const first = !this.#told;
-    this.#told = this.#told || this.#keeps || this.#hears(now);
-    this.#changed.clear();
+    const first = !this.#hasReported;
+    this.#hasReported = this.#hasReported || this.#isAggregator ||
+      this.#hasCurrentTotals(now);
+    this.#unreported.clear();
     this.#reportedAt = now;
-    this.#wholeAt = whole ? now : this.#wholeAt;
+    this.#fullReportAt = isFull ? now : this.#fullReportAt;
     const { incarnation } = this.#sources.self;
     return { kind: "report", incarnation, first, spent };
   }
 
-  /** A keeper tells the entries that let something in, and the keepers of other regions. */
-  #tellTotalsIfDue(now: Instant): void {
-    if (now - this.#totalsAt < this.#period) {
+  /** Sends totals to the recently active entries of the region and to the aggregators of other regions. */
+  #sendTotalsIfDue(now: Instant): void {
+    if (now - this.#totalsSentAt < this.#period) {
       return;
     }
-    this.#totalsAt = now;
-    this.#keeping.tick(now);
-    this.#keeper!.near = this.#accounts.isNear();
-    const since = now - ACTIVE_MS as Instant;
-    for (const entry of this.#keeping.tellersSince(since)) {
+    this.#totalsSentAt = now;
+    this.#spendingAggregator.tick(now);
+    this.#aggregator!.near = this.#accounts.isAnyNearLimit();
+    const since = now - IDLE_TIMEOUT_MS as Instant;
+    for (const entry of this.#spendingAggregator.reportersSince(since)) {
       if (entry !== this.#sources.self.incarnation) {
         this.#sendTotals(entry, now);
       }
     }
-    this.#tellKeepers(now);
+    this.#sendTotalsToOtherRegions(now);
   }
 
-  #tellKeepers(now: Instant): void {
+  #sendTotalsToOtherRegions(now: Instant): void {
     const { self, regions, keeperOf, send } = this.#sources;
     for (const region of regions) {
-      const keeper = region === self.region ? undefined : keeperOf(region, now);
-      if (keeper !== undefined) {
+      const aggregator = region === self.region
+        ? undefined
+        : keeperOf(region, now);
+      if (aggregator !== undefined) {
         send(
-          keeper,
-          this.#totals((id) => this.#keeping.sumOfRegion(id), now),
+          aggregator,
+          this.#createTotals(
+            (id) => this.#spendingAggregator.sumForRegion(id),
+            now,
+          ),
         );
       }
     }
@@ -324,22 +349,27 @@
   #sendTotals(entry: Incarnation, now: Instant): void {
     this.#sources.send(
       entry,
-      this.#totals((id) => this.#keeping.sumForEntry(id, entry), now),
+      this.#createTotals(
+        (id) => this.#spendingAggregator.sumForEntry(id, entry),
+        now,
+      ),
     );
   }
 
-  #totals(
+  #createTotals(
     sumOf: (customer: CustomerId) => number,
     now: Instant,
   ): SpendingTotals {
     const { incarnation, region } = this.#sources.self;
-    const totals = [...this.#keeping.customers()].map((customer) => ({
+    const totals = [...this.#spendingAggregator.customers()].map((
+      customer,
+    ) => ({
       customer,
       sum: Math.round(sumOf(customer)),
       level: Math.round(this.#accounts.levelOf(customer, now)),
-      part: this.#keeping.heardPart(customer, now),
+      part: this.#spendingAggregator.reachableShare(customer, now),
     }));
-    const near = this.#keeper!.near;
+    const near = this.#aggregator!.near;
     return { kind: "totals", incarnation, region, near, totals };
   }
 }
--- a/packages/core/src/customers/fading_sum.ts
+++ b/packages/core/src/customers/fading_sum.ts
@@ -1,27 +1,28 @@
 /**
- * Sums that fade.
+ * Sums with exponential decay.
  *
  * @module
  */
 import type { Instant } from "../ids/index.ts";
 
-/** A sum of which a part is forgotten as time passes. */
+/** A sum that decays exponentially over time. */
 export class FadingSum {
-  readonly #lifetime: number;
-  #sum = 0;
-  #at = 0;
+  readonly #timeConstantMs: number;
+  #value = 0;
+  #updatedAt = 0;
 
-  /** `lifetime`: milliseconds in which it falls to 0.37. */
-  constructor(lifetime: number) {
-    this.#lifetime = lifetime;
+  /** `timeConstantMs`: time in which the sum falls to 37 % (1/e) of its value. */
+  constructor(timeConstantMs: number) {
+    this.#timeConstantMs = timeConstantMs;
   }
 
   add(amount: number, now: Instant): void {
-    this.#sum = Math.max(0, this.of(now) + amount);
-    this.#at = now;
+    this.#value = Math.max(0, this.of(now) + amount);
+    this.#updatedAt = now;
   }
 
   of(now: Instant): number {
-    return this.#sum * Math.exp(-Math.max(0, now - this.#at) / this.#lifetime);
+    return this.#value *
+      Math.exp(-Math.max(0, now - this.#updatedAt) / this.#timeConstantMs);
   }
 }
--- a/packages/core/src/customers/index.ts
+++ b/packages/core/src/customers/index.ts
@@ -10,7 +10,7 @@
 export { judgeKey, type KeyVerdict } from "./judge_key.ts";
 export {
   CustomerLimits,
-  type LimitSources,
+  type CustomerLimitSources,
   type LimitVerdict,
 } from "./customer_limits.ts";
 export { FadingSum } from "./fading_sum.ts";
--- a/packages/core/src/customers/judge_key.ts
+++ b/packages/core/src/customers/judge_key.ts
@@ -1,5 +1,5 @@
 /**
- * What a request's key is worth at this moment.
+ * Decides whether a request's API key is accepted.
  *
  * @module
  */
@@ -16,55 +16,57 @@
 import type { RefusedKeys } from "./refused_keys.ts";
 
 /**
- * Age of the document by which a key is refused again: callers whose key is gone go on sending, and a read for
- * each of their requests would be most of what the platform is asked.
+ * Maximum document age at which a recently refused key is refused again without a new read. Callers keep
+ * sending after their key was revoked, and a read for each of their requests would dominate the load on the
+ * platform.
  */
-const REFUSED_AGE = milliseconds(2_000);
+const REFUSED_KEY_MAX_AGE_MS = milliseconds(2_000);
 
-/** Whose a request is. */
+/** Result of checking a request's key. */
 export type KeyVerdict =
   | { readonly kind: "accepted"; readonly customer: Customer | undefined }
-  /** No document holds the key: asking again is of no use. */
+  /** The key is not in the current document; retrying does not help. */
   | { readonly kind: "unknown" }
-  /** What is held is too old to say. */
+  /** The held document is too old to decide. */
   | { readonly kind: "doubtful" };
 
-/** What a request says of its customer. */
-export interface KeyFacts {
-  /** Whether its route needs none. */
+/** The parts of a request that identify its customer. */
+export interface KeyCheckInput {
+  /** Whether the route requires no key. */
   readonly public: boolean;
   readonly key: KeyDigest | undefined;
-  /** As the entry found that the caller reached, `undefined` at that entry. */
+  /** Customer found by the entry that relayed the request; `undefined` if it came directly from the caller. */
   readonly relayed: { readonly customer: CustomerId | undefined } | undefined;
   readonly arrivedAt: Instant;
 }
 
-/** What it is judged by. */
-export interface KeyGrounds {
+/** State that the decision depends on. */
+export interface KeyCheckContext {
   readonly customers: CustomerDirectory;
   readonly currency: CurrencyView;
-  /** Keys that no document held when they were last asked for. */
+  /** Keys that were missing from the current document when they were last checked. */
   readonly refused: RefusedKeys;
-  /** Age from which on a key may have been taken away; `undefined` where no bound was promised. */
+  /** Document age beyond which a key may have been revoked; `undefined` if no bound is guaranteed. */
   readonly bound: Milliseconds | undefined;
 }
 
 /**
- * Judges a key where its caller reached the fleet; from there on only the customer's name travels.
+ * Checks the key at the entry that the caller reached. Relayed requests carry only the customer's id.
  *
- * An entry that lags must not turn away a key that was just added, and one that was cut off must not
- * accept one that is gone: both are in doubt until the document is known to be current.
+ * An entry whose document is outdated must not refuse a key that was just added, and an entry without a
+ * connection must not accept a key that was revoked. In both cases the verdict is "doubtful" until the
+ * document is known to be current.
  */
 export function judgeKey(
-  { key, relayed, arrivedAt, ...facts }: KeyFacts,
-  { customers, currency, refused, bound }: KeyGrounds,
+  { key, relayed, arrivedAt, ...facts }: KeyCheckInput,
+  { customers, currency, refused, bound }: KeyCheckContext,
   now: Instant,
 ): KeyVerdict {
   if (relayed !== undefined) {
     const { customer } = relayed;
     return {
       kind: "accepted",
-      customer: customer && named(customer, customers),
+      customer: customer && resolveRelayedCustomer(customer, customers),
     };
   }
   if (facts.public || !customers.required) {
@@ -72,20 +74,26 @@
   }
   const customer = key === undefined ? undefined : customers.find(key);
   if (customer === undefined) {
-    const certain = currency.isProvenSince(arrivedAt, now) ||
-      refused.has(key) && currency.isWithin(REFUSED_AGE, now);
-    if (!certain) {
+    const isRefusalFinal = currency.isConfirmedSince(arrivedAt, now) ||
+      refused.has(key) && currency.isWithin(REFUSED_KEY_MAX_AGE_MS, now);
+    if (!isRefusalFinal) {
       return { kind: "doubtful" };
     }
-    refused.note(key);
+    refused.add(key);
     return { kind: "unknown" };
   }
-  const fresh = bound === undefined || currency.isWithin(bound, now);
-  return fresh ? { kind: "accepted", customer } : { kind: "doubtful" };
+  const isFresh = bound === undefined || currency.isWithin(bound, now);
+  return isFresh ? { kind: "accepted", customer } : { kind: "doubtful" };
 }
 
-/** A customer that this entry does not know yet, or no more: its first entry has checked its homes. */
-function named(id: CustomerId, customers: CustomerDirectory): Customer {
+/**
+ * Returns the customer of a relayed request. A customer that this entry's document does not contain (yet or any
+ * more) gets no limits or home regions: the entry that the caller reached has checked those already.
+ */
+function resolveRelayedCustomer(
+  id: CustomerId,
+  customers: CustomerDirectory,
+): Customer {
   return customers.get(id) ??
     { id, keyDigests: [], rank: undefined, homes: [], limit: undefined };
 }
--- a/packages/core/src/customers/limit_accounts.ts
+++ b/packages/core/src/customers/limit_accounts.ts
@@ -1,5 +1,5 @@
 /**
- * What one entry knows of each customer's limit: its copy of the bucket, and the part of it that is its own.
+ * One entry's state for each customer's limit: its copy of the bucket, and its own share of the limit.
  *
  * @module
  */
@@ -9,42 +9,45 @@
 import { LimitBucket } from "./limit_bucket.ts";
 import type { CustomerTotal } from "./spending_messages.ts";
 
-/** Own use, and that of others, by which an entry that hears nobody knows its part. */
-const USE_LIFETIME_MS = 8_000;
-/** Below this part of its burst a customer is near its limit. */
-const NEAR_PART = 0.5;
+/** Decay of own and others' usage, which determine the share of an entry without current totals. */
+const USAGE_TIME_CONSTANT_MS = 8_000;
+/** A customer whose bucket is below this fraction of its burst is near its limit. */
+const NEAR_LIMIT_FRACTION = 0.5;
 
-/** One customer's account. */
+/** One customer's usage and bucket. */
 export interface LimitAccount {
   readonly id: CustomerId;
   readonly bucket: LimitBucket;
-  /** What others let in, fading. */
-  readonly others: FadingSum;
-  /** What this entry let in, fading. */
-  readonly own: FadingSum;
-  /** Part of the limit that the keeper told. */
-  part: number;
-  /** This entry's part of all use, as it was when others were last heard. */
-  ownPart: number;
-  /** Whether another entry's level was taken over. */
-  settled: boolean;
+  /** Units recently admitted by other entries. */
+  readonly othersUsage: FadingSum;
+  /** Units recently admitted by this entry. */
+  readonly ownUsage: FadingSum;
+  /** Share of the limit that the aggregator reported. */
+  share: number;
+  /** This entry's share of all usage when totals were last received. */
+  ownShare: number;
+  /** Whether the level was taken over from an aggregator. */
+  levelAdopted: boolean;
 }
 
-/** What accounts are kept by. */
+/** Dependencies of the accounts. */
 export interface AccountSources {
-  /** Entries that may be alive, this one included. */
-  readonly entries: () => number;
-  /** Limit of a customer whose account is opened once others tell of it, `undefined` where it is not. */
+  /** Number of entries that may be alive, including this one. */
+  readonly possibleEntries: () => number;
+  /** Limit of a customer whose account is created when others report its usage; `undefined` to create none. */
   readonly limitOf: (id: CustomerId) => CustomerLimit | undefined;
-  /** Whether what others let in is known. */
-  readonly hears: (now: Instant) => boolean;
-  /** Part of a limit that this entry adds up for, `undefined` where it adds up for nobody. */
-  readonly keptPart: (id: CustomerId, now: Instant) => number | undefined;
-  /** What the keeper told last of a customer. */
-  readonly told: (id: CustomerId) => CustomerTotal | undefined;
+  /** Whether the usage at other entries is known. */
+  readonly hasCurrentTotals: (now: Instant) => boolean;
+  /** Share of a limit available to the regions this entry can reach, `undefined` if it is not an aggregator. */
+  readonly aggregatedShare: (
+    id: CustomerId,
+    now: Instant,
+  ) => number | undefined;
+  /** The aggregator's latest total for a customer. */
+  readonly lastTotal: (id: CustomerId) => CustomerTotal | undefined;
 }
 
-/** Accounts by customer. */
+/** The accounts of all customers. */
 export class LimitAccounts {
   readonly #sources: AccountSources;
   readonly #accounts = new Map<CustomerId, LimitAccount>();
@@ -57,8 +60,8 @@
     return this.#accounts.get(id);
   }
 
-  /** The account of a customer, by the limit that is in force. */
-  open(
+  /** Returns the customer's account, updated to the limit in force. */
+  getOrCreate(
     { id, limit }: { id: CustomerId; limit: CustomerLimit },
     now: Instant,
   ): LimitAccount {
@@ -67,73 +70,75 @@
       known.bucket.rebound(limit);
       return known;
     }
-    const { entries, hears, told } = this.#sources;
-    const equal = 1 / Math.max(1, entries());
-    const part = this.#sources.keptPart(id, now) ?? (hears(now) ? 1 : equal);
-    // The part that is known to be its own: this may be the second start of all within a window.
-    const level = limit.burst * part;
+    const { possibleEntries, hasCurrentTotals, lastTotal } = this.#sources;
+    const equalShare = 1 / Math.max(1, possibleEntries());
+    const share = this.#sources.aggregatedShare(id, now) ??
+      (hasCurrentTotals(now) ? 1 : equalShare);
+    // Starts with only the share known to belong to this entry: after several restarts of all entries within a
+    // window, full buckets would admit a whole burst each time.
+    const level = limit.burst * share;
     const account = {
       id,
       bucket: new LimitBucket(limit, { level, now }),
-      others: new FadingSum(USE_LIFETIME_MS),
-      own: new FadingSum(USE_LIFETIME_MS),
-      part,
-      ownPart: equal,
-      settled: false,
+      othersUsage: new FadingSum(USAGE_TIME_CONSTANT_MS),
+      ownUsage: new FadingSum(USAGE_TIME_CONSTANT_MS),
+      share,
+      ownShare: equalShare,
+      levelAdopted: false,
     };
     this.#accounts.set(id, account);
-    const total = hears(now) ? told(id) : undefined;
+    const total = hasCurrentTotals(now) ? lastTotal(id) : undefined;
     if (total !== undefined) {
-      this.settle(total, now);
+      this.applyTotal(total, now);
     }
     return account;
   }
 
-  /** Fills a bucket up to now. Returns the part of its limit that counts here. */
+  /** Refills a bucket up to now. Returns the share of the limit that applies to this entry. */
   refill(account: LimitAccount, now: Instant): number {
-    const part = this.#partOf(account, now);
-    account.bucket.refill(part, now);
-    return part;
+    const share = this.#shareOf(account, now);
+    account.bucket.refill(share, now);
+    return share;
   }
 
-  /** Takes what others let in off the buckets. */
-  charge(news: ReadonlyMap<CustomerId, number>, now: Instant): void {
-    for (const [id, sum] of news) {
+  /** Deducts units that other entries admitted. */
+  charge(increases: ReadonlyMap<CustomerId, number>, now: Instant): void {
+    for (const [id, sum] of increases) {
       const limit = this.#sources.limitOf(id);
       const account = limit === undefined
         ? this.#accounts.get(id)
-        : this.open({ id, limit }, now);
+        : this.getOrCreate({ id, limit }, now);
       if (account !== undefined) {
         this.refill(account, now);
         account.bucket.charge(sum);
-        account.others.add(sum, now);
+        account.othersUsage.add(sum, now);
       }
     }
   }
 
-  /** Takes over another entry's level where this one has just begun, and its keeper's part. */
-  settle({ customer, level, part }: CustomerTotal, now: Instant): void {
+  /** Applies an aggregator's total: its share, and its level if none was taken over yet. */
+  applyTotal({ customer, level, part }: CustomerTotal, now: Instant): void {
     const account = this.#accounts.get(customer);
     if (account === undefined) {
       return;
     }
-    if (this.#sources.keptPart(customer, now) === undefined) {
-      account.part = part;
-      account.ownPart = ownPartOf(account, now) ?? account.ownPart;
+    if (this.#sources.aggregatedShare(customer, now) === undefined) {
+      account.share = part;
+      account.ownShare = ownShareOf(account, now) ?? account.ownShare;
     }
-    if (!account.settled) {
-      account.settled = true;
+    if (!account.levelAdopted) {
+      account.levelAdopted = true;
       account.bucket.refill(part, now);
-      account.bucket.adopt(level);
+      account.bucket.setLevel(level);
     }
   }
 
-  /** Others were not heard for a while: their level is taken over again. */
-  unsettle(): void {
-    this.#accounts.forEach((account) => account.settled = false);
+  /** Takes over levels again from the next totals. Called after a period without totals. */
+  resetAdoptedLevels(): void {
+    this.#accounts.forEach((account) => account.levelAdopted = false);
   }
 
-  /** Units that are left of a customer's limit; 0 where it was not asked for. */
+  /** Units left of a customer's limit, 0 for a customer without an account. */
   levelOf(id: CustomerId, now: Instant): number {
     const account = this.#accounts.get(id);
     if (account === undefined) {
@@ -143,25 +148,25 @@
     return account.bucket.level;
   }
 
-  /** Whether some customer is near its limit. */
-  isNear(): boolean {
+  /** Whether any customer is near its limit. */
+  isAnyNearLimit(): boolean {
     return [...this.#accounts.values()].some(({ bucket }) =>
-      bucket.level < bucket.most * NEAR_PART
+      bucket.level < bucket.capacity * NEAR_LIMIT_FRACTION
     );
   }
 
-  #partOf(account: LimitAccount, now: Instant): number {
-    const { hears, keptPart } = this.#sources;
-    return keptPart(account.id, now) ??
-      (hears(now) ? account.part : account.ownPart);
+  #shareOf(account: LimitAccount, now: Instant): number {
+    const { hasCurrentTotals, aggregatedShare } = this.#sources;
+    return aggregatedShare(account.id, now) ??
+      (hasCurrentTotals(now) ? account.share : account.ownShare);
   }
 }
 
-/** Own part of all use, `undefined` where there was none. */
-function ownPartOf(
-  { own, others }: LimitAccount,
+/** This entry's share of all recent usage, `undefined` if there was none. */
+function ownShareOf(
+  { ownUsage, othersUsage }: LimitAccount,
   now: Instant,
 ): number | undefined {
-  const all = own.of(now) + others.of(now);
-  return all > 0 ? own.of(now) / all : undefined;
+  const total = ownUsage.of(now) + othersUsage.of(now);
+  return total > 0 ? ownUsage.of(now) / total : undefined;
 }
--- a/packages/core/src/customers/limit_bucket.ts
+++ b/packages/core/src/customers/limit_bucket.ts
@@ -1,5 +1,5 @@
 /**
- * One customer's allowance as one entry sees it: a token bucket of the whole fleet, or of a part of it.
+ * One entry's view of a customer's limit: a token bucket for the whole limit, or for a share of it.
  *
  * @module
  */
@@ -8,13 +8,13 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** A token bucket that may go into debt. */
+/** A token bucket whose level may become negative. */
 export class LimitBucket {
   #limit: CustomerLimit;
   #level: number;
-  #at: Instant;
-  /** When those that were turned away would have been served, one after the other. */
-  #promisedUntil: number;
+  #refilledAt: Instant;
+  /** Time until which future units are reserved for retries of refused requests, one after the other. */
+  #reservedUntil: number;
 
   constructor(
     limit: CustomerLimit,
@@ -22,43 +22,44 @@
   ) {
     this.#limit = limit;
     this.#level = level;
-    this.#at = now;
-    this.#promisedUntil = now;
+    this.#refilledAt = now;
+    this.#reservedUntil = now;
   }
 
-  /** Units that are left, below 0 in debt. */
+  /** Units left, negative if overdrawn. */
   get level(): number {
     return this.#level;
   }
 
-  /** Units that may be asked for at once. */
-  get most(): number {
+  /** Units that may be used at once. */
+  get capacity(): number {
     return this.#limit.burst;
   }
 
-  /** Fills up by a part of the rate, to the same part of the most. */
-  refill(part: number, now: Instant): void {
-    const passed = Math.max(0, now - this.#at) / MS_PER_SECOND;
-    const most = this.#limit.burst * part;
-    const room = Math.max(0, most - this.#level);
-    this.#level = Math.min(this.#level, most) +
-      Math.min(room, passed * this.#limit.perSecond * part);
-    this.#at = now;
+  /** Refills the bucket at a share of the rate, up to the same share of its capacity. */
+  refill(share: number, now: Instant): void {
+    const elapsedSeconds = Math.max(0, now - this.#refilledAt) / MS_PER_SECOND;
+    const shareCapacity = this.#limit.burst * share;
+    const room = Math.max(0, shareCapacity - this.#level);
+    this.#level = Math.min(this.#level, shareCapacity) +
+      Math.min(room, elapsedSeconds * this.#limit.perSecond * share);
+    this.#refilledAt = now;
   }
 
-  /** Takes new figures. What a higher burst allows is not given at once. */
+  /** Applies a changed limit. A higher burst is filled at the normal rate rather than at once. */
   rebound(limit: CustomerLimit): void {
     this.#limit = limit;
   }
 
-  /** Begins anew at the level that another entry told. */
-  adopt(level: number): void {
+  /** Replaces the level by one that another entry reported. */
+  setLevel(level: number): void {
     this.#level = level;
   }
 
   /**
-   * Takes what a request costs. One that is larger than what is left is let in as long as anything is left,
-   * and the next ones wait for it: otherwise small requests would take all, and large ones never fit.
+   * Takes the cost of a request, if any units are left. A request may cost more than is left; later requests
+   * then wait until the debt is refilled. Otherwise small requests would use up all units and a large one would
+   * never fit.
    */
   take(cost: number): boolean {
     if (this.#level <= 0) {
@@ -68,17 +69,17 @@
     return true;
   }
 
-  /** What was taken elsewhere, or, below 0, given back. */
+  /** Deducts units used at other entries; a negative cost is a refund. */
   charge(cost: number): void {
     this.#level -= cost;
   }
 
-  /** Until a request that was turned away would be let in, behind those that were before it. */
-  waitFor(cost: number, part: number, now: Instant): Milliseconds {
-    const rate = this.#limit.perSecond * part / MS_PER_SECOND;
-    const free = now + Math.max(0, -this.#level) / rate;
-    const turn = Math.max(free, this.#promisedUntil);
-    this.#promisedUntil = turn + cost / rate;
+  /** Time until a refused request would be admitted, behind those that were refused before it. */
+  waitFor(cost: number, share: number, now: Instant): Milliseconds {
+    const unitsPerMs = this.#limit.perSecond * share / MS_PER_SECOND;
+    const free = now + Math.max(0, -this.#level) / unitsPerMs;
+    const turn = Math.max(free, this.#reservedUntil);
+    this.#reservedUntil = turn + cost / unitsPerMs;
     return milliseconds(Math.max(1, turn - now));
   }
 }
--- a/packages/core/src/customers/refused_keys.ts
+++ b/packages/core/src/customers/refused_keys.ts
@@ -1,14 +1,14 @@
 /**
- * Keys that were refused for good not long ago.
+ * Remembers keys that were recently refused as unknown.
  *
  * @module
  */
 import type { KeyDigest } from "../ids/index.ts";
 
-/** Keys that are remembered: made-up ones must not fill the memory. */
-const MOST_KEYS = 1_024;
+/** Bounds the memory that callers with made-up keys can take up. */
+const MAX_KEYS = 1_024;
 
-/** The last refused keys. */
+/** The most recently refused keys. */
 export class RefusedKeys {
   readonly #keys = new Set<KeyDigest>();
 
@@ -16,13 +16,13 @@
     return key !== undefined && this.#keys.has(key);
   }
 
-  note(key: KeyDigest | undefined): void {
+  add(key: KeyDigest | undefined): void {
     if (key === undefined) {
       return;
     }
     this.#keys.delete(key);
     this.#keys.add(key);
-    if (this.#keys.size > MOST_KEYS) {
+    if (this.#keys.size > MAX_KEYS) {
       this.#keys.delete(this.#keys.keys().next().value!);
     }
   }
--- a/packages/core/src/customers/spending_keeper.ts
+++ b/packages/core/src/customers/spending_keeper.ts
@@ -1,8 +1,8 @@
 /**
- * Adds up what the entries of a region let in, for the one entry that does so at present.
+ * Adds up the usage that the entries of a region admit. One entry per region, its aggregator, does so at a time.
  *
- * All sums are kept as what was added while this keeper was told of it: a keeper that has just become one,
- * and an entry that has just chosen it, must not take a life's use for that of a moment.
+ * Only increases received while this entry is the aggregator are counted. Otherwise a new aggregator, or an entry
+ * that just switched to it, would count all usage since a process started as if it had happened just now.
  *
  * @module
  */
@@ -15,171 +15,189 @@
 import { FadingSum } from "./fading_sum.ts";
 import type { SpendingReport, SpendingTotals } from "./spending_messages.ts";
 
-/** Shares of a limit go by the use of this time: all regions have seen most of it. */
-const SHARE_LIFETIME_MS = 8_000;
-/** A region that is silent for longer counts as cut off, and keeps its part of each limit. */
-export const HEARD_MS = 600;
-/** An entry that is silent for so long is forgotten; what it spent stays counted. */
-const FORGET_MS = 60_000;
-
-/** What one entry, or another region's keeper, told last. */
-interface Teller {
-  readonly told: Map<CustomerId, number>;
-  /** Added since this keeper hears it. */
-  readonly added: Map<CustomerId, number>;
-  heardAt: Instant;
+/** Decay of the usage that determines each region's share. Long enough that all regions know most of that usage. */
+const SHARE_TIME_CONSTANT_MS = 8_000;
+/** A region that is silent for longer counts as disconnected and keeps its share of each limit. */
+export const SILENCE_TIMEOUT_MS = 600;
+/** An entry that is silent for longer is removed; its usage stays counted. */
+const ENTRY_EXPIRY_MS = 60_000;
+
+/** Sums received from one entry, or from another region's aggregator. */
+interface ReporterSums {
+  /** Latest sums as received. */
+  readonly reported: Map<CustomerId, number>;
+  /** Increases counted since this aggregator receives reports. */
+  readonly counted: Map<CustomerId, number>;
+  lastReportAt: Instant;
 }
 
-/** The sums of one region and what others told of theirs. */
-export class SpendingKeeper {
+/** Sums of the own region's entries, and those reported by the aggregators of other regions. */
+export class SpendingAggregator {
   readonly #region: RegionId;
   readonly #regions: readonly RegionId[];
-  readonly #entries = new Map<Incarnation, Teller>();
-  /** Added by entries that are forgotten. */
-  readonly #gone = new Map<CustomerId, number>();
-  readonly #others = new Map<RegionId, Teller & { keeper: Incarnation }>();
-  /** Part of each region by customer, as it was when all were last heard. */
-  readonly #agreed = new Map<CustomerId, ReadonlyMap<RegionId, number>>();
-  /** Use of each region by customer, fading. */
-  readonly #uses = new Map<CustomerId, Map<RegionId, FadingSum>>();
+  readonly #entries = new Map<Incarnation, ReporterSums>();
+  /** Counted usage of entries that were removed. */
+  readonly #expiredSums = new Map<CustomerId, number>();
+  readonly #otherRegions = new Map<
+    RegionId,
+    ReporterSums & { aggregator: Incarnation }
+  >();
+  /** Share of each region by customer, when all regions were last connected. */
+  readonly #lastAgreedShares = new Map<
+    CustomerId,
+    ReadonlyMap<RegionId, number>
+  >();
+  /** Recent usage of each region by customer. */
+  readonly #usage = new Map<CustomerId, Map<RegionId, FadingSum>>();
 
   constructor(region: RegionId, regions: readonly RegionId[]) {
     this.#region = region;
     this.#regions = regions;
   }
 
-  /** Entries of the region that told something since an instant. */
-  tellersSince(since: Instant): Incarnation[] {
-    return [...this.#entries].filter(([, { heardAt }]) => heardAt >= since)
+  /** Entries of the region that sent a report since an instant. */
+  reportersSince(since: Instant): Incarnation[] {
+    return [...this.#entries].filter(([, { lastReportAt }]) =>
+      lastReportAt >= since
+    )
       .map(([incarnation]) => incarnation);
   }
 
-  /** Whether an entry told something since an instant. */
-  hearsEntry(entry: Incarnation, since: Instant): boolean {
-    return (this.#entries.get(entry)?.heardAt ?? -Infinity) >= since;
+  /** Whether an entry sent a report since an instant. */
+  hasReportSince(entry: Incarnation, since: Instant): boolean {
+    return (this.#entries.get(entry)?.lastReportAt ?? -Infinity) >= since;
   }
 
-  /** Takes a report. Returns what was added, by customer. */
-  learnReport(
+  /** Applies an entry's report. Returns the increases by customer. */
+  applyReport(
     { incarnation, first, spent }: SpendingReport,
     now: Instant,
   ): Map<CustomerId, number> {
     const known = this.#entries.get(incarnation);
-    const teller = known ?? newTeller(now);
-    this.#entries.set(incarnation, teller);
-    teller.heardAt = now;
+    const reporter = known ?? newReporterSums(now);
+    this.#entries.set(incarnation, reporter);
+    reporter.lastReportAt = now;
     const counts = known !== undefined || first;
-    return this.#add(teller, spent, { counts, region: this.#region, now });
+    return this.#add(reporter, spent, { counts, region: this.#region, now });
   }
 
-  /** Takes another keeper's sums of its own region. */
-  learnTotals(
+  /** Applies the sums that another region's aggregator sent. Returns the increases by customer. */
+  applyTotals(
     { incarnation, region, totals }: SpendingTotals,
     now: Instant,
   ): Map<CustomerId, number> {
-    const known = this.#others.get(region);
-    // What it let in while it was not heard came out of its own part.
-    const same = known?.keeper === incarnation &&
-      now - known.heardAt <= HEARD_MS;
-    const teller = same ? known : {
-      ...newTeller(now),
-      added: known?.added ?? new Map(),
-      keeper: incarnation,
+    const previous = this.#otherRegions.get(region);
+    // Usage during an interruption came out of that region's own share and is not counted here.
+    const isContinuous = previous?.aggregator === incarnation &&
+      now - previous.lastReportAt <= SILENCE_TIMEOUT_MS;
+    const reporter = isContinuous ? previous : {
+      ...newReporterSums(now),
+      counted: previous?.counted ?? new Map(),
+      aggregator: incarnation,
     };
-    this.#others.set(region, teller);
-    teller.heardAt = now;
-    return this.#add(teller, totals, { counts: same, region, now });
+    this.#otherRegions.set(region, reporter);
+    reporter.lastReportAt = now;
+    return this.#add(reporter, totals, { counts: isContinuous, region, now });
   }
 
-  /** Sum of a customer for one recipient: all that others of the region and other regions added. */
+  /** A customer's usage at all other entries of the region and in other regions, as sent to one entry. */
   sumForEntry(customer: CustomerId, entry: Incarnation): number {
-    let sum = this.#gone.get(customer) ?? 0;
-    for (const [incarnation, { added }] of this.#entries) {
-      sum += incarnation === entry ? 0 : added.get(customer) ?? 0;
+    let sum = this.#expiredSums.get(customer) ?? 0;
+    for (const [incarnation, { counted }] of this.#entries) {
+      sum += incarnation === entry ? 0 : counted.get(customer) ?? 0;
     }
-    for (const { added } of this.#others.values()) {
-      sum += added.get(customer) ?? 0;
+    for (const { counted } of this.#otherRegions.values()) {
+      sum += counted.get(customer) ?? 0;
     }
     return sum;
   }
 
-  /** Sum of a customer in the own region. */
-  sumOfRegion(customer: CustomerId): number {
-    let sum = this.#gone.get(customer) ?? 0;
-    for (const { added } of this.#entries.values()) {
-      sum += added.get(customer) ?? 0;
+  /** A customer's usage in the own region. */
+  sumForRegion(customer: CustomerId): number {
+    let sum = this.#expiredSums.get(customer) ?? 0;
+    for (const { counted } of this.#entries.values()) {
+      sum += counted.get(customer) ?? 0;
     }
     return sum;
   }
 
-  /** Customers that were used lately. */
+  /** Customers with counted usage. */
   customers(): Iterable<CustomerId> {
-    return this.#uses.keys();
+    return this.#usage.keys();
   }
 
-  /** Units a second that a customer used lately in all regions. */
-  rate(customer: CustomerId, now: Instant): number {
+  /** Units per second that a customer recently used in all regions. */
+  recentRatePerSecond(customer: CustomerId, now: Instant): number {
     let sum = 0;
-    for (const use of this.#uses.get(customer)?.values() ?? []) {
-      sum += use.of(now);
+    for (const usage of this.#usage.get(customer)?.values() ?? []) {
+      sum += usage.of(now);
     }
-    return sum * 1_000 / SHARE_LIFETIME_MS;
+    return sum * 1_000 / SHARE_TIME_CONSTANT_MS;
   }
 
   /**
-   * Part of a limit that the heard regions may use together. Cut off from each other, each would think
-   * itself alone and let the whole limit in; so each side keeps the part that it used while all were heard.
+   * Share of a limit that the connected regions may use together. In a network partition each side would
+   * otherwise admit the whole limit, so each side keeps the share that it used while all were connected.
    */
-  heardPart(customer: CustomerId, now: Instant): number {
-    const heard = this.#regions.filter((region) => this.#hears(region, now));
-    if (heard.length === this.#regions.length) {
-      this.#agreed.set(customer, this.#parts(customer, now));
+  reachableShare(customer: CustomerId, now: Instant): number {
+    const reachable = this.#regions.filter((region) =>
+      this.#isReachable(region, now)
+    );
+    if (reachable.length === this.#regions.length) {
+      this.#lastAgreedShares.set(customer, this.#usageShares(customer, now));
       return 1;
     }
-    const agreed = this.#agreed.get(customer);
-    const equal = 1 / this.#regions.length;
-    return heard.reduce(
-      (sum, region) => sum + (agreed?.get(region) ?? equal),
+    const agreedShares = this.#lastAgreedShares.get(customer);
+    const equalShare = 1 / this.#regions.length;
+    return reachable.reduce(
+      (sum, region) => sum + (agreedShares?.get(region) ?? equalShare),
       0,
     );
   }
 
-  /** Parts of what was used lately; equal ones where nothing was. */
-  #parts(
+  /** Each region's share of recent usage; equal shares if there was none. */
+  #usageShares(
     customer: CustomerId,
     now: Instant,
   ): ReadonlyMap<RegionId, number> {
-    const uses = this.#uses.get(customer);
-    const useOf = (region: RegionId): number => uses?.get(region)?.of(now) ?? 0;
-    const all = this.#regions.reduce((sum, region) => sum + useOf(region), 0);
+    const usage = this.#usage.get(customer);
+    const usageIn = (region: RegionId): number =>
+      usage?.get(region)?.of(now) ?? 0;
+    const total = this.#regions.reduce(
+      (sum, region) => sum + usageIn(region),
+      0,
+    );
     return new Map(
       this.#regions.map((region) => [
         region,
-        all > 0 ? useOf(region) / all : 1 / this.#regions.length,
+        total > 0 ? usageIn(region) / total : 1 / this.#regions.length,
       ]),
     );
   }
 
-  /** Forgets entries that ended long ago. */
+  /** Removes entries that have not reported for a long time. */
   tick(now: Instant): void {
-    for (const [incarnation, { heardAt, added }] of this.#entries) {
-      if (now - heardAt > FORGET_MS) {
+    for (const [incarnation, { lastReportAt, counted }] of this.#entries) {
+      if (now - lastReportAt > ENTRY_EXPIRY_MS) {
         this.#entries.delete(incarnation);
-        added.forEach((sum, customer) =>
-          this.#gone.set(customer, (this.#gone.get(customer) ?? 0) + sum)
+        counted.forEach((sum, customer) =>
+          this.#expiredSums.set(
+            customer,
+            (this.#expiredSums.get(customer) ?? 0) + sum,
+          )
         );
       }
     }
   }
 
-  #hears(region: RegionId, now: Instant): boolean {
-    const heardAt = this.#others.get(region)?.heardAt;
+  #isReachable(region: RegionId, now: Instant): boolean {
+    const lastReportAt = this.#otherRegions.get(region)?.lastReportAt;
     return region === this.#region ||
-      heardAt !== undefined && now - heardAt <= HEARD_MS;
+      lastReportAt !== undefined && now - lastReportAt <= SILENCE_TIMEOUT_MS;
   }
 
   #add(
-    { told, added }: Teller,
+    { reported, counted }: ReporterSums,
     sums: readonly { readonly customer: CustomerId; readonly sum: number }[],
     { counts, region, now }: {
       counts: boolean;
@@ -187,28 +205,28 @@
       now: Instant;
     },
   ): Map<CustomerId, number> {
-    const news = new Map<CustomerId, number>();
+    const increases = new Map<CustomerId, number>();
     for (const { customer, sum } of sums) {
-      const before = told.get(customer) ?? 0;
-      told.set(customer, sum);
-      if (counts && sum !== before) {
-        added.set(customer, (added.get(customer) ?? 0) + sum - before);
-        news.set(customer, sum - before);
-        this.#use(customer, region).add(sum - before, now);
+      const previous = reported.get(customer) ?? 0;
+      reported.set(customer, sum);
+      if (counts && sum !== previous) {
+        counted.set(customer, (counted.get(customer) ?? 0) + sum - previous);
+        increases.set(customer, sum - previous);
+        this.#usageOf(customer, region).add(sum - previous, now);
       }
     }
-    return news;
+    return increases;
   }
 
-  #use(customer: CustomerId, region: RegionId): FadingSum {
-    const regions = this.#uses.get(customer) ?? new Map<RegionId, FadingSum>();
-    this.#uses.set(customer, regions);
-    const use = regions.get(region) ?? new FadingSum(SHARE_LIFETIME_MS);
-    regions.set(region, use);
-    return use;
+  #usageOf(customer: CustomerId, region: RegionId): FadingSum {
+    const regions = this.#usage.get(customer) ?? new Map<RegionId, FadingSum>();
+    this.#usage.set(customer, regions);
+    const usage = regions.get(region) ?? new FadingSum(SHARE_TIME_CONSTANT_MS);
+    regions.set(region, usage);
+    return usage;
   }
 }
 
-function newTeller(now: Instant): Teller {
-  return { told: new Map(), added: new Map(), heardAt: now };
+function newReporterSums(now: Instant): ReporterSums {
+  return { reported: new Map(), counted: new Map(), lastReportAt: now };
 }
--- a/packages/core/src/customers/spending_messages.ts
+++ b/packages/core/src/customers/spending_messages.ts
@@ -1,43 +1,43 @@
 /**
- * What entries tell each other of what customers use. Only names and sums travel.
+ * Messages that entries exchange about customers' usage. They contain only customer ids and sums.
  *
  * @module
  */
 import type { CustomerId, Incarnation, RegionId } from "../ids/index.ts";
 
-/** What one entry let in, told to the keeper of its region. */
+/** Usage admitted by one entry, sent to the aggregator of its region. */
 export interface SpendingReport {
   readonly kind: "report";
   readonly incarnation: Incarnation;
-  /** Whether the sums are from the sender's start on, and nobody was told of them before. */
+  /** Whether the sums include all usage since the sender's start because no aggregator has counted any of it yet. */
   readonly first: boolean;
-  /** Since the sender's start. */
+  /** Units admitted since the sender started. */
   readonly spent: readonly CustomerSum[];
 }
 
-/** What a keeper knows, told to one entry of its region or to the keeper of another. */
+/** Usage known to an aggregator, sent to an entry of its region or to the aggregator of another region. */
 export interface SpendingTotals {
   readonly kind: "totals";
   readonly incarnation: Incarnation;
   readonly region: RegionId;
-  /** Whether some customer is near its limit, so that all tell more often. */
+  /** Whether any customer is near its limit, so that entries send messages more often. */
   readonly near: boolean;
   readonly totals: readonly CustomerTotal[];
 }
 
-/** Units of one customer. */
+/** Units used by one customer. */
 export interface CustomerSum {
   readonly customer: CustomerId;
   readonly sum: number;
 }
 
-/** One customer's use as a keeper knows it. */
+/** One customer's usage as an aggregator knows it. */
 export interface CustomerTotal extends CustomerSum {
-  /** Of the whole fleet's bucket. */
+  /** Units left in the aggregator's copy of the customer's bucket, negative if overdrawn. */
   readonly level: number;
-  /** Part of the limit, 0 to 1, that belongs to the regions that the keeper hears. */
+  /** Share of the limit, from 0 to 1, available to the regions that the aggregator is connected to. */
   readonly part: number;
 }
 
-/** Datagrams about spending. */
+/** Any message about customers' usage, sent as a datagram. */
 export type SpendingMessage = SpendingReport | SpendingTotals;
--- a/playground/src/guards/epoch_guards.ts
+++ b/playground/src/guards/epoch_guards.ts
@@ -83,8 +83,8 @@
     point: RESTORED,
     name: "readings renew no lease until all was written again",
     file: "packages/core/src/customers/currency.ts",
-    find: "if (proof.at < this.#validFrom) {",
-    replace: "if (proof.at < 0 * this.#validFrom) {",
+    find: "if (proof.at < this.#rejectProofsBefore) {",
+    replace: "if (proof.at < 0 * this.#rejectProofsBefore) {",
   },
   {
     point: RESTORED,
