--- a/packages/core/src/endpoint_terms/__tests__/endpoint_departures.test.ts
+++ b/packages/core/src/endpoint_terms/__tests__/endpoint_departures.test.ts
@@ -10,18 +10,18 @@
 
 const ENDPOINTS = ["e1", "e2", "e3"] as EndpointId[];
 const ANSWER = { call: "c", status: 200 };
-/** Two rounds in which entries are told, and a little. */
-const TOLD_MS = 600;
+/** Two rounds of announcements, plus some margin. */
+const ANNOUNCED_MS = 600;
 
 interface Entry {
   readonly incarnation: Incarnation;
   readonly departures: EndpointDepartures;
 }
 
-/** Entries of a region whose datagrams arrive, unless an entry is cut off. */
+/** The entries of a region. Datagrams arrive unless the sender or receiver is disconnected. */
 class Region {
   readonly entries: Entry[] = [];
-  readonly cut = new Set<Incarnation>();
+  readonly disconnected = new Set<Incarnation>();
   #starts = 0;
   #now = 0;
 
@@ -36,8 +36,8 @@
             .incarnation,
         peers: () =>
           this.entries.map((entry) => entry.incarnation).filter((other) =>
-            other !== incarnation && !this.cut.has(other) &&
-            !this.cut.has(incarnation)
+            other !== incarnation && !this.disconnected.has(other) &&
+            !this.disconnected.has(incarnation)
           ),
         isPublished: () => true,
         send: (to, message) => this.#send(to, message),
@@ -78,59 +78,61 @@
   }),
 );
 
-describe("endpoints that say that they leave", () => {
-  // Guards against an entry that forgets a departure, or holds one against the endpoint's next life.
-  it("are known to the entry that was told, and to all that hear each other, for that life alone", () => {
+describe("endpoints that announce that they are shutting down", () => {
+  // Guards against an entry that forgets a departure, or applies it to the endpoint after the endpoint's restart.
+  it("are known to the entry that got the answer and to all connected ones, until the endpoint restarts", () => {
     fc.assert(
       fc.property(fc.array(step, { maxLength: 12 }), (steps) => {
         const region = new Region();
         [0, 1, 2, 3].forEach((index) => region.start(index));
         const lives = ENDPOINTS.map(() => 1);
-        /** Entries that were told by the present life of each endpoint itself. */
-        const told = ENDPOINTS.map(() => new Set<Incarnation>());
+        /** For each endpoint, the entries that received its announcement directly since its last start. */
+        const informed = ENDPOINTS.map(() => new Set<Incarnation>());
         const recordOf = (index: number): never =>
           ({ id: ENDPOINTS[index], life: lives[index] }) as never;
         for (const action of steps) {
           switch (action.kind) {
             case "leaves": {
               const { incarnation, departures } = region.entries[action.entry]!;
-              told[action.endpoint]!.add(incarnation);
+              informed[action.endpoint]!.add(incarnation);
               departures.hear(recordOf(action.endpoint), ANSWER);
               break;
             }
             case "cut":
-              region.cut.add(region.entries[action.entry]!.incarnation);
+              region.disconnected.add(
+                region.entries[action.entry]!.incarnation,
+              );
               break;
             case "heal":
-              region.cut.clear();
+              region.disconnected.clear();
               break;
             case "restart":
               region.start(action.entry);
               break;
             case "reborn":
               lives[action.endpoint]!++;
-              told[action.endpoint]!.clear();
+              informed[action.endpoint]!.clear();
           }
-          region.run(TOLD_MS);
+          region.run(ANNOUNCED_MS);
           region.entries.forEach(({ incarnation, departures }) =>
             ENDPOINTS.forEach((_, index) => {
               const known = departures.has(recordOf(index));
-              if (told[index]!.has(incarnation)) {
+              if (informed[index]!.has(incarnation)) {
                 expect(known).toBe(true);
               }
-              if (told[index]!.size === 0) {
+              if (informed[index]!.size === 0) {
                 expect(known).toBe(false);
               }
             })
           );
         }
-        if (region.cut.size === 0) {
+        if (region.disconnected.size === 0) {
           ENDPOINTS.forEach((_, index) => {
-            const alive = region.entries.some(({ incarnation }) =>
-              told[index]!.has(incarnation)
+            const isAnyInformed = region.entries.some(({ incarnation }) =>
+              informed[index]!.has(incarnation)
             );
             expect(
-              !alive ||
+              !isAnyInformed ||
                 region.entries.every(({ departures }) =>
                   departures.has(recordOf(index))
                 ),
--- a/packages/core/src/endpoint_terms/__tests__/endpoint_limits.test.ts
+++ b/packages/core/src/endpoint_terms/__tests__/endpoint_limits.test.ts
@@ -10,16 +10,19 @@
 import { type LimitEvent, LimitModel } from "./limit_model.ts";
 
 const WINDOW_MS = 4_000;
+/** In a window, entries together may send this many times the limit, plus the slack. */
 const OVERSHOOT = 1.5;
 const SLACK = 5;
+/** Time after a change of the limit until the new one has to hold. */
 const SETTLE_MS = 2_000;
 const RECORD = { id: "e" as EndpointId, life: 1 } as never;
 const ANSWER = { call: "c", status: 200 };
 
-function mostWithin(instants: readonly number[]): number {
-  return instants.reduce((most, start) =>
+/** The highest number of instants within any window. */
+function maxWithinWindow(instants: readonly number[]): number {
+  return instants.reduce((max, start) =>
     Math.max(
-      most,
+      max,
       instants.filter((at) => at >= start && at < start + WINDOW_MS).length,
     ), 0);
 }
@@ -35,7 +38,7 @@
   fc.record({
     kind: fc.constant("issuer" as const),
     entry,
-    lag: fc.nat({ max: 900 }),
+    maxLagMs: fc.nat({ max: 900 }),
   }),
   fc.record({
     kind: fc.constant("pause" as const),
@@ -47,8 +50,8 @@
 );
 
 describe("limits that endpoints state", () => {
-  // Guards against entries that together send more than a limit while they disagree, pause or start again.
-  it("hold for all entries together, whatever happens in whatever order", () => {
+  // Guards against entries that together exceed a limit while they disagree about the issuer, pause or restart.
+  it("hold for all entries together under any sequence of events", () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 8 }),
@@ -59,8 +62,13 @@
           { maxLength: 8 },
         ),
         fc.nat(),
-        (entries, every, loss, steps, seed) => {
-          const model = new LimitModel({ entries, every, loss, seed });
+        (entries, requestPeriodMs, loss, steps, seed) => {
+          const model = new LimitModel({
+            entries,
+            requestPeriodMs,
+            loss,
+            seed,
+          });
           model.run(4_000);
           model.apply({ kind: "limit", perSecond: 2 });
           model.run(3_000);
@@ -72,10 +80,10 @@
           const { limits, arrivals } = model;
           limits.forEach(({ at, perSecond }, index) => {
             const end = limits[index + 1]?.at ?? Infinity;
-            const kept = arrivals.filter((arrival) =>
+            const settledArrivals = arrivals.filter((arrival) =>
               arrival >= at + SETTLE_MS && arrival < end
             );
-            expect(mostWithin(kept)).toBeLessThanOrEqual(
+            expect(maxWithinWindow(settledArrivals)).toBeLessThanOrEqual(
               (perSecond ?? Infinity) * OVERSHOOT * WINDOW_MS / 1_000 + SLACK,
             );
           });
@@ -86,20 +94,30 @@
   });
 
   it.each([[1, 0.3], [4, 0.3], [4, 4], [8, 1.2], [8, 30], [30, 1], [30, 6]])(
-    "are used by %i entries at %d a second",
+    "are used almost in full by %i entries at %d requests per second",
     (entries, perSecond) => {
-      const model = new LimitModel({ entries, every: 100, loss: 0, seed: 1 });
+      const model = new LimitModel({
+        entries,
+        requestPeriodMs: 100,
+        loss: 0,
+        seed: 1,
+      });
       model.run(4_000);
       model.apply({ kind: "limit", perSecond });
       model.run(40_000);
-      const kept = model.arrivals.filter((at) => at >= 4_000 + SETTLE_MS);
-      expect(kept.length).toBeGreaterThan(0.8 * perSecond * 38);
-      expect(kept.length).toBeLessThanOrEqual(1.05 * perSecond * 38 + 2);
+      const settledArrivals = model.arrivals.filter((at) =>
+        at >= 4_000 + SETTLE_MS
+      );
+      expect(settledArrivals.length).toBeGreaterThan(0.8 * perSecond * 38);
+      expect(settledArrivals.length).toBeLessThanOrEqual(
+        1.05 * perSecond * 38 + 2,
+      );
     },
   );
 
-  // Guards against an issuer that starts anew and sends without limit, since it tells others and nobody tells it.
-  it("are told to an entry that starts anew and is to issue their permits", () => {
+  // Guards against an issuer that sends without limit after its restart: it announces limits to the other entries,
+  // but none of them announced the limit to it.
+  it("are announced to a restarted entry that has to issue their permits", () => {
     const sent: { to: Incarnation; message: LimitMessage }[] = [];
     const build = (name: string): EndpointLimits =>
       new EndpointLimits({
@@ -111,19 +129,19 @@
         send: (to, message) => sent.push({ to, message }),
         log: () => {},
       }, instant(-10_000));
-    const knowing = build("a");
+    const informed = build("a");
     const stated = { kind: "value", value: 2 } as const;
-    knowing.hear(RECORD, { stated, answer: ANSWER }, instant(0));
+    informed.hear(RECORD, { stated, answer: ANSWER }, instant(0));
     sent.length = 0;
-    const started = build("b");
+    const restarted = build("b");
     for (let at = 25; at < 1_000; at += 25) {
-      knowing.tick(instant(at));
+      informed.tick(instant(at));
     }
-    sent.forEach(({ message }) => started.receive(message, instant(1_000)));
-    expect(started.limitOf(RECORD)).toBe(2);
+    sent.forEach(({ message }) => restarted.receive(message, instant(1_000)));
+    expect(restarted.limitOf(RECORD)).toBe(2);
   });
 
-  describe("by one entry", () => {
+  describe("at a single entry", () => {
     const lines: string[] = [];
     const build = (): EndpointLimits =>
       new EndpointLimits({
@@ -136,7 +154,7 @@
         log: (text) => lines.push(text),
       }, instant(-10_000));
 
-    it("stay in force where an answer states nonsense, and one line tells so", () => {
+    it("stay in force if an answer states an invalid value, which is logged once", () => {
       lines.length = 0;
       const limits = build();
       const stated = { kind: "value", value: 2 } as const;
@@ -154,7 +172,7 @@
       ]);
     });
 
-    it("starve no endpoint for ever, so that it can say when its limit ends", () => {
+    it("never stop all requests, so that an endpoint can announce that its limit ended", () => {
       const limits = build();
       const stated = { kind: "value", value: 1e-9 } as const;
       limits.hear(RECORD, { stated, answer: ANSWER }, instant(0));
@@ -170,7 +188,7 @@
       expect(allowed).toBeLessThanOrEqual(6);
     });
 
-    it("end with the life of the endpoint that stated them", () => {
+    it("end when the endpoint that stated them restarts", () => {
       const limits = build();
       const stated = { kind: "value", value: 2 } as const;
       limits.hear(RECORD, { stated, answer: ANSWER }, instant(0));
@@ -178,7 +196,7 @@
       expect(limits.limitOf(next)).toBeUndefined();
     });
 
-    it("void permits that were issued under a higher one", () => {
+    it("invalidate permits that were issued under a higher one", () => {
       const limits = build();
       const hear = (value: number, at: number): void =>
         limits.hear(RECORD, {
--- a/packages/core/src/endpoint_terms/__tests__/endpoint_rests.test.ts
+++ b/packages/core/src/endpoint_terms/__tests__/endpoint_rests.test.ts
@@ -9,13 +9,14 @@
 
 const RECORD = { id: "e" as EndpointId, life: 1 } as never;
 const ANSWER = { call: "c", status: 503 };
+/** Step of the virtual time. */
 const STEP_MS = 10;
 
 function restOf(value: number): Stated {
   return { kind: "value", value };
 }
 
-describe("endpoints that ask for rest", () => {
+describe("endpoints that ask to back off", () => {
   let rests: EndpointRests;
   let lines: string[];
 
@@ -28,20 +29,20 @@
     rests = new EndpointRests({ log: (text) => lines.push(text) });
   });
 
-  it("get it until the instant that they named", () => {
+  it("get no request until the stated time", () => {
     hear(restOf(3), 0);
     expect(waitAt(1)).toBe(2_999);
     expect(waitAt(2_999)).toBe(1);
     expect(waitAt(3_000)).toBe(0);
   });
 
-  it("get the longest that was asked for, whatever order answers come in", () => {
+  it("get the longest stated period, in whatever order answers arrive", () => {
     hear(restOf(5), 0);
     hear(restOf(1), 10);
     expect(waitAt(20)).toBe(4_980);
   });
 
-  it("get requests one by one afterwards, sooner with each that is served", () => {
+  it("get single requests afterwards, at intervals that shrink with each served one", () => {
     hear(restOf(1), 0);
     const gaps: number[] = [];
     let last = 1_000;
@@ -58,14 +59,14 @@
     expect(lines.at(-1)).toBe("Endpoint is back from its rest.");
   });
 
-  it("are not left alone for a year or for ever", () => {
+  it("get requests again after a maximum period, also if they state a year", () => {
     hear(restOf(2_026), 0);
     expect(waitAt(60_000)).toBe(0);
     hear(restOf(31_536_000), 60_000);
     expect(waitAt(120_000)).toBe(0);
   });
 
-  it("are not left alone for nonsense, and one line tells so", () => {
+  it("get requests as before if they state an invalid value, which is logged once", () => {
     const stated = { kind: "invalid", text: "soon", reason: "r" } as const;
     hear(stated, 0);
     hear(stated, 1);
@@ -74,14 +75,14 @@
     expect(lines).toEqual(["Rest of an endpoint is ignored."]);
   });
 
-  it("rest for that life only", () => {
+  it("get requests again once they restart", () => {
     hear(restOf(3), 0);
     const next = { id: "e" as EndpointId, life: 2 } as never;
     expect(rests.waitFor(next, instant(1))).toBe(0);
   });
 
-  // Guards against a rest that ends early, or never, in whatever order an endpoint asks and serves.
-  it("get no request in any rest, and requests again soon after the last", () => {
+  // Guards against a back-off period that ends early, or never, in whatever order an endpoint refuses and serves.
+  it("get no request in any back-off period, and requests again soon after the last one", () => {
     fc.assert(
       fc.property(
         fc.array(
--- a/packages/core/src/endpoint_terms/__tests__/limit_model.ts
+++ b/packages/core/src/endpoint_terms/__tests__/limit_model.ts
@@ -7,15 +7,21 @@
   SeededRandomness,
 } from "../../index.ts";
 
+/** Step of the virtual time. */
 const STEP_MS = 5;
+/** Time that the endpoint takes to answer. */
 const ANSWER_MS = 5;
 const ENDPOINT = "e" as EndpointId;
 
 /** Something that happens to the modelled region. */
 export type LimitEvent =
   | { readonly kind: "limit"; readonly perSecond: number | undefined }
-  /** The entries come to hold another one for the issuer, each after its own time. */
-  | { readonly kind: "issuer"; readonly entry: number; readonly lag: number }
+  /** Another entry becomes the issuer. Each entry learns of it after its own random delay. */
+  | {
+    readonly kind: "issuer";
+    readonly entry: number;
+    readonly maxLagMs: number;
+  }
   | { readonly kind: "pause"; readonly entry: number; readonly time: number }
   | { readonly kind: "restart"; readonly entry: number }
   | { readonly kind: "life" };
@@ -24,44 +30,46 @@
   limits: EndpointLimits;
   incarnation: Incarnation;
   issuer: number;
-  issuerLater: { entry: number; at: number } | undefined;
+  nextIssuer: { entry: number; at: number } | undefined;
   pausedUntil: number;
-  readonly mail: { at: number; message: LimitMessage }[];
-  readonly answers: { at: number; perSecond: number | undefined }[];
+  readonly inFlight: { at: number; message: LimitMessage }[];
+  readonly pendingAnswers: { at: number; perSecond: number | undefined }[];
 }
 
-/** Entries that share one endpoint, under virtual time. */
+/** Simulates a region whose entries share one endpoint, in virtual time. */
 export class LimitModel {
+  /** Times at which requests reached the endpoint. */
   readonly arrivals: number[] = [];
+  /** Limits that the endpoint had, with the time from which each was in force. */
   readonly limits: { at: number; perSecond: number | undefined }[] = [
     { at: 0, perSecond: undefined },
   ];
   readonly #random: SeededRandomness;
-  readonly #loss: number;
-  readonly #every: number;
+  readonly #lossProbability: number;
+  readonly #requestPeriodMs: number;
   readonly #entries: Entry[] = [];
   #now = 0;
   #life = 1;
   #starts = 0;
 
-  /** Each entry has a request every so many milliseconds. */
+  /** `requestPeriodMs`: interval between the requests of each entry. `loss`: probability that a message is lost. */
   constructor(
-    { entries, every, loss, seed }: {
+    { entries, requestPeriodMs, loss, seed }: {
       entries: number;
-      every: number;
+      requestPeriodMs: number;
       loss: number;
       seed: number;
     },
   ) {
     this.#random = new SeededRandomness(seed);
-    this.#loss = loss;
-    this.#every = every;
+    this.#lossProbability = loss;
+    this.#requestPeriodMs = requestPeriodMs;
     for (let index = 0; index < entries; index++) {
       this.#entries.push(this.#start(index, 0));
     }
   }
 
-  /** What the endpoint allows at present. */
+  /** The endpoint's current limit, in requests per second. */
   get limit(): number | undefined {
     return this.limits.at(-1)!.perSecond;
   }
@@ -76,9 +84,9 @@
         return;
       case "issuer":
         for (const other of this.#entries) {
-          const at = this.#now + event.lag * this.#random.next();
+          const at = this.#now + event.maxLagMs * this.#random.next();
           const index = event.entry % this.#entries.length;
-          other.issuerLater = { entry: index, at };
+          other.nextIssuer = { entry: index, at };
         }
         return;
       case "pause":
@@ -90,7 +98,7 @@
         return;
       }
       case "life":
-        // Another life states its limit anew: it is another endpoint.
+        // After a restart the endpoint states its limit again, and counts as another endpoint.
         this.#life++;
         this.limits.push({ at: this.#now, perSecond: this.limit });
     }
@@ -109,10 +117,10 @@
     const entry: Entry = {
       incarnation,
       issuer,
-      issuerLater: undefined,
+      nextIssuer: undefined,
       pausedUntil: 0,
-      mail: [],
-      answers: [],
+      inFlight: [],
+      pendingAnswers: [],
       limits: new EndpointLimits({
         incarnation,
         issuerOf: () => this.#entries[entry.issuer]!.incarnation,
@@ -132,9 +140,9 @@
     const receiver = this.#entries.find(({ incarnation }) =>
       incarnation === to
     );
-    if (this.#random.next() >= this.#loss) {
+    if (this.#random.next() >= this.#lossProbability) {
       const at = this.#now + 1 + 20 * this.#random.next();
-      receiver?.mail.push({ at, message });
+      receiver?.inFlight.push({ at, message });
     }
   }
 
@@ -144,26 +152,26 @@
     }
     const now = instant(this.#now);
     if (entry.pausedUntil > 0) {
-      this.#wake(entry);
+      this.#resume(entry);
     }
-    if (entry.issuerLater !== undefined && now >= entry.issuerLater.at) {
-      entry.issuer = entry.issuerLater.entry;
-      entry.issuerLater = undefined;
+    if (entry.nextIssuer !== undefined && now >= entry.nextIssuer.at) {
+      entry.issuer = entry.nextIssuer.entry;
+      entry.nextIssuer = undefined;
     }
-    takeDue(entry.mail, now).forEach(({ message }) =>
+    takeDue(entry.inFlight, now).forEach(({ message }) =>
       entry.limits.receive(message, now)
     );
-    takeDue(entry.answers, now).forEach(({ perSecond }) =>
+    takeDue(entry.pendingAnswers, now).forEach(({ perSecond }) =>
       this.#hear(entry, perSecond)
     );
     entry.limits.tick(now);
     const phase = index * STEP_MS;
-    if ((this.#now + phase) % this.#every < STEP_MS) {
-      this.#demand(entry);
+    if ((this.#now + phase) % this.#requestPeriodMs < STEP_MS) {
+      this.#sendRequest(entry);
     }
   }
 
-  #wake(entry: Entry): void {
+  #resume(entry: Entry): void {
     entry.pausedUntil = 0;
     entry.limits.woke();
   }
@@ -177,8 +185,8 @@
     }, instant(this.#now));
   }
 
-  /** One request: to the endpoint with leave, elsewhere without. */
-  #demand(entry: Entry): void {
+  /** Handles one request of an entry: sends it if there is a permit, and drops it otherwise. */
+  #sendRequest(entry: Entry): void {
     const now = instant(this.#now);
     const record = this.#record();
     if (!entry.limits.allows(record, now)) {
@@ -188,7 +196,7 @@
     if (entry.limits.covers(record, permit, now)) {
       this.arrivals.push(this.#now);
       const at = this.#now + ANSWER_MS;
-      entry.answers.push({ at, perSecond: this.limit });
+      entry.pendingAnswers.push({ at, perSecond: this.limit });
     }
   }
 
--- a/packages/core/src/endpoint_terms/endpoint_departures.ts
+++ b/packages/core/src/endpoint_terms/endpoint_departures.ts
@@ -1,9 +1,9 @@
 /**
- * Endpoints that say in their answers that they leave.
+ * Endpoints that announce in their answers that they are shutting down.
  *
- * The word of the endpoint holds for the rest of its life, whatever its record says: the store may have
- * the news much later, or be out of reach. Entries tell each other, so that each need not be told by a
- * request that the endpoint had better not get.
+ * An announcement is valid until the endpoint starts again, whatever its stored record says: the store may be
+ * updated much later or be unreachable. Entries pass announcements on to each other. Otherwise each entry would
+ * learn of a shutdown only from the answer to a request that the endpoint should not have received.
  *
  * @module
  */
@@ -14,30 +14,29 @@
   Instant,
 } from "../ids/index.ts";
 import { type EndpointRecord, isSameLife } from "../routes/index.ts";
-import type { StatingAnswer, TermsLog } from "./stated.ts";
-import { ToldPeers } from "./told_peers.ts";
+import type { AnswerSummary, TermsLog } from "./stated.ts";
+import { PeerAnnouncements } from "./told_peers.ts";
 
-/** Endpoints that are remembered; each start of one may have an id of its own. */
-const MOST_ENDPOINTS = 4_096;
-/** Departures in one datagram. */
-const MOST_DEPARTURES = 40;
+/** Maximum number of remembered endpoints. Each start of an endpoint may use a new id. */
+const MAX_ENDPOINTS = 4_096;
+const MAX_DEPARTURES_PER_DATAGRAM = 40;
 
-/** A life of an endpoint that leaves. */
+/** An endpoint that is shutting down, and the life (process start) in which it does. */
 export interface Departure {
   readonly endpoint: EndpointId;
   readonly life: EndpointLife | undefined;
 }
 
-/** One datagram about endpoints that leave. */
+/** A datagram about endpoints that are shutting down. */
 export interface DepartureMessage {
   readonly incarnation: Incarnation;
   readonly departures: readonly Departure[];
 }
 
-/** What departures are known by, and told to. */
+/** Dependencies of the departures. */
 export interface DepartureSources {
   readonly incarnation: Incarnation;
-  /** The entry of the region that tells others of an endpoint. */
+  /** Returns the entry that announces an endpoint's departure to the region. */
   readonly announcerOf: (endpoint: EndpointId) => Incarnation;
   /** Other live entries of the region. */
   readonly peers: () => readonly Incarnation[];
@@ -47,44 +46,44 @@
   readonly log: TermsLog;
 }
 
-/** What is known of endpoints that leave. */
+/** The known endpoints that are shutting down. */
 export class EndpointDepartures {
   readonly #sources: DepartureSources;
   readonly #departures = new Map<EndpointId, Departure>();
-  readonly #told = new ToldPeers();
+  readonly #announcements = new PeerAnnouncements();
 
   constructor(sources: DepartureSources) {
     this.#sources = sources;
   }
 
-  /** Published endpoints that leave. */
+  /** Number of published endpoints that are shutting down. */
   get size(): number {
     return this.#published().length;
   }
 
-  /** Whether this life of an endpoint leaves. */
+  /** Whether an endpoint is shutting down in its given life. */
   has({ id, life }: Pick<EndpointRecord, "id" | "life">): boolean {
     const known = this.#departures.get(id);
     return known !== undefined && isSameLife(known, { life });
   }
 
-  /** An answer says that its endpoint leaves. */
+  /** Handles an answer that announces its endpoint's shutdown. */
   hear(
     { id: endpoint, life, service, state }: EndpointRecord,
-    answer: StatingAnswer,
+    answer: AnswerSummary,
   ): void {
     const departure = { endpoint, life };
-    if (this.#learn(departure)) {
+    if (this.#add(departure)) {
       const { peers, log } = this.#sources;
       log("Endpoint leaves.", { endpoint, service, record: state, ...answer });
-      peers().forEach((peer) => this.#tell(peer, [departure]));
+      peers().forEach((peer) => this.#send(peer, [departure]));
     }
   }
 
-  /** Takes what another entry tells. */
+  /** Handles a message from another entry. */
   receive({ incarnation, departures }: DepartureMessage): void {
     for (const departure of departures) {
-      if (this.#learn(departure)) {
+      if (this.#add(departure)) {
         const { endpoint } = departure;
         const fields = { endpoint, toldBy: incarnation };
         this.#sources.log("Endpoint leaves.", fields);
@@ -92,13 +91,13 @@
     }
   }
 
-  /** Tells entries that may not know. */
+  /** Announces departures to entries that may not know of them. */
   tick(now: Instant): void {
     if (this.#departures.size === 0) {
       return;
     }
     const { incarnation, announcerOf, peers } = this.#sources;
-    const due = this.#told.takeDue(peers(), now);
+    const due = this.#announcements.takeDue(peers(), now);
     const known = due.length === 0
       ? []
       : this.#published().map((departure) => ({
@@ -106,18 +105,22 @@
         announcer: announcerOf(departure.endpoint),
       }));
     for (const peer of due) {
-      // An announcer that has just started knows nothing of what it is to tell.
-      const told = known.filter(({ announcer }) =>
+      // The announcer itself is sent its departures too: it may have just started and not know of them.
+      const relevant = known.filter(({ announcer }) =>
         announcer === incarnation || announcer === peer
       );
-      this.#tell(peer, told.map(({ departure }) => departure));
+      this.#send(peer, relevant.map(({ departure }) => departure));
     }
   }
 
-  #tell(peer: Incarnation, departures: readonly Departure[]): void {
+  #send(peer: Incarnation, departures: readonly Departure[]): void {
     const { incarnation, send } = this.#sources;
-    for (let first = 0; first < departures.length; first += MOST_DEPARTURES) {
-      const part = departures.slice(first, first + MOST_DEPARTURES);
+    for (
+      let first = 0;
+      first < departures.length;
+      first += MAX_DEPARTURES_PER_DATAGRAM
+    ) {
+      const part = departures.slice(first, first + MAX_DEPARTURES_PER_DATAGRAM);
       send(peer, { incarnation, departures: part });
     }
   }
@@ -128,8 +131,8 @@
     );
   }
 
-  /** Returns whether it is news. */
-  #learn(departure: Departure): boolean {
+  /** Records a departure. Returns whether it was not known before. */
+  #add(departure: Departure): boolean {
     const { endpoint: id, life } = departure;
     const known = this.#departures.get(id);
     if (known !== undefined && (life ?? -1) <= (known.life ?? -1)) {
@@ -137,8 +140,8 @@
     }
     this.#departures.delete(id);
     this.#departures.set(id, departure);
-    this.#told.reset();
-    if (this.#departures.size > MOST_ENDPOINTS) {
+    this.#announcements.reset();
+    if (this.#departures.size > MAX_ENDPOINTS) {
       const [oldest] = this.#departures.keys();
       this.#departures.delete(oldest!);
     }
--- a/packages/core/src/endpoint_terms/endpoint_limits.ts
+++ b/packages/core/src/endpoint_terms/endpoint_limits.ts
@@ -1,9 +1,10 @@
 /**
- * Limits that endpoints state in their answers: requests a second from all entries together.
+ * Limits that endpoints state in their answers: requests per second from all entries together.
  *
- * One entry of the region issues permits at that rate, the same entry in all views; the others ask it for
- * one when they have use for it. So the limit is used wherever there are requests, and nobody divides a
- * limit that is smaller than one request a second. Without a permit an endpoint gets nothing.
+ * For each endpoint, one entry of the region issues permits at that rate. All entries agree on which one, and
+ * request a permit from it when they need one. The limit is thus available wherever requests arrive, and is not
+ * divided among entries, which would not work for limits below one request per second. No request is sent to a
+ * limited endpoint without a permit.
  *
  * @module
  */
@@ -19,40 +20,40 @@
 import {
   type KnownLimit,
   KnownLimits,
-  knownOf,
+  limitFromNotice,
   noticeOf,
 } from "./known_limits.ts";
 import type { LimitMessage } from "./limit_messages.ts";
 import { PermitIssuer } from "./permit_issuer.ts";
-import type { Stated, StatingAnswer, TermsLog } from "./stated.ts";
-import { ToldPeers } from "./told_peers.ts";
+import type { AnswerSummary, Stated, TermsLog } from "./stated.ts";
+import { PeerAnnouncements } from "./told_peers.ts";
 
 const MS_PER_SECOND = 1_000;
-/** A permit that is not used for so long, and for the time of one request at the limit, is void. */
-const PERMIT_MS = 1_000;
-/** A question for a permit, or its answer, may be lost: it is asked again. */
-const ASK_PERIOD_MS = 100;
-/** An endpoint is asked at least so often, or it could not say that its limit ends. */
-const LEAST_PER_SECOND = 1 / 30;
-const MS_PER_MINUTE = 60_000;
-/** Notices in one datagram. */
-const MOST_NOTICES = 20;
+/** An unused permit expires after this time plus the interval between two requests at the limit. */
+const PERMIT_LIFETIME_MS = 1_000;
+/** A permit is requested again after this time, since the request or the reply may be lost. */
+const PERMIT_REQUEST_PERIOD_MS = 100;
+/** Lower limits are raised to this rate: an endpoint without requests could not announce that its limit ended. */
+const MIN_LIMIT_PER_SECOND = 1 / 30;
+/** Limits that ended, and those of removed endpoints, are forgotten at this age. */
+const STALE_LIMIT_AGE_MS = 60_000;
+const MAX_NOTICES_PER_DATAGRAM = 20;
 
-/** Leave to send one request to a limited endpoint. */
+/** Permission to send one request to a limited endpoint. */
 export interface Permit {
   readonly until: Instant;
-  /** The limit that it was issued under: a lower one voids it. */
+  /** The limit that the permit was issued under. A lower limit invalidates it. */
   readonly perSecond: number;
 }
 
-/** What limits are kept by. */
+/** Dependencies of the limits. */
 export interface EndpointLimitSources {
   readonly incarnation: Incarnation;
-  /** The entry of the region that issues the permits of an endpoint. */
+  /** Returns the entry of the region that issues an endpoint's permits. */
   readonly issuerOf: (endpoint: EndpointId) => Incarnation;
   /** Other live entries of the region. */
   readonly peers: () => readonly Incarnation[];
-  /** Part of the region's entries that this one hears, itself included. */
+  /** Fraction of the region's entries that this one is connected to, including itself. */
   readonly heardPart: () => number;
   /** Whether an endpoint is published. */
   readonly isPublished: (endpoint: EndpointId) => boolean;
@@ -60,17 +61,17 @@
   readonly log: TermsLog;
 }
 
-/** One entry's permits, and those that it issues. */
+/** Limits and permits of one entry, including the permits that it issues to others. */
 export class EndpointLimits {
   readonly #sources: EndpointLimitSources;
   readonly #known = new KnownLimits();
   readonly #permits = new Map<EndpointId, Permit[]>();
-  readonly #askedAt = new Map<EndpointId, Instant>();
+  readonly #permitRequestedAt = new Map<EndpointId, Instant>();
   readonly #issuers: IssuerView;
-  readonly #issued = new Map<EndpointId, PermitIssuer>();
+  readonly #permitIssuers = new Map<EndpointId, PermitIssuer>();
   readonly #ignored: IgnoredValues;
-  readonly #told = new ToldPeers();
-  /** Requests that found no permit when they were about to be sent. */
+  readonly #announcements = new PeerAnnouncements();
+  /** Number of requests that had no valid permit when they were about to be sent. */
   withheld = 0;
 
   constructor(sources: EndpointLimitSources, now: Instant) {
@@ -82,32 +83,34 @@
     );
   }
 
-  /** Values that were ignored since the start. */
+  /** Number of invalid values since the process started. */
   get ignored(): number {
     return this.#ignored.count;
   }
 
-  /** Endpoints that have a limit at present. */
+  /** Number of endpoints that currently have a limit. */
   get size(): number {
     return [...this.#known.all()].filter(({ perSecond }) =>
       perSecond !== undefined
     ).length;
   }
 
-  /** Whether others wait for permits of this entry. */
+  /** Whether entries are waiting for permits from this one. */
   get isAsked(): boolean {
-    return [...this.#issued.values()].some(({ isAsked }) => isAsked);
+    return [...this.#permitIssuers.values()].some(({ hasRequests }) =>
+      hasRequests
+    );
   }
 
-  /** Requests a second, `undefined` for an endpoint without a limit. */
+  /** Limit in requests per second, `undefined` for an endpoint without a limit. */
   limitOf(record: EndpointRecord): number | undefined {
-    return this.#known.of(record);
+    return this.#known.limitOf(record);
   }
 
-  /** Takes what the head of an answer states; an answer without a limit lifts it. */
+  /** Handles the limit that an answer's headers state. An answer without a limit lifts it. */
   hear(
     record: EndpointRecord,
-    { stated, answer }: { stated: Stated | undefined; answer: StatingAnswer },
+    { stated, answer }: { stated: Stated | undefined; answer: AnswerSummary },
     now: Instant,
   ): void {
     if (stated?.kind === "invalid") {
@@ -118,40 +121,40 @@
     const before = this.limitOf(record);
     const perSecond = stated === undefined
       ? undefined
-      : Math.max(LEAST_PER_SECOND, stated.value);
-    const news = { endpoint, life, perSecond, statedAt: now };
-    if (this.#known.learn(news)) {
-      this.#logChange(news, before, {
+      : Math.max(MIN_LIMIT_PER_SECOND, stated.value);
+    const update = { endpoint, life, perSecond, statedAt: now };
+    if (this.#known.update(update)) {
+      this.#logChange(update, before, {
         ...answer,
         service: record.service,
         now,
       });
-      this.#spread(news, undefined, now);
+      this.#announceChange(update, undefined, now);
     }
   }
 
-  /** Whether a request may be placed at an endpoint; where it may not, a permit is asked for. */
+  /** Whether a request may be placed at an endpoint. Requests a permit if one is missing. */
   allows(record: EndpointRecord, now: Instant): boolean {
     if (this.isFree(record, now)) {
       return true;
     }
-    this.#ask(record.id, now);
+    this.#requestPermit(record.id, now);
     return this.#hasPermit(record, now);
   }
 
-  /** Whether an endpoint has no limit, or a permit of it is at hand. */
+  /** Whether an endpoint has no limit, or this entry holds a permit for it. */
   isFree(record: EndpointRecord, now: Instant): boolean {
     return this.limitOf(record) === undefined || this.#hasPermit(record, now);
   }
 
-  /** Takes a permit, `undefined` where there is none or none is needed. */
+  /** Takes a permit, `undefined` if there is none or none is needed. */
   take(record: EndpointRecord, now: Instant): Permit | undefined {
     return this.limitOf(record) !== undefined && this.allows(record, now)
       ? this.#permits.get(record.id)!.shift()
       : undefined;
   }
 
-  /** Whether a request may be written to an endpoint now, with the permit that it was placed with. */
+  /** Whether a request may be sent to an endpoint now. If its permit is no longer valid, another one is taken. */
   covers(
     record: EndpointRecord,
     permit: Permit | undefined,
@@ -164,49 +167,52 @@
     return covered;
   }
 
-  /** A request was not written: another one may use its permit. */
+  /** Returns the permit of a request that was not sent, so that another request may use it. */
   giveBack({ id }: EndpointRecord, permit: Permit): void {
     this.#permits.set(id, [permit, ...this.#permits.get(id) ?? []]);
   }
 
-  /** Takes what another entry tells. Returns whether it brought permits. */
+  /** Handles a message from another entry. Returns whether it granted permits. */
   receive({ kind, incarnation, notices }: LimitMessage, now: Instant): boolean {
     for (const notice of notices) {
-      const news = knownOf(notice, now);
-      const before = this.#known.of({ id: news.endpoint, life: news.life });
-      if (this.#known.learn(news)) {
-        this.#logChange(news, before, { toldBy: incarnation, now });
-        this.#spread(news, incarnation, now);
+      const update = limitFromNotice(notice, now);
+      const before = this.#known.limitOf({
+        id: update.endpoint,
+        life: update.life,
+      });
+      if (this.#known.update(update)) {
+        this.#logChange(update, before, { toldBy: incarnation, now });
+        this.#announceChange(update, incarnation, now);
       }
       if (kind === "ask") {
-        this.#correct(news, incarnation, now);
-        this.#issue(news.endpoint, now, incarnation);
+        this.#sendCorrection(update, incarnation, now);
+        this.#issuePermits(update.endpoint, now, incarnation);
       } else if (kind === "grant") {
-        this.#addPermit(news.endpoint, now);
+        this.#addPermit(update.endpoint, now);
       }
     }
     return kind === "grant";
   }
 
-  /** Issues what is due. */
+  /** Issues the permits and sends the announcements that are due. */
   tick(now: Instant): void {
     if (this.#known.size === 0) {
       return;
     }
     for (const { endpoint, perSecond } of this.#known.all()) {
       if (perSecond !== undefined) {
-        this.#issue(endpoint, now);
+        this.#issuePermits(endpoint, now);
       }
     }
-    this.#tellOthers(now);
-    this.#forgetGone(now);
+    this.#announceLimits(now);
+    this.#removeStaleLimits(now);
   }
 
-  /** The process stood still: another entry may issue in its place. */
+  /** Called after the process was suspended: another entry may have taken over issuing permits. */
   woke(): void {
     this.#permits.clear();
-    this.#issued.clear();
-    this.#issuers.woke();
+    this.#permitIssuers.clear();
+    this.#issuers.onResume();
   }
 
   #hasPermit(record: EndpointRecord, now: Instant): boolean {
@@ -226,48 +232,52 @@
   }
 
   #addPermit(endpoint: EndpointId, now: Instant): void {
-    this.#askedAt.delete(endpoint);
+    this.#permitRequestedAt.delete(endpoint);
     const perSecond = this.#known.get(endpoint)?.perSecond;
     if (perSecond !== undefined) {
-      const until = after(now, PERMIT_MS + MS_PER_SECOND / perSecond);
+      const until = after(now, PERMIT_LIFETIME_MS + MS_PER_SECOND / perSecond);
       const permits = this.#permits.get(endpoint) ?? [];
       this.#permits.set(endpoint, [...permits, { until, perSecond }]);
     }
   }
 
-  #ask(endpoint: EndpointId, now: Instant): void {
+  #requestPermit(endpoint: EndpointId, now: Instant): void {
     const { incarnation, send } = this.#sources;
     const issuer = this.#findIssuer(endpoint, now).entry;
     if (issuer === incarnation) {
-      return this.#issue(endpoint, now, incarnation);
+      return this.#issuePermits(endpoint, now, incarnation);
     }
-    const askedAt = this.#askedAt.get(endpoint) ?? -Infinity;
-    if (now - askedAt >= ASK_PERIOD_MS) {
-      this.#askedAt.set(endpoint, now);
+    const requestedAt = this.#permitRequestedAt.get(endpoint) ?? -Infinity;
+    if (now - requestedAt >= PERMIT_REQUEST_PERIOD_MS) {
+      this.#permitRequestedAt.set(endpoint, now);
       const notices = [noticeOf(this.#known.get(endpoint)!, now)];
       send(issuer, { kind: "ask", incarnation, notices });
     }
   }
 
-  /** Hands out the permits of an endpoint, if this entry is the one to do so. */
-  #issue(endpoint: EndpointId, now: Instant, asker?: Incarnation): void {
+  /** Issues the permits of an endpoint, if this entry is its issuer. */
+  #issuePermits(
+    endpoint: EndpointId,
+    now: Instant,
+    requester?: Incarnation,
+  ): void {
     const { incarnation, heardPart, send } = this.#sources;
     const known = this.#known.get(endpoint);
     const { entry, takesOver } = this.#findIssuer(endpoint, now);
     if (entry !== incarnation || known?.perSecond === undefined) {
-      this.#issued.delete(endpoint);
+      this.#permitIssuers.delete(endpoint);
       return;
     }
-    const issued = this.#issued.get(endpoint) ??
+    const permitIssuer = this.#permitIssuers.get(endpoint) ??
       new PermitIssuer({ takesOver }, now);
-    this.#issued.set(endpoint, issued);
-    if (asker !== undefined) {
-      issued.ask(asker, now);
+    this.#permitIssuers.set(endpoint, permitIssuer);
+    if (requester !== undefined) {
+      permitIssuer.request(requester, now);
     }
-    if (!issued.isAsked) {
+    if (!permitIssuer.hasRequests) {
       return;
     }
-    for (const to of issued.issue(known.perSecond * heardPart(), now)) {
+    for (const to of permitIssuer.issue(known.perSecond * heardPart(), now)) {
       if (to === incarnation) {
         this.#addPermit(endpoint, now);
       } else {
@@ -282,37 +292,41 @@
     return this.#issuers.find(endpoint, statedAt, now);
   }
 
-  /** Tells of a change: the issuer of the endpoint, who tells all others. */
-  #spread(
-    news: KnownLimit,
+  /** Announces a changed limit to the endpoint's issuer, which announces it to all others. */
+  #announceChange(
+    update: KnownLimit,
     toldBy: Incarnation | undefined,
     now: Instant,
   ): void {
     const { incarnation, send } = this.#sources;
-    const issuer = this.#findIssuer(news.endpoint, now).entry;
+    const issuer = this.#findIssuer(update.endpoint, now).entry;
     if (issuer === incarnation) {
-      this.#told.reset();
-      this.#tellOthers(now);
+      this.#announcements.reset();
+      this.#announceLimits(now);
     } else if (toldBy === undefined) {
-      const notices = [noticeOf(news, now)];
+      const notices = [noticeOf(update, now)];
       send(issuer, { kind: "notice", incarnation, notices });
     }
   }
 
-  /** Tells an entry that asks by a limit that is not in force any more. */
-  #correct(asked: KnownLimit, asker: Incarnation, now: Instant): void {
-    const known = this.#known.get(asked.endpoint);
-    if (known !== undefined && known.perSecond !== asked.perSecond) {
+  /** Sends the current limit to an entry that requested a permit under an outdated one. */
+  #sendCorrection(
+    requested: KnownLimit,
+    requester: Incarnation,
+    now: Instant,
+  ): void {
+    const known = this.#known.get(requested.endpoint);
+    if (known !== undefined && known.perSecond !== requested.perSecond) {
       const { incarnation, send } = this.#sources;
       const notices = [noticeOf(known, now)];
-      send(asker, { kind: "notice", incarnation, notices });
+      send(requester, { kind: "notice", incarnation, notices });
     }
   }
 
-  /** An issuer tells the entries of the region, and each that is new, of its endpoints' limits. */
-  #tellOthers(now: Instant): void {
+  /** Announces the limits of the endpoints that this entry issues for to the region's entries, and to each new one. */
+  #announceLimits(now: Instant): void {
     const { incarnation, peers, send } = this.#sources;
-    const due = this.#told.takeDue(peers(), now);
+    const due = this.#announcements.takeDue(peers(), now);
     const known = due.length === 0
       ? []
       : [...this.#known.all()].map((limit) => ({
@@ -320,28 +334,32 @@
         issuer: this.#findIssuer(limit.endpoint, now).entry,
       }));
     for (const peer of due) {
-      // An issuer that has just started knows nothing of what it is to issue.
+      // The issuer itself is sent its limits too: it may have just started and not know of them.
       const notices = known.filter(({ issuer }) =>
         issuer === incarnation || issuer === peer
       ).map(({ limit }) => noticeOf(limit, now));
-      for (let first = 0; first < notices.length; first += MOST_NOTICES) {
-        const part = notices.slice(first, first + MOST_NOTICES);
+      for (
+        let first = 0;
+        first < notices.length;
+        first += MAX_NOTICES_PER_DATAGRAM
+      ) {
+        const part = notices.slice(first, first + MAX_NOTICES_PER_DATAGRAM);
         send(peer, { kind: "notice", incarnation, notices: part });
       }
     }
   }
 
-  /** Endpoints that are gone, and limits that ended a while ago. */
-  #forgetGone(now: Instant): void {
+  /** Removes limits that ended some time ago, and those of endpoints that are no longer published. */
+  #removeStaleLimits(now: Instant): void {
     const { isPublished } = this.#sources;
     for (const { endpoint, perSecond, statedAt } of this.#known.all()) {
-      const over = perSecond === undefined || !isPublished(endpoint);
-      if (over && now - statedAt > MS_PER_MINUTE) {
+      const isStale = perSecond === undefined || !isPublished(endpoint);
+      if (isStale && now - statedAt > STALE_LIMIT_AGE_MS) {
         this.#known.forget(endpoint);
         this.#permits.delete(endpoint);
-        this.#askedAt.delete(endpoint);
+        this.#permitRequestedAt.delete(endpoint);
         this.#issuers.forget(endpoint);
-        this.#issued.delete(endpoint);
+        this.#permitIssuers.delete(endpoint);
       }
     }
   }
--- a/packages/core/src/endpoint_terms/endpoint_rests.ts
+++ b/packages/core/src/endpoint_terms/endpoint_rests.ts
@@ -1,9 +1,9 @@
 /**
- * Endpoints that turned a request away and want nothing from this entry for a while.
+ * Endpoints that refused a request and asked this entry to back off. Logs and metrics call this a rest.
  *
- * An endpoint asks each entry for itself, so that the others are not told. After its rest it gets one
- * request, and the next ones the closer together the more it has served: all that waits for it, at once,
- * would have it ask for rest again.
+ * An endpoint asks each entry separately, so entries do not inform each other. After the back-off period an
+ * endpoint gets a single request, and further ones at intervals that shrink with each request it serves. If it
+ * got all waiting requests at once, it would ask to back off again.
  *
  * @module
  */
@@ -17,29 +17,30 @@
 } from "../ids/index.ts";
 import { type EndpointRecord, isSameLife } from "../routes/index.ts";
 import { IgnoredValues } from "./ignored_values.ts";
-import type { Stated, StatingAnswer, TermsLog } from "./stated.ts";
+import type { AnswerSummary, Stated, TermsLog } from "./stated.ts";
 
 const MS_PER_SECOND = 1_000;
-/** No endpoint is left alone for longer on its word: it may have stated a date or a year. */
-const MOST_REST_MS = 60_000;
-/** Between the first requests after a rest; each that is served halves it, down to the least. */
-const FIRST_SPACING_MS = 200;
-const LEAST_SPACING_MS = 20;
-/** Endpoints that are remembered. */
-const MOST_ENDPOINTS = 4_096;
+/** Upper bound for a stated back-off period, since an endpoint may have stated a date or a year instead. */
+const MAX_BACKOFF_MS = 60_000;
+/** Interval between the first requests after a back-off period. Each served request halves it, down to the minimum. */
+const INITIAL_SPACING_MS = 200;
+const MIN_SPACING_MS = 20;
+/** Maximum number of remembered endpoints. */
+const MAX_ENDPOINTS = 4_096;
 
-interface Rest {
+/** A back-off period, and the pace of requests after it. */
+interface Backoff {
   readonly life: EndpointLife | undefined;
   until: Instant;
-  /** When the next request may be sent after the rest. */
-  nextAt: Instant;
-  spacing: number;
+  /** Earliest time of the next request. */
+  nextRequestAt: Instant;
+  spacingMs: number;
 }
 
-/** What is known of endpoints that rest. */
+/** Back-off periods of endpoints, and the pace of requests after them. */
 export class EndpointRests {
   readonly #log: TermsLog;
-  readonly #rests = new Map<EndpointId, Rest>();
+  readonly #backoffs = new Map<EndpointId, Backoff>();
   readonly #ignored: IgnoredValues;
 
   constructor({ log }: { log: TermsLog }) {
@@ -47,84 +48,89 @@
     this.#ignored = new IgnoredValues("Rest of an endpoint is ignored.", log);
   }
 
-  /** Values that were ignored since the start. */
+  /** Number of invalid values since the process started. */
   get ignored(): number {
     return this.#ignored.count;
   }
 
-  /** Endpoints that rest at present. */
+  /** Number of endpoints in a back-off period. */
   resting(now: Instant): number {
-    return [...this.#rests.values()].filter(({ until }) => now < until).length;
+    return [...this.#backoffs.values()].filter(({ until }) => now < until)
+      .length;
   }
 
-  /** Time until an endpoint may get a request, 0 for one that may get it now. */
+  /** Time until an endpoint may get a request, 0 if it may get one now. */
   waitFor(record: EndpointRecord, now: Instant): Milliseconds {
-    const rest = this.#find(record);
+    const backoff = this.#find(record);
     return milliseconds(
-      rest === undefined ? 0 : Math.max(0, rest.until - now, rest.nextAt - now),
+      backoff === undefined
+        ? 0
+        : Math.max(0, backoff.until - now, backoff.nextRequestAt - now),
     );
   }
 
-  /** An endpoint turned a request away and states for how many seconds it wants rest. */
+  /** Handles an answer that refuses a request and states for how many seconds to back off. */
   hear(
     record: EndpointRecord,
-    { stated, answer }: { stated: Stated; answer: StatingAnswer },
+    { stated, answer }: { stated: Stated; answer: AnswerSummary },
     now: Instant,
   ): void {
     if (stated.kind === "invalid") {
       return this.#ignored.note(record, { stated, answer });
     }
-    const time = Math.min(MOST_REST_MS, stated.value * MS_PER_SECOND);
-    const until = after(now, time);
+    const durationMs = Math.min(MAX_BACKOFF_MS, stated.value * MS_PER_SECOND);
+    const until = after(now, durationMs);
     const before = this.waitFor(record, now);
     if (until <= now + before) {
       return;
     }
     const { id, life, service } = record;
-    this.#rests.delete(id);
-    this.#rests.set(id, {
+    this.#backoffs.delete(id);
+    this.#backoffs.set(id, {
       life,
       until,
-      nextAt: until,
-      spacing: FIRST_SPACING_MS,
+      nextRequestAt: until,
+      spacingMs: INITIAL_SPACING_MS,
     });
-    if (this.#rests.size > MOST_ENDPOINTS) {
-      const [oldest] = this.#rests.keys();
-      this.#rests.delete(oldest!);
+    if (this.#backoffs.size > MAX_ENDPOINTS) {
+      const [oldest] = this.#backoffs.keys();
+      this.#backoffs.delete(oldest!);
     }
     this.#log("Endpoint wants rest.", {
       endpoint: id,
       service,
-      restMs: Math.round(time),
+      restMs: Math.round(durationMs),
       statedS: stated.value,
       beforeMs: Math.round(before),
       ...answer,
     });
   }
 
-  /** A request is sent to an endpoint. */
+  /** Records that a request is sent to an endpoint. */
   noteSent(record: EndpointRecord, now: Instant): void {
-    const rest = this.#find(record);
-    if (rest !== undefined && now >= rest.until) {
-      rest.nextAt = after(now, rest.spacing);
+    const backoff = this.#find(record);
+    if (backoff !== undefined && now >= backoff.until) {
+      backoff.nextRequestAt = after(now, backoff.spacingMs);
     }
   }
 
-  /** An endpoint served a request. */
+  /** Records that an endpoint served a request. */
   noteServed(record: EndpointRecord, now: Instant): void {
-    const rest = this.#find(record);
-    if (rest === undefined || now < rest.until) {
+    const backoff = this.#find(record);
+    if (backoff === undefined || now < backoff.until) {
       return;
     }
-    rest.spacing /= 2;
-    if (rest.spacing < LEAST_SPACING_MS) {
-      this.#rests.delete(record.id);
+    backoff.spacingMs /= 2;
+    if (backoff.spacingMs < MIN_SPACING_MS) {
+      this.#backoffs.delete(record.id);
       this.#log("Endpoint is back from its rest.", { endpoint: record.id });
     }
   }
 
-  #find({ id, life }: EndpointRecord): Rest | undefined {
-    const rest = this.#rests.get(id);
-    return rest !== undefined && isSameLife(rest, { life }) ? rest : undefined;
+  #find({ id, life }: EndpointRecord): Backoff | undefined {
+    const backoff = this.#backoffs.get(id);
+    return backoff !== undefined && isSameLife(backoff, { life })
+      ? backoff
+      : undefined;
   }
 }
--- a/packages/core/src/endpoint_terms/endpoint_terms.ts
+++ b/packages/core/src/endpoint_terms/endpoint_terms.ts
@@ -1,5 +1,5 @@
 /**
- * All that endpoints state about themselves in their answers.
+ * Everything that endpoints announce about themselves in the headers of their answers.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { EndpointLimits } from "./endpoint_limits.ts";
 import type { EndpointRests } from "./endpoint_rests.ts";
 
-/** What is known of it, by kind. */
+/** What this entry knows of those announcements, by kind. */
 export interface EndpointTerms {
   readonly limits: EndpointLimits;
   readonly departures: EndpointDepartures;
--- a/packages/core/src/endpoint_terms/ignored_values.ts
+++ b/packages/core/src/endpoint_terms/ignored_values.ts
@@ -1,26 +1,26 @@
 /**
- * Values that endpoints state and that make no sense.
+ * Counts and logs invalid values that endpoints state.
  *
  * @module
  */
 import type { EndpointId } from "../ids/index.ts";
 import type { EndpointRecord } from "../routes/index.ts";
-import type { Stated, StatingAnswer, TermsLog } from "./stated.ts";
+import type { AnswerSummary, Stated, TermsLog } from "./stated.ts";
 
-/** Endpoints whose last such value is remembered. */
-const MOST_ENDPOINTS = 1_024;
+/** Maximum number of endpoints whose last invalid value is remembered. */
+const MAX_ENDPOINTS = 1_024;
 
-/** Counts them, and writes a line for each that is new. */
+/** Counts invalid values, and logs each one unless the endpoint's previous one was the same. */
 export class IgnoredValues {
-  /** Since the start. */
+  /** Invalid values since the process started. */
   count = 0;
   readonly #log: TermsLog;
-  readonly #line: string;
-  readonly #texts = new Map<EndpointId, string>();
+  readonly #message: string;
+  readonly #lastTexts = new Map<EndpointId, string>();
 
-  /** `line` says what is ignored. */
-  constructor(line: string, log: TermsLog) {
-    this.#line = line;
+  /** `message`: log message that says what is ignored. */
+  constructor(message: string, log: TermsLog) {
+    this.#message = message;
     this.#log = log;
   }
 
@@ -28,19 +28,19 @@
     { id: endpoint }: EndpointRecord,
     { stated: { text, reason }, answer, inForce }: {
       stated: Extract<Stated, { kind: "invalid" }>;
-      answer: StatingAnswer;
-      /** What stays in force. */
+      answer: AnswerSummary;
+      /** The value that stays in force. */
       inForce?: number | undefined;
     },
   ): void {
     this.count++;
-    if (this.#texts.get(endpoint) === text) {
+    if (this.#lastTexts.get(endpoint) === text) {
       return;
     }
-    if (this.#texts.size >= MOST_ENDPOINTS) {
-      this.#texts.clear();
+    if (this.#lastTexts.size >= MAX_ENDPOINTS) {
+      this.#lastTexts.clear();
     }
-    this.#texts.set(endpoint, text);
-    this.#log(this.#line, { endpoint, text, reason, inForce, ...answer });
+    this.#lastTexts.set(endpoint, text);
+    this.#log(this.#message, { endpoint, text, reason, inForce, ...answer });
   }
 }
--- a/packages/core/src/endpoint_terms/index.ts
+++ b/packages/core/src/endpoint_terms/index.ts
@@ -11,4 +11,4 @@
 export { EndpointRests } from "./endpoint_rests.ts";
 export type { EndpointTerms } from "./endpoint_terms.ts";
 export type { LimitMessage, LimitNotice } from "./limit_messages.ts";
-export type { Stated, StatingAnswer, TermsLog } from "./stated.ts";
+export type { AnswerSummary, Stated, TermsLog } from "./stated.ts";
--- a/packages/core/src/endpoint_terms/issuer_view.ts
+++ b/packages/core/src/endpoint_terms/issuer_view.ts
@@ -1,25 +1,25 @@
 /**
- * Which entry issues the permits of each endpoint, as one entry sees it.
+ * One entry's view of which entry issues the permits of each endpoint.
  *
  * @module
  */
 import type { EndpointId, Incarnation, Instant } from "../ids/index.ts";
-import { TAKEOVER_MS } from "./permit_issuer.ts";
+import { TAKEOVER_DELAY_MS } from "./permit_issuer.ts";
 
-/** The issuer is looked for again this often. */
-const ISSUER_LIFETIME_MS = 100;
-/** An entry that has run for less may not know who issued permits before it. */
-const SETTLING_MS = 3_000;
+/** Time after which the issuer is determined again. */
+const ISSUER_CACHE_MS = 100;
+/** An entry that started more recently may not know which entry issued permits before. */
+const WARM_UP_MS = 3_000;
 
 /** The issuer of one endpoint. */
 export interface Issuer {
   readonly entry: Incarnation;
-  /** Whether another one may have issued before it. */
+  /** Whether another entry may have issued permits before this one. */
   readonly takesOver: boolean;
   readonly foundAt: Instant;
 }
 
-/** Finds issuers, and notices when another entry becomes one. */
+/** Determines issuers, and detects when another entry takes over. */
 export class IssuerView {
   readonly #issuerOf: (endpoint: EndpointId) => Incarnation;
   readonly #startedAt: Instant;
@@ -33,16 +33,19 @@
     this.#startedAt = now;
   }
 
-  /** The issuer of an endpoint that last stated its limit at `statedAt`. */
+  /** Returns the issuer of an endpoint that last stated its limit at `statedAt`. */
   find(endpoint: EndpointId, statedAt: Instant, now: Instant): Issuer {
     const known = this.#issuers.get(endpoint);
-    if (known !== undefined && now - known.foundAt < ISSUER_LIFETIME_MS) {
+    if (known !== undefined && now - known.foundAt < ISSUER_CACHE_MS) {
       return known;
     }
     const entry = this.#issuerOf(endpoint);
-    const isFirst = known === undefined && now - statedAt < TAKEOVER_MS &&
-      now - this.#startedAt >= SETTLING_MS;
-    const takesOver = known?.entry === entry ? known.takesOver : !isFirst;
+    const hasNoPredecessor = known === undefined &&
+      now - statedAt < TAKEOVER_DELAY_MS &&
+      now - this.#startedAt >= WARM_UP_MS;
+    const takesOver = known?.entry === entry
+      ? known.takesOver
+      : !hasNoPredecessor;
     const issuer = { entry, takesOver, foundAt: now };
     this.#issuers.set(endpoint, issuer);
     return issuer;
@@ -52,8 +55,8 @@
     this.#issuers.delete(endpoint);
   }
 
-  /** This process stood still: any other entry may have issued meanwhile. */
-  woke(): void {
+  /** Called after the process was suspended: other entries may have issued permits meanwhile. */
+  onResume(): void {
     for (const [endpoint, issuer] of this.#issuers) {
       this.#issuers.set(endpoint, { ...issuer, takesOver: true });
     }
--- a/packages/core/src/endpoint_terms/known_limits.ts
+++ b/packages/core/src/endpoint_terms/known_limits.ts
@@ -1,5 +1,5 @@
 /**
- * Limits of endpoints as one entry knows them, by their answers and by what others tell.
+ * The endpoint limits that one entry knows, from endpoints' answers and from other entries.
  *
  * @module
  */
@@ -13,23 +13,23 @@
 import { type EndpointRecord, isSameLife } from "../routes/index.ts";
 import type { LimitNotice } from "./limit_messages.ts";
 
-/** Endpoints that are remembered; each start of one may have an id of its own. */
-const MOST_ENDPOINTS = 4_096;
+/** Maximum number of remembered endpoints. Each start of an endpoint may use a new id. */
+const MAX_ENDPOINTS = 4_096;
 
-/** One endpoint's limit. */
+/** An endpoint's latest statement about its limit. */
 export interface KnownLimit {
   readonly endpoint: EndpointId;
   readonly life: EndpointLife | undefined;
-  /** Requests a second, `undefined` where it has none. */
+  /** Requests per second, `undefined` if the endpoint has no limit. */
   readonly perSecond: number | undefined;
   readonly statedAt: Instant;
 }
 
-/** Keeps the newest statement of each endpoint. */
+/** The newest statement of each endpoint. */
 export class KnownLimits {
   readonly #limits = new Map<EndpointId, KnownLimit>();
 
-  /** Endpoints that have a limit, or had one a while ago. */
+  /** Number of endpoints that have a limit or recently had one. */
   get size(): number {
     return this.#limits.size;
   }
@@ -42,8 +42,8 @@
     return this.#limits.get(endpoint);
   }
 
-  /** The limit of this life of an endpoint. */
-  of({ id, life }: Pick<EndpointRecord, "id" | "life">):
+  /** The limit of an endpoint in its given life, `undefined` if it has none. */
+  limitOf({ id, life }: Pick<EndpointRecord, "id" | "life">):
     | number
     | undefined {
     const known = this.#limits.get(id);
@@ -52,20 +52,20 @@
       : undefined;
   }
 
-  /** Takes a statement. Returns whether the limit is another one now. */
-  learn(news: KnownLimit): boolean {
-    const known = this.#limits.get(news.endpoint);
-    const before = this.of({ id: news.endpoint, life: news.life });
-    if (known === undefined && news.perSecond === undefined) {
+  /** Applies a statement unless a newer one is known. Returns whether the limit changed. */
+  update(limit: KnownLimit): boolean {
+    const known = this.#limits.get(limit.endpoint);
+    const before = this.limitOf({ id: limit.endpoint, life: limit.life });
+    if (known === undefined && limit.perSecond === undefined) {
       return false;
     }
-    if (known !== undefined && isOlder(news, known)) {
+    if (known !== undefined && isOlder(limit, known)) {
       return false;
     }
-    this.#limits.delete(news.endpoint);
-    this.#limits.set(news.endpoint, news);
+    this.#limits.delete(limit.endpoint);
+    this.#limits.set(limit.endpoint, limit);
     this.#forgetOldest();
-    return news.perSecond !== before;
+    return limit.perSecond !== before;
   }
 
   forget(endpoint: EndpointId): void {
@@ -73,14 +73,14 @@
   }
 
   #forgetOldest(): void {
-    if (this.#limits.size > MOST_ENDPOINTS) {
+    if (this.#limits.size > MAX_ENDPOINTS) {
       const [oldest] = this.#limits.keys();
       this.#limits.delete(oldest!);
     }
   }
 }
 
-/** A statement as it is told to others. */
+/** Converts a statement to a notice for other entries. */
 export function noticeOf(
   { endpoint, life, perSecond, statedAt }: KnownLimit,
   now: Instant,
@@ -89,16 +89,16 @@
   return { endpoint, life, perSecond, age };
 }
 
-/** A statement that another entry told. */
-export function knownOf(
+/** Converts a notice from another entry to a statement. */
+export function limitFromNotice(
   { endpoint, life, perSecond, age }: LimitNotice,
   now: Instant,
 ): KnownLimit {
   return { endpoint, life, perSecond, statedAt: instant(now - age) };
 }
 
-function isOlder(news: KnownLimit, known: KnownLimit): boolean {
-  return isSameLife(news, known)
-    ? news.statedAt < known.statedAt
-    : (news.life ?? -Infinity) < (known.life ?? -Infinity);
+function isOlder(limit: KnownLimit, known: KnownLimit): boolean {
+  return isSameLife(limit, known)
+    ? limit.statedAt < known.statedAt
+    : (limit.life ?? -Infinity) < (known.life ?? -Infinity);
 }
--- a/packages/core/src/endpoint_terms/limit_messages.ts
+++ b/packages/core/src/endpoint_terms/limit_messages.ts
@@ -1,5 +1,6 @@
 /**
- * What the entries of a region tell each other of endpoints' limits. Ages travel, clock readings never do.
+ * Messages that the entries of a region exchange about endpoints' limits. They contain ages instead of timestamps,
+ * since clocks of different machines are not comparable.
  *
  * @module
  */
@@ -10,25 +11,25 @@
   Milliseconds,
 } from "../ids/index.ts";
 
-/** What is known of one endpoint's limit. */
+/** The known limit of one endpoint. */
 export interface LimitNotice {
   readonly endpoint: EndpointId;
-  /** The life of the endpoint that stated it. */
+  /** The life (process start) of the endpoint that stated the limit. */
   readonly life: EndpointLife | undefined;
-  /** Requests a second, `undefined` where the limit was lifted. */
+  /** Requests per second, `undefined` if the limit was lifted. */
   readonly perSecond: number | undefined;
-  /** Since the endpoint stated it. */
+  /** Time since the endpoint stated the limit. */
   readonly age: Milliseconds;
 }
 
 /** One datagram about limits. */
 export interface LimitMessage {
   readonly kind:
-    /** Wants nothing back. */
+    /** Announces limits; needs no reply. */
     | "notice"
-    /** Asks the issuer for a permit of each endpoint. */
+    /** Requests a permit for each endpoint from its issuer. */
     | "ask"
-    /** Brings a permit of each endpoint. */
+    /** Grants a permit for each endpoint. */
     | "grant";
   readonly incarnation: Incarnation;
   readonly notices: readonly LimitNotice[];
--- a/packages/core/src/endpoint_terms/stated.ts
+++ b/packages/core/src/endpoint_terms/stated.ts
@@ -1,26 +1,26 @@
 /**
- * What endpoints state about themselves in the heads of their answers.
+ * Values that endpoints state about themselves in the headers of their answers.
  *
  * @module
  */
 
-/** A stated figure. */
+/** A stated number, or the reason why it could not be parsed. */
 export type Stated =
   | { readonly kind: "value"; readonly value: number }
-  /** It makes no sense and is ignored: what was known before stays in force. */
+  /** Ignored: the previously known value stays in force. */
   | {
     readonly kind: "invalid";
     readonly text: string;
     readonly reason: string;
   };
 
-/** The answer that states something, for the log. */
-export interface StatingAnswer {
+/** The answer that stated a value, as written to the log. */
+export interface AnswerSummary {
   readonly call: string;
   readonly status: number;
 }
 
-/** Writes a line about an endpoint. */
+/** Writes a log line about an endpoint. */
 export type TermsLog = (
   text: string,
   fields: Readonly<Record<string, unknown>>,
--- a/packages/core/src/endpoint_terms/told_peers.ts
+++ b/packages/core/src/endpoint_terms/told_peers.ts
@@ -1,45 +1,50 @@
 /**
- * Which entries still have to be told of what is known at present.
+ * Tracks which entries still have to be sent the current announcements.
  *
  * @module
  */
 import type { Incarnation, Instant } from "../ids/index.ts";
 
-/** Between two rounds in which entries are told. */
-const TELL_PERIOD_MS = 250;
-/** Datagrams get lost: each entry is told so many times. */
-const TELLS = 2;
+/** Time between two rounds of announcements. */
+const ANNOUNCEMENT_PERIOD_MS = 250;
+/** Each entry is sent the announcements this many times, since datagrams may be lost. */
+const ANNOUNCEMENTS_PER_PEER = 2;
 
-/** Counts how often each entry was told. */
-export class ToldPeers {
-  readonly #told = new Map<Incarnation, number>();
-  #toldAt: Instant | undefined;
+/** Counts how often the current announcements were sent to each entry. */
+export class PeerAnnouncements {
+  readonly #sentCounts = new Map<Incarnation, number>();
+  #lastRoundAt: Instant | undefined;
 
-  /** Something is news to all. */
+  /** Starts over: the announcements changed, so all entries have to be sent them again. */
   reset(): void {
-    this.#told.clear();
-    this.#toldAt = undefined;
+    this.#sentCounts.clear();
+    this.#lastRoundAt = undefined;
   }
 
-  /** Entries to tell now; they count as told. */
+  /** Returns the entries to send the announcements to now, and counts them as sent. */
   takeDue(peers: readonly Incarnation[], now: Instant): Incarnation[] {
-    if (this.#toldAt !== undefined && now - this.#toldAt < TELL_PERIOD_MS) {
+    if (
+      this.#lastRoundAt !== undefined &&
+      now - this.#lastRoundAt < ANNOUNCEMENT_PERIOD_MS
+    ) {
       return [];
     }
-    this.#toldAt = now;
-    this.#forget(peers);
-    const due = peers.filter((peer) => (this.#told.get(peer) ?? 0) < TELLS);
+    this.#lastRoundAt = now;
+    this.#removeAbsent(peers);
+    const due = peers.filter((peer) =>
+      (this.#sentCounts.get(peer) ?? 0) < ANNOUNCEMENTS_PER_PEER
+    );
     due.forEach((peer) =>
-      this.#told.set(peer, (this.#told.get(peer) ?? 0) + 1)
+      this.#sentCounts.set(peer, (this.#sentCounts.get(peer) ?? 0) + 1)
     );
     return due;
   }
 
-  #forget(peers: readonly Incarnation[]): void {
+  #removeAbsent(peers: readonly Incarnation[]): void {
     const present = new Set(peers);
-    for (const peer of this.#told.keys()) {
+    for (const peer of this.#sentCounts.keys()) {
       if (!present.has(peer)) {
-        this.#told.delete(peer);
+        this.#sentCounts.delete(peer);
       }
     }
   }
--- a/playground/src/guards/terms_guards.ts
+++ b/playground/src/guards/terms_guards.ts
@@ -29,19 +29,20 @@
     point: LIMITS,
     name: "permits are issued at the stated rate",
     file: `${TERMS}/permit_issuer.ts`,
-    find: "const most = LEAST_BURST + perSecond * BURST_S;",
-    replace: "const most = 10 + LEAST_BURST + perSecond * 4 * BURST_S;",
+    find: "const maxLevel = MIN_BURST_PERMITS + perSecond * BURST_S;",
+    replace:
+      "const maxLevel = 10 + MIN_BURST_PERMITS + perSecond * 4 * BURST_S;",
   },
   {
     point: LIMITS,
     name: "an issuer that takes over waits for the former one to know",
     file: `${TERMS}/permit_issuer.ts`,
-    find: "this.#at = takesOver ? after(now, TAKEOVER_MS) : now;",
-    replace: "this.#at = now;",
+    find: "this.#refilledAt = takesOver ? after(now, TAKEOVER_DELAY_MS) : now;",
+    replace: "this.#refilledAt = now;",
     also: [{
       file: `${TERMS}/permit_issuer.ts`,
-      find: "this.#level = takesOver ? 0 : LEAST_BURST;",
-      replace: "this.#level = LEAST_BURST + 8;",
+      find: "this.#level = takesOver ? 0 : MIN_BURST_PERMITS;",
+      replace: "this.#level = MIN_BURST_PERMITS + 8;",
     }],
   },
   {
@@ -55,17 +56,18 @@
     point: LIMITS,
     name: "an issuer that hears a part of its region issues that part",
     file: `${TERMS}/endpoint_limits.ts`,
-    find: "issued.issue(known.perSecond * heardPart(), now)",
-    replace: "issued.issue(known.perSecond * Math.ceil(heardPart()), now)",
+    find: "permitIssuer.issue(known.perSecond * heardPart(), now)",
+    replace:
+      "permitIssuer.issue(known.perSecond * Math.ceil(heardPart()), now)",
   },
   {
     point: LIMITS,
     name: "an answer without a limit lifts it",
     file: `${TERMS}/endpoint_limits.ts`,
     find:
-      "if (this.#known.learn(news)) {\n      this.#logChange(news, before, {\n        ...answer,",
+      "if (this.#known.update(update)) {\n      this.#logChange(update, before, {\n        ...answer,",
     replace:
-      "if (perSecond !== undefined && this.#known.learn(news)) {\n      this.#logChange(news, before, {\n        ...answer,",
+      "if (perSecond !== undefined && this.#known.update(update)) {\n      this.#logChange(update, before, {\n        ...answer,",
   },
   {
     point: LIMITS,
@@ -78,7 +80,7 @@
     point: LIMITS,
     name: "an endpoint is asked now and then, however low its limit is",
     file: `${TERMS}/endpoint_limits.ts`,
-    find: "Math.max(LEAST_PER_SECOND, stated.value)",
+    find: "Math.max(MIN_LIMIT_PER_SECOND, stated.value)",
     replace: "stated.value",
   },
   {
@@ -92,11 +94,11 @@
     point: LEAVING,
     name: "entries tell each other of endpoints that leave",
     file: `${TERMS}/endpoint_departures.ts`,
-    find: "peers().forEach((peer) => this.#tell(peer, [departure]));",
+    find: "peers().forEach((peer) => this.#send(peer, [departure]));",
     replace: "peers();",
     also: [{
       file: `${TERMS}/endpoint_departures.ts`,
-      find: "this.#tell(peer, told.map(({ departure }) => departure));",
+      find: "this.#send(peer, relevant.map(({ departure }) => departure));",
       replace: "",
     }],
   },
@@ -116,8 +118,8 @@
     point: REST,
     name: "requests after a rest come one by one at first",
     file: `${TERMS}/endpoint_rests.ts`,
-    find: "rest.nextAt = after(now, rest.spacing);",
-    replace: "rest.nextAt = now;",
+    find: "backoff.nextRequestAt = after(now, backoff.spacingMs);",
+    replace: "backoff.nextRequestAt = now;",
   },
   {
     point: REST,
@@ -137,7 +139,7 @@
     point: REST,
     name: "a rest ends, whatever was stated",
     file: `${TERMS}/endpoint_rests.ts`,
-    find: "Math.min(MOST_REST_MS, stated.value * MS_PER_SECOND)",
+    find: "Math.min(MAX_BACKOFF_MS, stated.value * MS_PER_SECOND)",
     replace: "stated.value * MS_PER_SECOND",
   },
 ];
