--- a/packages/core/src/fleet/__tests__/fleet_controller.test.ts
+++ b/packages/core/src/fleet/__tests__/fleet_controller.test.ts
@@ -17,33 +17,35 @@
 const PERIOD_MS = 500;
 const DELAY_MS = 2;
 
-interface Due {
+interface PendingDatagram {
   readonly at: number;
   readonly to: string;
   readonly message: FleetMessage;
 }
 
-/** Entries that exchange their datagrams under a clock that the test moves. */
-class Fleet {
+/** Entries that exchange datagrams under a simulated clock. */
+class SimulatedFleet {
   readonly nodes = new Map<string, FleetController>();
-  /** Names of those that stand by. */
-  readonly resting = new Set<string>();
-  readonly silent = new Set<string>();
-  readonly frozen = new Set<string>();
+  /** Names of entries on standby. */
+  readonly standby = new Set<string>();
+  /** Addresses whose datagrams are lost in both directions. */
+  readonly isolated = new Set<string>();
+  /** Addresses of paused entries. */
+  readonly paused = new Set<string>();
   now = 0;
-  /** Datagrams so far. */
+  /** Number of datagrams sent so far. */
   sent = 0;
-  #due: Due[] = [];
-  #lives = 0;
+  #pending: PendingDatagram[] = [];
+  #starts = 0;
 
   start(name: string, seeds: readonly string[] = ["a:1", "b:1"]): void {
-    this.#lives++;
+    this.#starts++;
     this.nodes.set(
       `${name}:1`,
       new FleetController({
         self: {
           id: name as EntryId,
-          incarnation: `${name}${this.#lives}` as Incarnation,
+          incarnation: `${name}${this.#starts}` as Incarnation,
           zone: "z" as ZoneId,
           region: "r" as RegionId,
           callerAddress: `${name}:2`,
@@ -52,9 +54,9 @@
         },
         seeds,
         period: PERIOD_MS,
-        resting: () => this.resting.has(name),
+        resting: () => this.standby.has(name),
         holds: () => [],
-        random: new SeededRandomness(this.#lives),
+        random: new SeededRandomness(this.#starts),
         listened: new ListenedTime(instant(this.now)),
         send: (to, message) => this.#send(`${name}:1`, to, message),
         holdings: () => ({ document: 0 as Revision, catalogue: NO_POSITION }),
@@ -74,7 +76,7 @@
       this.now += TICK_MS;
       this.#deliver();
       for (const [address, node] of this.nodes) {
-        if (!this.frozen.has(address)) {
+        if (!this.paused.has(address)) {
           node.tick(instant(this.now));
         }
       }
@@ -94,26 +96,26 @@
 
   #send(from: string, to: string, message: FleetMessage): void {
     this.sent++;
-    if (!this.silent.has(from) && !this.silent.has(to)) {
+    if (!this.isolated.has(from) && !this.isolated.has(to)) {
       const copy = structuredClone(message);
-      this.#due.push({ at: this.now + DELAY_MS, to, message: copy });
+      this.#pending.push({ at: this.now + DELAY_MS, to, message: copy });
     }
   }
 
   #deliver(): void {
-    const due = this.#due.filter(({ at, to }) =>
-      at <= this.now && !this.frozen.has(to)
+    const due = this.#pending.filter(({ at, to }) =>
+      at <= this.now && !this.paused.has(to)
     );
-    this.#due = this.#due.filter((item) => !due.includes(item));
+    this.#pending = this.#pending.filter((item) => !due.includes(item));
     for (const { to, message } of due) {
       this.nodes.get(to)?.receive(message, instant(this.now));
     }
   }
 }
 
-/** A fleet of forty that knows itself. */
-function large(): Fleet {
-  const fleet = new Fleet();
+/** Starts 40 entries and runs until they know each other. */
+function startLargeFleet(): SimulatedFleet {
+  const fleet = new SimulatedFleet();
   for (let index = 0; index < 40; index++) {
     fleet.start(["a", "b", "c", "d"][index] ?? `e${index}`);
   }
@@ -121,27 +123,26 @@
   return fleet;
 }
 
-function started(): Fleet {
-  const fleet = new Fleet();
+function startFleet(): SimulatedFleet {
+  const fleet = new SimulatedFleet();
   ["a", "b", "c", "d"].forEach((name) => fleet.start(name));
   fleet.run(3_000);
   return fleet;
 }
 
 describe("the fleet", () => {
-  it("finds itself through seeds", () => {
-    const fleet = started();
+  it("discovers its members through seeds", () => {
+    const fleet = startFleet();
     expect(fleet.live("a")).toEqual(["b", "c", "d"]);
     expect(fleet.live("d")).toEqual(["a", "b", "c"]);
   });
 
   /**
-   * Symptom: days of large fleets are given up for the processor time of entries that have nothing to do.
-   * Sequence: most of hundreds of entries stand by; each pings and is pinged as if it carried.
-   * Cause: one pace for all.
+   * Guards against idle entries using too much processor time, which made day-long runs of large fleets
+   * infeasible: most of hundreds of entries were on standby, but pinged as often as the active ones.
    */
-  it("asks less where most of many stand by, and still loses a silent one", () => {
-    const fleet = large();
+  it("pings less when most entries of a large fleet are on standby, and still detects a silent one", () => {
+    const fleet = startLargeFleet();
     const sentIn = (duration: number): number => {
       const before = fleet.sent;
       fleet.run(duration);
@@ -149,63 +150,62 @@
     };
     const busy = sentIn(4_000);
     for (let index = 4; index < 40; index++) {
-      fleet.resting.add(`e${index}`);
+      fleet.standby.add(`e${index}`);
     }
     fleet.run(1_000);
     expect(sentIn(4_000)).toBeLessThan(0.65 * busy);
-    fleet.silent.add("d:1");
+    fleet.isolated.add("d:1");
     fleet.run(7_000);
     expect(fleet.live("a")).not.toContain("d");
     expect(fleet.live("e9")).not.toContain("d");
   });
 
-  it("loses a silent entry within three seconds", () => {
-    const fleet = started();
-    fleet.silent.add("d:1");
+  it("detects a silent entry within three seconds", () => {
+    const fleet = startFleet();
+    fleet.isolated.add("d:1");
     fleet.run(3_000);
     expect(fleet.live("a")).toEqual(["b", "c"]);
     expect(fleet.live("c")).toEqual(["a", "b"]);
   });
 
-  it("has an entry back within three seconds after a cut", () => {
-    const fleet = started();
-    fleet.silent.add("d:1");
+  it("lists an entry again within three seconds after a partition", () => {
+    const fleet = startFleet();
+    fleet.isolated.add("d:1");
     fleet.run(20_000);
-    fleet.silent.clear();
+    fleet.isolated.clear();
     fleet.run(3_000);
     expect(fleet.live("a")).toEqual(["b", "c", "d"]);
     expect(fleet.live("d")).toEqual(["a", "b", "c"]);
   });
 
-  it("knows a restarted entry by its new life alone", () => {
-    const fleet = started();
-    fleet.silent.add("d:1");
+  it("lists a restarted entry by its new incarnation only", () => {
+    const fleet = startFleet();
+    fleet.isolated.add("d:1");
     fleet.run(500);
-    fleet.silent.clear();
+    fleet.isolated.clear();
     fleet.start("d");
     fleet.run(2_000);
     expect(fleet.live("a")).toEqual(["b", "c", "d"]);
   });
 
   /**
-   * Symptom: callers are given a list with nobody but the entry that they ask.
-   * Sequence: a process stands still for some seconds and wakes.
-   * Cause: its pings from before the pause seem unanswered, and it suspects everybody.
+   * Guards against an entry that lists only itself to callers after a pause of some seconds: its pings from
+   * before the pause seemed unanswered, so it suspected every member.
    */
-  it("is not lost to an entry that stood still", () => {
-    const fleet = started();
-    fleet.frozen.add("a:1");
+  it("stays live for an entry that was paused", () => {
+    const fleet = startFleet();
+    fleet.paused.add("a:1");
     fleet.run(6_000);
     expect(fleet.live("b")).toEqual(["c", "d"]);
-    fleet.frozen.clear();
+    fleet.paused.clear();
     fleet.run(TICK_MS * 2);
     expect(fleet.live("a")).toEqual(["b", "c", "d"]);
     fleet.run(3_000);
     expect(fleet.live("b")).toEqual(["a", "c", "d"]);
   });
 
-  it("hears at once of an entry that stops", () => {
-    const fleet = started();
+  it("learns at once that an entry is stopping", () => {
+    const fleet = startFleet();
     fleet.nodes.get("d:1")!.changeState("ready", instant(fleet.now));
     fleet.run(100);
     expect(fleet.states("a")).toContain("d ready");
@@ -216,52 +216,51 @@
     }
   });
 
-  it("lets an entry deny that it is lost", () => {
-    const fleet = started();
+  it("lets an entry refute a suspicion", () => {
+    const fleet = startFleet();
     const version = fleet.nodes.get("d:1")!.record.version;
-    fleet.silent.add("d:1");
+    fleet.isolated.add("d:1");
     fleet.run(1_600);
-    fleet.silent.clear();
+    fleet.isolated.clear();
     fleet.run(4_000);
     expect(fleet.nodes.get("d:1")!.record.version).toBeGreaterThan(version);
     expect(fleet.live("c")).toEqual(["a", "b", "d"]);
   });
 
   /**
-   * Symptom: for eight seconds after all entries lost power, most answers of a fleet of 72 are late, where
-   * a fleet of 7 is well after two.
-   * Sequence: all start at once; each learns of five others with a message, and gets four in a second.
-   * Cause: until they know each other, callers are named the few that are known, and each chooses engines
-   * without hearing what the others send there.
+   * Guards against slow discovery after all entries lost power and start at once. Each learned of five others
+   * from a message and received four messages a second, so most answers of a fleet of 72 were late for eight
+   * seconds, compared to two seconds with 7 entries. Until entries know each other, callers are given only the
+   * few known ones, and entries choose engines without knowing each other's work.
    */
-  describe("that starts at once", () => {
+  describe("when all entries start at once", () => {
     const SIZE = 72;
     const names = Array.from({ length: SIZE }, (_, index) => `n${index}`);
-    const build = (): Fleet => {
-      const fleet = new Fleet();
+    const startAll = (): SimulatedFleet => {
+      const fleet = new SimulatedFleet();
       names.forEach((name) => fleet.start(name, ["n0:1", "n1:1", "n2:1"]));
       return fleet;
     };
-    const known = (fleet: Fleet): number =>
+    const discoveredFraction = (fleet: SimulatedFleet): number =>
       names.reduce((sum, name) => sum + fleet.live(name).length, 0) /
       (SIZE * (SIZE - 1));
 
-    it("knows nearly all of itself after a second", () => {
-      const fleet = build();
+    it("discovers nearly all members within a second", () => {
+      const fleet = startAll();
       fleet.run(1_000);
-      expect(known(fleet)).toBeGreaterThan(0.9);
+      expect(discoveredFraction(fleet)).toBeGreaterThan(0.9);
     });
 
-    it("knows all but one in a thousand after two, and all after three", () => {
-      const fleet = build();
+    it("discovers 99.9% of its members within two seconds, and all within three", () => {
+      const fleet = startAll();
       fleet.run(2_000);
-      expect(known(fleet)).toBeGreaterThan(0.999);
+      expect(discoveredFraction(fleet)).toBeGreaterThan(0.999);
       fleet.run(1_000);
-      expect(known(fleet)).toBe(1);
+      expect(discoveredFraction(fleet)).toBe(1);
     });
 
-    it("says no more than before once it is settled", () => {
-      const fleet = build();
+    it("sends few datagrams once it has settled", () => {
+      const fleet = startAll();
       fleet.run(10_000);
       fleet.sent = 0;
       fleet.run(10_000);
@@ -270,12 +269,11 @@
   });
 
   /**
-   * Symptom: an entry that was restarted crowds engines for seconds.
-   * Sequence: one entry of a settled fleet starts anew.
-   * Cause: nothing is news in a settled fleet, and it is told of five members with each ping that comes.
+   * Guards against a restarted entry that overloads engines for seconds because it doesn't know the others. A
+   * settled fleet has no updates to gossip, and each ping told the restarted entry of only five members.
    */
-  it("is known to an entry that starts anew after a second or two", () => {
-    const fleet = new Fleet();
+  it("is discovered by a restarted entry within two seconds", () => {
+    const fleet = new SimulatedFleet();
     const names = Array.from({ length: 40 }, (_, index) => `n${index}`);
     names.forEach((name) => fleet.start(name, ["n0:1", "n1:1", "n2:1"]));
     fleet.run(20_000);
--- a/packages/core/src/fleet/__tests__/unreachable_peers.test.ts
+++ b/packages/core/src/fleet/__tests__/unreachable_peers.test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, it } from "vitest";
 import { type Incarnation, instant } from "../../index.ts";
-import type { FleetHealth } from "../fleet_messages.ts";
+import type { MemberHealth } from "../fleet_messages.ts";
 import { UnreachablePeers } from "../unreachable_peers.ts";
 import type { FleetMember } from "../membership_list.ts";
 
-function member(name: string, health: FleetHealth): FleetMember {
+function member(name: string, health: MemberHealth): FleetMember {
   return {
     record: {
       incarnation: name as Incarnation,
@@ -16,35 +16,35 @@
   };
 }
 
-describe("addresses nobody answers from", () => {
-  const next = (lost: UnreachablePeers, members: FleetMember[]): string[] =>
-    lost.next(members).map(({ address }) => address);
+describe("unreachable addresses", () => {
+  const next = (peers: UnreachablePeers, members: FleetMember[]): string[] =>
+    peers.next(members).map(({ address }) => address);
 
-  it("are seeds that were not heard, never the own one", () => {
-    const lost = new UnreachablePeers("a:1", ["a:1", "b:1", "c:1"]);
-    expect(next(lost, [member("c", "live")])).toEqual(["b:1"]);
+  it("include seeds that were not heard, but not the own address", () => {
+    const peers = new UnreachablePeers("a:1", ["a:1", "b:1", "c:1"]);
+    expect(next(peers, [member("c", "live")])).toEqual(["b:1"]);
   });
 
-  it("are those of dead members, with what was known of them", () => {
-    const lost = new UnreachablePeers("a:1", []);
+  it("include those of dead members, with the member", () => {
+    const peers = new UnreachablePeers("a:1", []);
     const dead = member("d", "dead");
-    expect(lost.next([dead, member("s", "suspect")])).toEqual([
+    expect(peers.next([dead, member("s", "suspect")])).toEqual([
       { address: "d:1", member: dead },
     ]);
   });
 
-  it("are not tried where a new life answers at the address", () => {
-    const lost = new UnreachablePeers("a:1", ["d:1"]);
+  it("exclude addresses at which a new incarnation is live", () => {
+    const peers = new UnreachablePeers("a:1", ["d:1"]);
     const reborn = {
       ...member("d2", "live"),
       record: { ...member("d2", "live").record, peerAddress: "d:1" },
     };
-    expect(next(lost, [member("d", "dead"), reborn])).toEqual([]);
+    expect(next(peers, [member("d", "dead"), reborn])).toEqual([]);
   });
 
-  it("take turns, two at a time", () => {
-    const lost = new UnreachablePeers("a:1", ["b:1", "c:1", "d:1"]);
-    expect(next(lost, [])).toEqual(["b:1", "c:1"]);
-    expect(next(lost, [])).toEqual(["d:1", "b:1"]);
+  it("are returned in turn, two at a time", () => {
+    const peers = new UnreachablePeers("a:1", ["b:1", "c:1", "d:1"]);
+    expect(next(peers, [])).toEqual(["b:1", "c:1"]);
+    expect(next(peers, [])).toEqual(["d:1", "b:1"]);
   });
 });
--- a/packages/core/src/fleet/fleet_controller.ts
+++ b/packages/core/src/fleet/fleet_controller.ts
@@ -1,7 +1,7 @@
 /**
- * Who else is an entry of the fleet and alive: each period a member is pinged in turn, an unanswered
- * ping is repeated through others, and opinions travel on pings and acks. The cost of an entry is the
- * same at 9 entries and at 530 (the SWIM protocol of Das, Gupta and Motivala, 2002).
+ * Membership and failure detection, after the SWIM protocol of Das, Gupta and Motivala (2002). Each period
+ * an entry pings the next members in turn and repeats an unanswered ping through other members. Membership
+ * updates are piggybacked on pings and acks. The cost for each entry is the same at 9 entries and at 530.
  *
  * @module
  */
@@ -14,14 +14,14 @@
 } from "../ids/index.ts";
 import { type IndirectProbe, IndirectProbes } from "./indirect_probes.ts";
 import type {
+  EntryState,
   FleetGossip,
   FleetMessage,
   FleetRecord,
-  FleetState,
 } from "./fleet_messages.ts";
-import { FleetMail } from "./fleet_mail.ts";
+import { FleetSender } from "./fleet_mail.ts";
 import type { FleetOptions } from "./fleet_options.ts";
-import { JoinBackoff } from "./join_backoff.ts";
+import { JoinPhase } from "./join_backoff.ts";
 import { UnreachablePeers } from "./unreachable_peers.ts";
 import { MembershipList } from "./membership_list.ts";
 import type { FleetMember } from "./membership_list.ts";
@@ -30,34 +30,34 @@
   type DocumentHolder,
   PeerHoldings,
 } from "./peer_holdings.ts";
-import { pingPeriod, pingsOf } from "./ping_pace.ts";
+import { pingPeriod, pingsPerPeriod } from "./ping_pace.ts";
 import { ProbeSchedule } from "./probe_schedule.ts";
 import { RegionSummaries } from "./region_summaries.ts";
 
-/** How long a suspect may deny before it is held for dead. */
+/** How long a suspected member may refute the suspicion before it is declared dead. */
 export const SUSPICION_MS = 2_000;
-/** Entries asked to ping a silent one. */
-const INDIRECT_PROBES = 2;
-/** News in one message: keeps a datagram under 1,400 bytes. */
-const NEWS_PER_MESSAGE = 5;
-/** Members named to a newcomer in one message, which then carries one region's summary alone. */
-const MEMBERS_FOR_NEWCOMER = 9;
-/** An entry first heard of less than this long ago is told of members that are no news to others. */
-const NEWCOMER_MS = 3_000;
-/** Without this many ticks' gap the loop ran; a longer gap is a pause. */
-const PAUSE_MS = 1_000;
+/** Members asked to ping a member that did not answer. */
+const INDIRECT_PROBES_PER_PING = 2;
+/** Membership updates in one message: keeps a datagram under 1,400 bytes. */
+const UPDATES_PER_MESSAGE = 5;
+/** Membership updates in one message to a new member, which carries no summaries of other regions. */
+const UPDATES_PER_NEWCOMER_MESSAGE = 9;
+/** For this long after it was first heard of, a member is also sent members whose state did not change. */
+const NEWCOMER_DURATION_MS = 3_000;
+/** A longer gap between two ticks or messages counts as a pause of this process. */
+const PAUSE_THRESHOLD_MS = 1_000;
 
-/** Writes what is known of other entries. */
+/** Tracks the other entries of the fleet and whether they are alive. */
 export class FleetController {
   readonly regions: RegionSummaries;
-  /** What goes to other entries. */
-  readonly mail: FleetMail;
+  /** Sends messages to other entries. */
+  readonly mail: FleetSender;
   readonly #options: FleetOptions;
   readonly #members = new MembershipList();
-  readonly #probes: ProbeSchedule;
-  readonly #indirect = new IndirectProbes();
-  readonly #lost: UnreachablePeers;
-  readonly #pace: JoinBackoff;
+  readonly #probeSchedule: ProbeSchedule;
+  readonly #indirectProbes = new IndirectProbes();
+  readonly #unreachablePeers: UnreachablePeers;
+  readonly #joinPhase: JoinPhase;
   readonly #holdings = new PeerHoldings();
   #record: FleetRecord;
   #nextPeriodAt: Instant;
@@ -65,17 +65,20 @@
 
   constructor(options: FleetOptions, now: Instant) {
     this.#options = options;
-    this.#probes = new ProbeSchedule(options.random, options.listened);
+    this.#probeSchedule = new ProbeSchedule(options.random, options.listened);
     this.#record = { ...options.self, version: 1, state: "starting" };
-    this.mail = new FleetMail(options, {
+    this.mail = new FleetSender(options, {
       record: () => this.#record,
       live: () => this.live(),
     });
     this.regions = new RegionSummaries(options.self.region);
     this.#nextPeriodAt = now;
     this.#lastTickAt = now;
-    this.#pace = new JoinBackoff(now);
-    this.#lost = new UnreachablePeers(options.self.peerAddress, options.seeds);
+    this.#joinPhase = new JoinPhase(now);
+    this.#unreachablePeers = new UnreachablePeers(
+      options.self.peerAddress,
+      options.seeds,
+    );
   }
 
   /** This entry's own record. */
@@ -83,60 +86,66 @@
     return this.#record;
   }
 
-  /** Members that answer. */
+  /** Members that are considered live. */
   live(): FleetMember[] {
     return this.#members.withHealth("live");
   }
 
-  /** Members that are not known to have ended: for shares that must not add up to too much. */
+  /**
+   * Members that are not known to be dead. Shares of a limit are computed with these, so that all shares
+   * together do not exceed it.
+   */
   possible(): FleetMember[] {
     return [...this.#members.all()].filter(({ health }) => health !== "dead");
   }
 
-  /** Where an entry is reached, `undefined` where it is not known to live. */
+  /** Peer address of a live member, `undefined` if the member is unknown or not live. */
   addressOf(incarnation: Incarnation): string | undefined {
     const member = this.#members.get(incarnation);
     return member?.health === "live" ? member.record.peerAddress : undefined;
   }
 
-  /** Part of a region's entries that answer, of those that were known within a minute. */
+  /**
+   * Fraction of a region's known members that are live, 1 if none is known. Dead members count for a minute
+   * before they are forgotten.
+   */
   heardPart(region: RegionId): number {
-    const { known, heard } = this.#countHeard(region);
-    return known === 0 ? 1 : heard / known;
+    const { known, live } = this.#countMembers(region);
+    return known === 0 ? 1 : live / known;
   }
 
-  /** The same part with this entry counted as one that is known and heard. */
+  /** The same fraction with this entry counted as a live member. */
   heardPartWithSelf(region: RegionId): number {
-    const { known, heard } = this.#countHeard(region);
-    return (heard + 1) / (known + 1);
+    const { known, live } = this.#countMembers(region);
+    return (live + 1) / (known + 1);
   }
 
-  #countHeard(region: RegionId): { known: number; heard: number } {
+  #countMembers(region: RegionId): { known: number; live: number } {
     const known = new Set<string>();
-    const heard = new Set<string>();
+    const live = new Set<string>();
     for (const { record, health } of this.#members.all()) {
       if (record.region === region) {
         known.add(record.peerAddress);
         if (health === "live") {
-          heard.add(record.peerAddress);
+          live.add(record.peerAddress);
         }
       }
     }
-    return { known: known.size, heard: heard.size };
+    return { known: known.size, live: live.size };
   }
 
-  /** Where the newest catalogue is that a live member holds, and its revision. */
+  /** Live member that holds the newest catalogue, with the catalogue's position. */
   newestHolder(): CatalogueHolder | undefined {
-    return this.#holdings.newest(this.live());
+    return this.#holdings.newestCatalogue(this.live());
   }
 
-  /** Where the newest document of the operators is that a live member holds, and its version. */
+  /** Live member that holds the newest routing document, with the document's version. */
   newestDocument(): DocumentHolder | undefined {
     return this.#holdings.newestDocument(this.live());
   }
 
-  /** Changes the own state and tells those who name this entry to callers, at once. */
-  changeState(state: FleetState, now: Instant): void {
+  /** Changes this entry's state and announces it at once, since other entries list this one to callers. */
+  changeState(state: EntryState, now: Instant): void {
     if (state === this.#record.state) {
       return;
     }
@@ -149,16 +158,16 @@
     this.#nextPeriodAt = now;
   }
 
-  /** Sends what is due and judges who was silent. */
+  /** Sends due pings and evaluates members that did not answer. */
   tick(now: Instant): void {
-    this.#noteLoop(now);
-    this.#probes.takeIndirect(now).forEach((probe) =>
-      this.#askOthers(probe.target, probe.sequence)
+    this.#detectPause(now);
+    this.#probeSchedule.takeDueForIndirect(now).forEach((probe) =>
+      this.#requestIndirectProbes(probe.target, probe.sequence)
     );
-    this.#probes.takeFailed(now).forEach(({ target }) =>
+    this.#probeSchedule.takeTimedOut(now).forEach(({ target }) =>
       this.#suspect(target, now)
     );
-    this.#buryUndenied(now);
+    this.#declareSuspectsDead(now);
     if (now >= this.#nextPeriodAt) {
       const joining = this.isJoining(now);
       this.#nextPeriodAt = after(
@@ -167,20 +176,20 @@
           period: this.#options.period,
           joining,
           members: this.#members.size,
-          resting: this.#options.resting(),
+          standby: this.#options.resting(),
         }),
       );
-      this.#members.forget(now);
+      this.#members.removeExpired(now);
       this.#pingNext(joining, now);
     }
   }
 
-  /** Whether this entry is still getting to know the fleet. */
+  /** Whether this entry is still discovering the fleet's members. */
   isJoining(now: Instant): boolean {
-    return this.#pace.isJoining(this.#members.size, now);
+    return this.#joinPhase.isJoining(this.#members.size, now);
   }
 
-  /** Takes a datagram of a peer. */
+  /** Handles a datagram from a peer. */
   receive(message: FleetMessage, now: Instant): void {
     if (!("from" in message)) {
       return;
@@ -189,54 +198,54 @@
     if (from.incarnation === this.#record.incarnation) {
       return;
     }
-    this.#noteLoop(now);
-    this.#members.hear(from, now);
-    this.#holdings.note(from.incarnation, holdings);
-    this.#probes.heard(from.incarnation);
+    this.#detectPause(now);
+    this.#members.recordHeard(from, now);
+    this.#holdings.set(from.incarnation, holdings);
+    this.#probeSchedule.closeFor(from.incarnation);
     switch (message.kind) {
       case "ping":
-        this.#learn(message, now);
-        return this.#answer(from, message.sequence, now);
+        this.#applyGossip(message, now);
+        return this.#acknowledge(from, message.sequence, now);
       case "ack":
-        this.#learn(message, now);
-        this.#probes.close(message.sequence);
-        return this.#acknowledgeIndirect(message.sequence);
+        this.#applyGossip(message, now);
+        this.#probeSchedule.close(message.sequence);
+        return this.#answerIndirectProbe(message.sequence);
       case "indirect":
-        return this.#pingFor(message.target, {
+        return this.#pingOnBehalf(message.target, {
           to: from.peerAddress,
           sequence: message.sequence,
         }, now);
       case "indirect_ack":
-        return this.#probes.close(message.sequence);
+        return this.#probeSchedule.close(message.sequence);
       case "announce":
         return;
     }
   }
 
   /**
-   * A process that stood still has lost answers to its pings, and would suspect everybody: callers
-   * would be given a list with nobody but itself. So pings from before a pause prove nothing.
+   * Detects pauses of this process. Answers that arrived during a pause may be lost, so the process would
+   * suspect every member and give callers a list with only itself. Pings sent before a pause are dropped.
    */
-  #noteLoop(now: Instant): void {
-    if (now - this.#lastTickAt > PAUSE_MS) {
-      this.#probes.clear();
+  #detectPause(now: Instant): void {
+    if (now - this.#lastTickAt > PAUSE_THRESHOLD_MS) {
+      this.#probeSchedule.clear();
     }
     this.#lastTickAt = now;
   }
 
-  #learn({ news, regions }: FleetGossip, now: Instant): void {
+  #applyGossip({ news, regions }: FleetGossip, now: Instant): void {
     for (const item of news) {
       if (item.record.incarnation === this.#record.incarnation) {
-        this.#deny(item.health, item.record.version);
+        this.#refute(item.health, item.record.version);
       } else {
-        this.#members.learn(item, now);
+        this.#members.applyUpdate(item, now);
       }
     }
-    regions.forEach((summary) => this.regions.learn(summary, now));
+    regions.forEach((summary) => this.regions.update(summary, now));
   }
 
-  /** Somebody holds this entry for lost: a higher version overrules that wherever it has spread. */
-  #deny(health: string, version: number): void {
+  /** Refutes another entry's suspicion of this one: a higher version overrides it wherever it has spread. */
+  #refute(health: string, version: number): void {
     if (health !== "live" && version >= this.#record.version) {
       this.#record = { ...this.#record, version: version + 1 };
     }
@@ -246,65 +255,70 @@
     const candidates = [...this.#members.all()].filter(({ health }) =>
       health !== "dead"
     );
-    const pings = pingsOf({ joining, members: candidates.length });
-    for (const member of this.#probes.next(candidates, pings)) {
-      const sequence = this.#probes.open(member, now);
-      this.#ping(member.record.peerAddress, { sequence, about: member, now });
+    const pings = pingsPerPeriod({ joining, members: candidates.length });
+    for (const member of this.#probeSchedule.next(candidates, pings)) {
+      const sequence = this.#probeSchedule.open(member, now);
+      this.#ping(member.record.peerAddress, { sequence, target: member, now });
     }
-    for (const { address, member } of this.#lost.next(this.#members.all())) {
-      const sequence = this.#probes.number();
-      this.#ping(address, { sequence, about: member, now });
+    for (
+      const { address, member } of this.#unreachablePeers.next(
+        this.#members.all(),
+      )
+    ) {
+      const sequence = this.#probeSchedule.nextSequence();
+      this.#ping(address, { sequence, target: member, now });
     }
   }
 
-  /** A ping tells its target what is thought of it, so that it can deny. */
+  /** A ping tells a target that it is suspect or dead to this entry, so that the target can refute that. */
   #ping(
     to: string,
-    { sequence, about, now }: {
+    { sequence, target, now }: {
       sequence: number;
-      about: FleetMember | undefined;
+      target: FleetMember | undefined;
       now: Instant;
     },
   ): void {
-    const doubted = about !== undefined && about.health !== "live";
-    const gossip = this.#gossip(about, now);
-    const news = doubted
-      ? [{ record: about.record, health: about.health }, ...gossip.news]
+    const suspected = target !== undefined && target.health !== "live";
+    const gossip = this.#createGossip(target, now);
+    const news = suspected
+      ? [{ record: target.record, health: target.health }, ...gossip.news]
       : gossip.news;
     this.mail.send(to, { kind: "ping", sequence, ...gossip, news });
   }
 
-  #answer(to: FleetRecord, sequence: number, now: Instant): void {
+  #acknowledge(to: FleetRecord, sequence: number, now: Instant): void {
     this.mail.send(to.peerAddress, {
       kind: "ack",
       sequence,
-      ...this.#gossip(this.#members.get(to.incarnation), now),
+      ...this.#createGossip(this.#members.get(to.incarnation), now),
     });
   }
 
-  #gossip(to: FleetMember | undefined, now: Instant): FleetGossip {
-    const own = this.#options.summary(now);
+  #createGossip(to: FleetMember | undefined, now: Instant): FleetGossip {
+    const ownSummary = this.#options.summary(now);
     const holds = this.#options.holds(now);
-    const isNewcomer = to !== undefined && now - to.since < NEWCOMER_MS;
+    const isNewcomer = to !== undefined &&
+      now - to.since < NEWCOMER_DURATION_MS;
     return isNewcomer
       ? {
-        news: this.#members.introduce(MEMBERS_FOR_NEWCOMER),
-        regions: [own],
+        news: this.#members.updatesForNewcomer(UPDATES_PER_NEWCOMER_MESSAGE),
+        regions: [ownSummary],
         holds,
       }
       : {
         holds,
-        news: this.#members.nextNews(NEWS_PER_MESSAGE),
-        regions: [own, ...this.regions.next(now)],
+        news: this.#members.nextUpdates(UPDATES_PER_MESSAGE),
+        regions: [ownSummary, ...this.regions.next(now)],
       };
   }
 
-  #askOthers(target: FleetMember, sequence: number): void {
+  #requestIndirectProbes(target: FleetMember, sequence: number): void {
     const others = this.live().filter(({ record }) =>
       record.incarnation !== target.record.incarnation
     );
     const { random } = this.#options;
-    for (const { record } of sample(others, INDIRECT_PROBES, random)) {
+    for (const { record } of sample(others, INDIRECT_PROBES_PER_PING, random)) {
       this.mail.send(record.peerAddress, {
         kind: "indirect",
         sequence,
@@ -313,14 +327,14 @@
     }
   }
 
-  #pingFor(target: string, probe: IndirectProbe, now: Instant): void {
-    const sequence = this.#probes.number();
-    this.#indirect.add(sequence, probe);
-    this.#ping(target, { sequence, about: undefined, now });
+  #pingOnBehalf(target: string, probe: IndirectProbe, now: Instant): void {
+    const sequence = this.#probeSchedule.nextSequence();
+    this.#indirectProbes.add(sequence, probe);
+    this.#ping(target, { sequence, target: undefined, now });
   }
 
-  #acknowledgeIndirect(sequence: number): void {
-    const probe = this.#indirect.take(sequence);
+  #answerIndirectProbe(sequence: number): void {
+    const probe = this.#indirectProbes.take(sequence);
     if (probe !== undefined) {
       this.mail.send(probe.to, {
         kind: "indirect_ack",
@@ -331,16 +345,16 @@
 
   #suspect({ record }: FleetMember, now: Instant): void {
     if (this.#members.get(record.incarnation)?.health === "live") {
-      this.#members.judge(record.incarnation, "suspect", now);
+      this.#members.setHealth(record.incarnation, "suspect", now);
     }
   }
 
-  #buryUndenied(now: Instant): void {
+  #declareSuspectsDead(now: Instant): void {
     for (const { record, since } of this.#members.withHealth("suspect")) {
-      // Its denial may wait to be read here.
+      // Stalls of this process don't count: a refutation may be waiting in the socket.
       if (this.#options.listened.since(since, now) >= SUSPICION_MS) {
-        this.#members.judge(record.incarnation, "dead", now);
-        this.#holdings.forget(record.incarnation);
+        this.#members.setHealth(record.incarnation, "dead", now);
+        this.#holdings.delete(record.incarnation);
       }
     }
   }
--- a/packages/core/src/fleet/fleet_mail.ts
+++ b/packages/core/src/fleet/fleet_mail.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry sends to the others of its fleet.
+ * Sends an entry's messages to the other entries of its fleet.
  *
  * @module
  */
@@ -14,78 +14,84 @@
 import type { FleetOptions } from "./fleet_options.ts";
 import type { FleetMember } from "./membership_list.ts";
 
-/** Entries outside the region that are told of a state change at once. */
-const FAR_ANNOUNCEMENTS = 8;
+/** Members of other regions that a state change is announced to directly. */
+const REMOTE_ANNOUNCEMENTS = 8;
 
-/** Messages that name their sender's incarnation alone, or nobody. */
-type BareKind = "currency" | "spending" | "limits" | "departures";
+/** Kinds of messages that don't carry the sender's full record. */
+type RecordlessKind = "currency" | "spending" | "limits" | "departures";
 
-/** What is sent in the name of, and to whom. */
-export interface MailSources {
-  /** The own record at present. */
+/** The sender's record and the possible recipients. */
+export interface SenderSources {
+  /** This entry's current record. */
   readonly record: () => FleetRecord;
-  /** Members that answer. */
+  /** Live members. */
   readonly live: () => FleetMember[];
 }
 
-/** Sends. */
-export class FleetMail {
+/** Builds outgoing messages and selects their recipients. */
+export class FleetSender {
   readonly #options: FleetOptions;
-  readonly #sources: MailSources;
+  readonly #sources: SenderSources;
 
-  constructor(options: FleetOptions, sources: MailSources) {
+  constructor(options: FleetOptions, sources: SenderSources) {
     this.#options = options;
     this.#sources = sources;
   }
 
-  /** Tells the entries of the region that `isTold` names of this one's work. */
+  /** Sends a report of this entry's work to the matching entries of its region. */
   sendWork(
     report: WorkReport,
-    isTold: (record: FleetRecord) => boolean,
+    isRecipient: (record: FleetRecord) => boolean,
   ): void {
     const { region, incarnation } = this.#options.self;
-    this.#tell(
+    this.#sendToMatching(
       { kind: "work", incarnation, report },
-      (record) => record.region === region && isTold(record),
+      (record) => record.region === region && isRecipient(record),
     );
   }
 
-  /** Tells the entries that `isTold` names of requests that end endpoints. */
+  /** Sends quarantine updates to the matching entries of all regions. */
   sendQuarantine(
     news: QuarantineNews,
-    isTold: (record: FleetRecord) => boolean,
+    isRecipient: (record: FleetRecord) => boolean,
   ): void {
     const { incarnation } = this.#options.self;
-    this.#tell({ kind: "quarantine", incarnation, news }, isTold);
+    this.#sendToMatching(
+      { kind: "quarantine", incarnation, news },
+      isRecipient,
+    );
   }
 
-  /** Sends one message that names no record. */
+  /** Sends a message that doesn't carry this entry's record. */
   sendBare(
     to: string,
     message: Extract<
       FleetMessage,
-      { kind: BareKind }
+      { kind: RecordlessKind }
     >,
   ): void {
     this.#options.send(to, message);
   }
 
-  /** Tells those who name this entry to callers of its state, and some others. */
+  /**
+   * Announces this entry's state to its region, whose entries list it to callers, and to a random sample of
+   * members in other regions.
+   */
   announce(): void {
-    const own = this.#options.self.region;
+    const ownRegion = this.#options.self.region;
     const live = this.#sources.live();
-    const near = live.filter(({ record }) => record.region === own);
-    const far = sample(
-      live.filter(({ record }) => record.region !== own),
-      FAR_ANNOUNCEMENTS,
+    const sameRegion = live.filter(({ record }) => record.region === ownRegion);
+    const otherRegions = sample(
+      live.filter(({ record }) => record.region !== ownRegion),
+      REMOTE_ANNOUNCEMENTS,
       this.#options.random,
     );
-    for (const { record } of [...near, ...far]) {
+    for (const { record } of [...sameRegion, ...otherRegions]) {
       this.send(record.peerAddress, { kind: "announce" });
     }
   }
 
-  /** Sends one message under the own record. */
+  /** Sends a message with this entry's record and the versions it holds. */
   send(to: string, message: FleetMessageBody): void {
     this.#options.send(
       to,
@@ -97,13 +103,13 @@
     );
   }
 
-  /** One message for all: it is written once, however many get it. */
-  #tell(
+  /** Passes the same message object for all recipients, so that it is encoded only once. */
+  #sendToMatching(
     message: FleetMessage,
-    isTold: (record: FleetRecord) => boolean,
+    isRecipient: (record: FleetRecord) => boolean,
   ): void {
     for (const { record } of this.#sources.live()) {
-      if (isTold(record)) {
+      if (isRecipient(record)) {
         this.#options.send(record.peerAddress, message);
       }
     }
--- a/packages/core/src/fleet/fleet_messages.ts
+++ b/packages/core/src/fleet/fleet_messages.ts
@@ -1,5 +1,6 @@
 /**
- * Datagrams by which entries find and lose each other. Ages travel, clock readings never do.
+ * Datagrams that entries exchange about membership, load and shared state. They carry ages, never clock
+ * readings.
  *
  * @module
  */
@@ -23,121 +24,121 @@
 import type { CataloguePosition, CurrencyMessage } from "../routes/index.ts";
 
 /** Whether an entry takes new requests. */
-export type FleetState =
+export type EntryState =
   | "starting"
   | "ready"
-  /** What it holds is so old that callers had better go elsewhere; it serves what it may. */
+  /** Its data is so old that callers should prefer other entries; it still serves what it may. */
   | "outdated"
   | "stopping";
 
-/** All that an entry says of itself. Only the entry itself makes a new version. */
+/** An entry's description of itself. Only the entry itself creates new versions. */
 export interface FleetRecord {
   readonly id: EntryId;
   readonly incarnation: Incarnation;
-  /** Grows with each change, and whenever the entry is wrongly held for lost. */
+  /** Increases with each change, and whenever the entry refutes a suspicion. */
   readonly version: number;
   readonly zone: ZoneId;
   readonly region: RegionId;
-  /** Host and port where callers reach it. */
+  /** Host and port for callers. */
   readonly callerAddress: string;
-  /** Host and port of its datagrams and of its address for peers. */
+  /** Host and port for peers, used for both datagrams and connections. */
   readonly peerAddress: string;
-  readonly state: FleetState;
-  /** What it can carry, relative to other entries. */
+  readonly state: EntryState;
+  /** Capacity relative to other entries. */
   readonly weight: number;
 }
 
-/** What an entry thinks of another. */
-export type FleetHealth = "live" | "suspect" | "dead";
+/** An entry's view of whether another entry is alive. */
+export type MemberHealth = "live" | "suspect" | "dead";
 
-/** A record with the teller's opinion, as it is passed on. */
-export interface FleetNews {
+/** A record and the health that the sender assigns to it, as spread by gossip. */
+export interface MemberUpdate {
   readonly record: FleetRecord;
-  readonly health: FleetHealth;
+  readonly health: MemberHealth;
 }
 
 /** Load of one service in one region. */
 export interface ServiceLoad {
   readonly service: ServiceId;
-  /** Endpoints that take new work. */
+  /** Endpoints that accept new work. */
   readonly endpoints: number;
   /** Work that arrived in the last second, in endpoint milliseconds. */
   readonly work: number;
   /** Requests that arrived in the last second. */
   readonly requests: number;
-  /** Work that waits, in milliseconds an endpoint. */
+  /** Queued work, in milliseconds per endpoint. */
   readonly backlog: Milliseconds;
 }
 
-/** A region's load and where its entries send their callers. */
+/** A region's load, and the shares of its callers that it directs to other regions. */
 export interface RegionSummary {
   readonly region: RegionId;
-  /** Since it was counted. */
+  /** Time since it was measured. */
   readonly age: Milliseconds;
   readonly loads: readonly ServiceLoad[];
-  /** Parts of the region's callers that are named entries of another region. */
+  /** Shares of the region's callers that are given entries of another region. */
   readonly shares: readonly RegionShare[];
 }
 
-/** Part of the callers, 0 to 1, that is sent to a region. */
+/** Fraction of the callers, 0 to 1, that is directed to a region. */
 export interface RegionShare {
   readonly region: RegionId;
   readonly share: number;
 }
 
-/** What an entry holds. */
+/** Versions of the shared data that an entry holds. */
 export interface Holdings {
-  /** Version of the operators' document. */
+  /** Version of the routing document. */
   readonly document: Revision;
-  /** Of everything published. */
+  /** Position of the catalogue, which holds everything that is published. */
   readonly catalogue: CataloguePosition;
 }
 
 /** What one entry has in flight at one endpoint. */
 export interface EndpointWork {
   readonly endpoint: EndpointId;
-  /** The life of the endpoint that this is in flight at. */
+  /** Life of the endpoint that the requests were sent to. */
   readonly life: EndpointLife | undefined;
-  /** Prompt tokens sent and not yet answered by a first event. */
+  /** Prompt tokens of requests that have not yet produced a first event. */
   readonly prefill: number;
-  /** Requests sent and not ended. */
+  /** Requests in flight. */
   readonly requests: number;
-  /** Tokens of these requests that lie in the engine's memory. */
+  /** Tokens of these requests that occupy the engine's cache. */
   readonly tokens: number;
 }
 
-/** Prompt prefixes that an endpoint was just given to read. */
+/** A prompt prefix that was just sent to an endpoint. */
 export interface PrefixNews {
   readonly endpoint: EndpointId;
   readonly life: EndpointLife | undefined;
-  /** Ids of the shared parts, in order, each with its tokens. */
+  /** Shareable parts of the prompt, in order. */
   readonly parts: readonly PromptPart[];
 }
 
-/** One part of a prompt that requests may share. */
+/** A part of a prompt that several requests may share. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** Work of one entry, told to the entries of its region. */
+/** One entry's work, reported to the entries of its region. */
 export interface WorkReport {
-  /** Whether only what changed is named; otherwise all that is not named is nothing. */
+  /** Whether only changes are listed. Otherwise an endpoint that is not listed has no work. */
   readonly partial: boolean;
   readonly endpoints: readonly EndpointWork[];
   readonly prefixes: readonly PrefixNews[];
-  /** Work that arrived here in the last second, in endpoint milliseconds. */
+  /** Work that arrived at this entry in the last second, by service. */
   readonly arrivals: readonly ServiceArrivals[];
-  /** Of the sender's published picture: tells those that read it seldom that it has changed. */
+  /** Hash of the sender's catalogue, by which entries that rarely read it notice a change. */
   readonly picture: number;
 }
 
-/** Work that one entry got for a service. */
+/** Work for one service that arrived at an entry. */
 export interface ServiceArrivals {
   readonly service: ServiceId;
-  /** Endpoint milliseconds in the last second. */
+  /** In endpoint milliseconds, within the last second. */
   readonly work: number;
-  /** Requests in the last second. */
+  /** Number of requests within the last second. */
   readonly requests: number;
 }
 
@@ -146,9 +147,9 @@
   readonly holdings: Holdings;
 }
 
-/** One datagram. */
+/** A datagram between entries. */
 export type FleetMessage =
-  /** Asks for an `ack`. */
+  /** Requests an `ack`. */
   | FleetMessageBase & FleetGossip & {
     readonly kind: "ping";
     readonly sequence: number;
@@ -168,39 +169,39 @@
     readonly kind: "indirect_ack";
     readonly sequence: number;
   }
-  /** The sender changed its state. Wants no answer. */
+  /** The sender changed its state. Not answered. */
   | FleetMessageBase & { readonly kind: "announce" }
-  /** Told often, so it names its sender only. */
+  /** Sent often, so it carries the sender's incarnation instead of its full record. */
   | {
     readonly kind: "work";
     readonly incarnation: Incarnation;
     readonly report: WorkReport;
   }
-  /** Ends of endpoints, and requests that are held back for them. */
+  /** Endpoint crashes, and requests that are held back because of them. */
   | {
     readonly kind: "quarantine";
     readonly incarnation: Incarnation;
     readonly news: QuarantineNews;
   }
-  /** How current the document is that an entry holds. */
+  /** Queries and answers about how up to date an entry's catalogue is. */
   | { readonly kind: "currency"; readonly message: CurrencyMessage }
-  /** What customers use. */
+  /** Usage of customers' limits. */
   | { readonly kind: "spending"; readonly message: SpendingMessage }
-  /** Limits that endpoints stated, and permits to send to them. */
+  /** Limits that endpoints stated, and permits to send to these endpoints. */
   | { readonly kind: "limits"; readonly message: LimitMessage }
-  /** Endpoints that leave. */
+  /** Endpoints that are about to shut down. */
   | { readonly kind: "departures"; readonly message: DepartureMessage };
 
-type Body<Message> = Message extends { readonly from: FleetRecord }
+type MessageBody<Message> = Message extends { readonly from: FleetRecord }
   ? Omit<Message, "from" | "holdings">
   : never;
-/** A datagram without what each of its sender's begins with. */
-export type FleetMessageBody = Body<FleetMessage>;
+/** A message without the sender's record and holdings, which are added when it is sent. */
+export type FleetMessageBody = MessageBody<FleetMessage>;
 
-/** What pings and acks carry beside their purpose. */
+/** Data piggybacked on pings and acks. */
 export interface FleetGossip {
-  readonly news: readonly FleetNews[];
+  readonly news: readonly MemberUpdate[];
   readonly regions: readonly RegionSummary[];
-  /** Requests that are held back: who starts anew, or was cut off, learns of them so. */
+  /** Requests that are held back. Entries that restarted or were partitioned learn of them this way. */
   readonly holds: readonly HoldNotice[];
 }
--- a/packages/core/src/fleet/fleet_options.ts
+++ b/packages/core/src/fleet/fleet_options.ts
@@ -1,5 +1,5 @@
 /**
- * What finding and losing each other needs of an entry.
+ * Options of the fleet controller.
  *
  * @module
  */
@@ -13,24 +13,24 @@
   RegionSummary,
 } from "./fleet_messages.ts";
 
-/** Who this entry is. */
-export type FleetSelf = Omit<FleetRecord, "version" | "state">;
+/** The fixed part of this entry's record. */
+export type FleetIdentity = Omit<FleetRecord, "version" | "state">;
 
-/** What the controller is made with. */
+/** Settings of the fleet controller, and its access to the rest of the entry. */
 export interface FleetOptions {
-  readonly self: FleetSelf;
-  /** Peer addresses to begin with. */
+  readonly self: FleetIdentity;
+  /** Peer addresses that are contacted first. */
   readonly seeds: readonly string[];
-  /** Between pings, in milliseconds. */
+  /** Time between pings, in milliseconds. */
   readonly period: number;
   readonly random: Randomness;
   readonly listened: ListenedTimeView;
   readonly send: (to: string, message: FleetMessage) => void;
   readonly holdings: () => Holdings;
-  /** Whether this entry stands by: it has had no requests lately. */
+  /** Whether this entry is on standby, that is, has had no requests lately. */
   readonly resting: () => boolean;
-  /** The own region's summary as it is now. */
+  /** Current load summary of this entry's region. */
   readonly summary: (now: Instant) => RegionSummary;
-  /** Some of the requests that are held back, others each time. */
+  /** The next few of the requests that are held back; successive calls go through all of them. */
   readonly holds: (now: Instant) => readonly HoldNotice[];
 }
--- a/packages/core/src/fleet/indirect_probes.ts
+++ b/packages/core/src/fleet/indirect_probes.ts
@@ -1,30 +1,30 @@
 /**
- * Pings that an entry makes for others.
+ * Pings that an entry sends on behalf of other entries.
  *
  * @module
  */
 
-/** Those that are remembered: a target that never answers must not be kept for good. */
-const MOST = 64;
+/** Beyond this number the oldest are dropped: a target that never answers must not be kept forever. */
+const MAX_PENDING_PROBES = 64;
 
-/** Who asked, and the number under which. */
+/** Address of the requesting entry, and the sequence number of its request. */
 export interface IndirectProbe {
   readonly to: string;
   readonly sequence: number;
 }
 
-/** Keeps indirect probes by the number of the own ping. */
+/** Pending indirect probes, by the sequence number of this entry's ping. */
 export class IndirectProbes {
   readonly #bySequence = new Map<number, IndirectProbe>();
 
   add(sequence: number, probe: IndirectProbe): void {
     this.#bySequence.set(sequence, probe);
-    if (this.#bySequence.size > MOST) {
+    if (this.#bySequence.size > MAX_PENDING_PROBES) {
       this.#bySequence.delete(this.#bySequence.keys().next().value!);
     }
   }
 
-  /** The target has answered; each probe is returned once. */
+  /** Removes and returns the probe whose target has answered. */
   take(sequence: number): IndirectProbe | undefined {
     const probe = this.#bySequence.get(sequence);
     this.#bySequence.delete(sequence);
--- a/packages/core/src/fleet/join_backoff.ts
+++ b/packages/core/src/fleet/join_backoff.ts
@@ -1,37 +1,40 @@
 /**
- * Whether an entry is still getting to know the fleet.
+ * Decides whether an entry is still discovering the fleet's members.
  *
  * @module
  */
 import type { Instant } from "../ids/index.ts";
 
-/** It knows the fleet once it has learned of nobody for so long, */
-const QUIET_MS = 1_000;
-/** and at the latest then. */
-const MOST_MS = 10_000;
+/** The join phase ends once no new member has been discovered for this long. */
+const JOIN_QUIET_MS = 1_000;
+/** The join phase ends at the latest after this time. */
+const MAX_JOIN_MS = 10_000;
 
 /**
- * A fleet whose entries all start at once knows nothing of itself, and an entry that starts anew is told
- * little by one that is settled: callers are then sent to the few entries that are known, and engines are
- * chosen without hearing of each other's work. At the pace of a settled fleet 72 entries knew 40% of each
- * other after two seconds; so a newcomer asks more often until nobody new turns up.
+ * Tracks the phase after the start in which an entry pings more often, until no new members turn up.
+ *
+ * When all entries of a fleet start at once, none knows the others, and a restarted entry learns little from
+ * settled ones. Until entries know each other, callers are directed to the few known ones, and engines are
+ * chosen without knowing each other's work. At the ping rate of a settled fleet, 72 entries knew only 40% of
+ * each other after two seconds.
  */
-export class JoinBackoff {
+export class JoinPhase {
   readonly #startedAt: Instant;
-  #learnedAt: Instant;
-  #members = 0;
+  #lastDiscoveryAt: Instant;
+  #memberCount = 0;
 
   constructor(now: Instant) {
     this.#startedAt = now;
-    this.#learnedAt = now;
+    this.#lastDiscoveryAt = now;
   }
 
-  /** `members` is how many are known by now. */
+  /** `members` is the number of currently known members. */
   isJoining(members: number, now: Instant): boolean {
-    if (members > this.#members) {
-      this.#learnedAt = now;
+    if (members > this.#memberCount) {
+      this.#lastDiscoveryAt = now;
     }
-    this.#members = members;
-    return now - this.#learnedAt < QUIET_MS && now - this.#startedAt < MOST_MS;
+    this.#memberCount = members;
+    return now - this.#lastDiscoveryAt < JOIN_QUIET_MS &&
+      now - this.#startedAt < MAX_JOIN_MS;
   }
 }
--- a/packages/core/src/fleet/membership_list.ts
+++ b/packages/core/src/fleet/membership_list.ts
@@ -1,41 +1,45 @@
 /**
- * Opinions on the other entries, and which of them are passed on next.
+ * The other entries with their health, and the order in which updates about them are gossiped.
  *
  * @module
  */
 import type { Incarnation, Instant } from "../ids/index.ts";
-import type { FleetHealth, FleetNews, FleetRecord } from "./fleet_messages.ts";
+import type {
+  FleetRecord,
+  MemberHealth,
+  MemberUpdate,
+} from "./fleet_messages.ts";
 
-/** How long a dead entry is remembered, so that late news does not bring it back. */
-const REMEMBER_DEAD_MS = 60_000;
-/** News are passed on so often times the logarithm of the fleet's size, the known bound of gossip. */
-const RETELL_FACTOR = 3;
+/** How long a dead entry is remembered, so that a late update does not bring it back. */
+const DEAD_RETENTION_MS = 60_000;
+/** Updates are sent this many times the logarithm of the fleet's size, the known bound of gossip protocols. */
+const RETRANSMIT_FACTOR = 3;
 
 /** One other entry. */
 export interface FleetMember {
   readonly record: FleetRecord;
-  readonly health: FleetHealth;
-  /** Since when the health is as it is. */
+  readonly health: MemberHealth;
+  /** When the health last changed. */
   readonly since: Instant;
-  /** When it was last heard by a datagram of its own. */
+  /** When the last datagram from the entry itself arrived. */
   readonly heardAt: Instant;
 }
 
-interface Entry extends FleetMember {
-  /** Messages that carried the current opinion. */
-  told: number;
+interface GossipedMember extends FleetMember {
+  /** Number of messages that have carried the current record and health. */
+  sendCount: number;
 }
 
-const RANK: Readonly<Record<FleetHealth, number>> = {
+const HEALTH_RANK: Readonly<Record<MemberHealth, number>> = {
   live: 0,
   suspect: 1,
   dead: 2,
 };
 
-/** Keeps one opinion an incarnation. */
+/** Keeps a record and a health for each incarnation. */
 export class MembershipList {
-  readonly #members = new Map<Incarnation, Entry>();
-  #introduced = 0;
+  readonly #members = new Map<Incarnation, GossipedMember>();
+  #introductionCursor = 0;
 
   get size(): number {
     return this.#members.size;
@@ -49,45 +53,46 @@
     return this.#members.values();
   }
 
-  withHealth(health: FleetHealth): FleetMember[] {
+  withHealth(health: MemberHealth): FleetMember[] {
     return [...this.#members.values()].filter((member) =>
       member.health === health
     );
   }
 
   /**
-   * Takes a datagram of the member itself: it lives, whatever others say.
+   * Marks a member as live after a datagram from the member itself, whatever others say.
    *
-   * The record's version decides between copies; a dead incarnation that still speaks was cut off.
+   * The copy with the higher version is kept. A dead incarnation that sends again was partitioned, unless
+   * another incarnation is live at its address.
    */
-  hear(record: FleetRecord, now: Instant): void {
+  recordHeard(record: FleetRecord, now: Instant): void {
     const known = this.#members.get(record.incarnation);
-    if (known?.health === "dead" && this.#hasLaterNamesake(record)) {
+    if (known?.health === "dead" && this.#hasLiveMemberAt(record)) {
       return;
     }
     if (known === undefined) {
-      this.#retireNamesakes(record, now);
+      this.#markPredecessorsDead(record, now);
     }
     const newer = known === undefined || record.version >= known.record.version;
-    const fresh = known?.health === "live" &&
+    const unchanged = known?.health === "live" &&
       known.record.version === record.version;
     this.#members.set(record.incarnation, {
       record: newer ? record : known.record,
       health: "live",
       since: known?.health === "live" ? known.since : now,
       heardAt: now,
-      told: fresh ? known.told : 0,
+      sendCount: unchanged ? known.sendCount : 0,
     });
   }
 
-  /** Takes another entry's opinion; tells whether it was news. */
-  learn({ record, health }: FleetNews, now: Instant): boolean {
+  /** Applies an update from another entry. Returns whether it changed anything. */
+  applyUpdate({ record, health }: MemberUpdate, now: Instant): boolean {
     const known = this.#members.get(record.incarnation);
     if (known === undefined) {
-      if (health !== "live" || this.#hasLaterNamesake(record)) {
+      if (health !== "live" || this.#hasLiveMemberAt(record)) {
         return false;
       }
-      this.#retireNamesakes(record, now);
+      this.#markPredecessorsDead(record, now);
       this.#put({ record, health }, now);
       return true;
     }
@@ -98,53 +103,59 @@
     return true;
   }
 
-  /** Changes the own opinion of a member. */
-  judge(incarnation: Incarnation, health: FleetHealth, now: Instant): void {
+  /** Sets the health that this entry assigns to a member. */
+  setHealth(
+    incarnation: Incarnation,
+    health: MemberHealth,
+    now: Instant,
+  ): void {
     const known = this.#members.get(incarnation);
     if (known !== undefined && known.health !== health) {
       this.#put({ record: known.record, health }, now, known);
     }
   }
 
-  /** Forgets those that died long ago. */
-  forget(now: Instant): void {
+  /** Removes members that have been dead for longer than the retention time. */
+  removeExpired(now: Instant): void {
     for (const [incarnation, { health, since }] of this.#members) {
-      if (health === "dead" && now - since > REMEMBER_DEAD_MS) {
+      if (health === "dead" && now - since > DEAD_RETENTION_MS) {
         this.#members.delete(incarnation);
       }
     }
   }
 
-  /** The news that were passed on least often, and marks them as passed on once more. */
-  nextNews(count: number): FleetNews[] {
-    const limit = RETELL_FACTOR * Math.ceil(Math.log2(this.#members.size + 2));
-    const waiting = [...this.#members.values()].filter(({ told }) =>
-      told < limit
+  /** Returns the updates that were sent least often, and counts them as sent once more. */
+  nextUpdates(count: number): MemberUpdate[] {
+    const maxSends = RETRANSMIT_FACTOR *
+      Math.ceil(Math.log2(this.#members.size + 2));
+    const pending = [...this.#members.values()].filter(({ sendCount }) =>
+      sendCount < maxSends
     );
-    waiting.sort((left, right) => left.told - right.told);
-    return waiting.slice(0, count).map((entry) => {
-      entry.told++;
-      return { record: entry.record, health: entry.health };
+    pending.sort((left, right) => left.sendCount - right.sendCount);
+    return pending.slice(0, count).map((member) => {
+      member.sendCount++;
+      return { record: member.record, health: member.health };
     });
   }
 
-  /** The news, and members in turn that are no news: for one who knows nobody. */
-  introduce(count: number): FleetNews[] {
-    const news = this.nextNews(count);
-    const named = new Set(news.map(({ record }) => record.incarnation));
+  /** Returns updates for a new member: the usual ones, filled up with other live members in turn. */
+  updatesForNewcomer(count: number): MemberUpdate[] {
+    const updates = this.nextUpdates(count);
+    const included = new Set(updates.map(({ record }) => record.incarnation));
     const others = this.withHealth("live").filter(({ record }) =>
-      !named.has(record.incarnation)
+      !included.has(record.incarnation)
     );
-    const room = Math.min(count - news.length, others.length);
-    for (let index = 0; index < room; index++) {
-      const { record, health } = others[this.#introduced++ % others.length]!;
-      news.push({ record, health });
+    const remaining = Math.min(count - updates.length, others.length);
+    for (let index = 0; index < remaining; index++) {
+      const { record, health } =
+        others[this.#introductionCursor++ % others.length]!;
+      updates.push({ record, health });
     }
-    return news;
+    return updates;
   }
 
   #put(
-    { record, health }: FleetNews,
+    { record, health }: MemberUpdate,
     now: Instant,
     known?: FleetMember,
   ): void {
@@ -153,24 +164,27 @@
       health,
       since: known?.health === health ? known.since : now,
       heardAt: known?.heardAt ?? now,
-      told: 0,
+      sendCount: 0,
     });
   }
 
-  /** A new life at an address ends the former one: two cannot listen there. */
-  #retireNamesakes(record: FleetRecord, now: Instant): void {
+  /** Marks former incarnations at a record's address as dead: two processes cannot listen there. */
+  #markPredecessorsDead(record: FleetRecord, now: Instant): void {
     for (const [incarnation, member] of this.#members) {
       if (
         member.record.peerAddress === record.peerAddress &&
         incarnation !== record.incarnation
       ) {
-        this.judge(incarnation, "dead", now);
+        this.setHealth(incarnation, "dead", now);
       }
     }
   }
 
-  /** Late news of a former life must not retire the present one. */
-  #hasLaterNamesake(record: FleetRecord): boolean {
+  /**
+   * Whether a member is live at a record's address. A late update about a former incarnation must not
+   * replace that member.
+   */
+  #hasLiveMemberAt(record: FleetRecord): boolean {
     return [...this.#members.values()].some((member) =>
       member.health === "live" &&
       member.record.peerAddress === record.peerAddress
@@ -178,13 +192,13 @@
   }
 }
 
-/** A higher version wins; at the same version the worse opinion wins until the member denies it. */
-function overrides(news: FleetNews, known: FleetNews): boolean {
-  if (known.health === "dead" && news.health !== "dead") {
-    return news.record.version > known.record.version;
+/** A higher version wins. At the same version the worse health wins until the member refutes it. */
+function overrides(update: MemberUpdate, known: MemberUpdate): boolean {
+  if (known.health === "dead" && update.health !== "dead") {
+    return update.record.version > known.record.version;
   }
-  if (news.record.version !== known.record.version) {
-    return news.record.version > known.record.version;
+  if (update.record.version !== known.record.version) {
+    return update.record.version > known.record.version;
   }
-  return RANK[news.health] > RANK[known.health];
+  return HEALTH_RANK[update.health] > HEALTH_RANK[known.health];
 }
--- a/packages/core/src/fleet/peer_holdings.ts
+++ b/packages/core/src/fleet/peer_holdings.ts
@@ -1,5 +1,5 @@
 /**
- * What other entries hold, as they last said.
+ * Versions of the shared data that other entries last reported to hold.
  *
  * @module
  */
@@ -12,32 +12,34 @@
 import type { Holdings } from "./fleet_messages.ts";
 import type { FleetMember } from "./membership_list.ts";
 
-/** An entry that has a catalogue. */
+/** Address of an entry, and the position of the catalogue that it holds. */
 export interface CatalogueHolder {
   readonly address: string;
   readonly position: CataloguePosition;
 }
 
-/** An entry that has a document of the operators. */
+/** Address of an entry, and the version of the routing document that it holds. */
 export interface DocumentHolder {
   readonly address: string;
   readonly version: Revision;
 }
 
-/** Holdings by entry. */
+/** Holdings by the entries' incarnations. */
 export class PeerHoldings {
   readonly #holdings = new Map<Incarnation, Holdings>();
 
-  note(entry: Incarnation, holdings: Holdings): void {
+  set(entry: Incarnation, holdings: Holdings): void {
     this.#holdings.set(entry, holdings);
   }
 
-  forget(entry: Incarnation): void {
+  delete(entry: Incarnation): void {
     this.#holdings.delete(entry);
   }
 
-  /** Which of some members has the newest catalogue. */
-  newest(members: readonly FleetMember[]): CatalogueHolder | undefined {
+  /** Returns the given member with the newest catalogue. */
+  newestCatalogue(
+    members: readonly FleetMember[],
+  ): CatalogueHolder | undefined {
     let best: CatalogueHolder | undefined;
     for (const { record: { incarnation, peerAddress } } of members) {
       const position = this.#holdings.get(incarnation)?.catalogue;
@@ -51,7 +53,7 @@
     return best;
   }
 
-  /** Which of some members has the newest document. */
+  /** Returns the given member with the newest routing document. */
   newestDocument(members: readonly FleetMember[]): DocumentHolder | undefined {
     let best: DocumentHolder | undefined;
     for (const { record: { incarnation, peerAddress } } of members) {
--- a/packages/core/src/fleet/ping_pace.ts
+++ b/packages/core/src/fleet/ping_pace.ts
@@ -1,39 +1,41 @@
 /**
- * How often an entry pings others, and how many at once.
+ * How often an entry pings other members, and how many of them at once.
  *
  * @module
  */
 
-/** Up to so many members two are pinged a period: detection is quicker and still cheap. */
-const SMALL_FLEET = 16;
-/** Pings a period in a small fleet, and of an entry that is still getting to know a large one. */
-const MOST_PINGS = 2;
-/** Between pings of an entry that is still getting to know the fleet. */
+/** With at most this many members, two are pinged each period: failures are detected sooner at little cost. */
+const SMALL_FLEET_MEMBERS = 16;
+/** Pings each period in a small fleet, and of an entry that is still joining. */
+const MAX_PINGS_PER_PERIOD = 2;
+/** Time between pings of an entry that is still joining. */
 const JOIN_PERIOD_MS = 100;
-/** Periods between pings of an entry that stands by in a large fleet. */
-const RESTING_PERIODS = 2;
+/** Periods between pings of a standby entry in a large fleet. */
+const STANDBY_PERIODS = 2;
 
 /**
- * Milliseconds between pings. In a large fleet those that stand by ping half as often: they are most of
- * it, and each member is still pinged about once a second.
+ * Milliseconds between pings. Standby entries of a large fleet ping half as often: they are most of its
+ * members, and each member is still pinged about once a second.
  */
 export function pingPeriod(
-  { period, joining, members, resting }: {
+  { period, joining, members, standby }: {
     period: number;
     joining: boolean;
     members: number;
-    resting: boolean;
+    standby: boolean;
   },
 ): number {
   if (joining) {
     return JOIN_PERIOD_MS;
   }
-  return members > SMALL_FLEET && resting ? period * RESTING_PERIODS : period;
+  return members > SMALL_FLEET_MEMBERS && standby
+    ? period * STANDBY_PERIODS
+    : period;
 }
 
-/** Members pinged at once. */
-export function pingsOf(
+/** Number of members pinged each period. */
+export function pingsPerPeriod(
   { joining, members }: { joining: boolean; members: number },
 ): number {
-  return joining || members <= SMALL_FLEET ? MOST_PINGS : 1;
+  return joining || members <= SMALL_FLEET_MEMBERS ? MAX_PINGS_PER_PERIOD : 1;
 }
--- a/packages/core/src/fleet/probe_schedule.ts
+++ b/packages/core/src/fleet/probe_schedule.ts
@@ -1,5 +1,5 @@
 /**
- * Whom to ping next, and which pings are still unanswered.
+ * Selects the members to ping next, and tracks unanswered pings.
  *
  * @module
  */
@@ -12,12 +12,12 @@
 import type { ListenedTimeView } from "../listening/index.ts";
 import type { FleetMember } from "./membership_list.ts";
 
-/** A ping that was not answered so long is repeated through others: twice the longest round trip. */
-export const DIRECT_TIMEOUT_MS = 400;
-/** Without any answer by then the target is suspect. */
+/** A ping without an answer is repeated through other members after this time: twice the longest round trip. */
+export const DIRECT_PROBE_TIMEOUT_MS = 400;
+/** A target without any answer, direct or indirect, becomes suspect after this time. */
 export const PROBE_TIMEOUT_MS = 1_000;
 
-/** A ping that waits for its answer. */
+/** A ping without an answer so far. */
 export interface Probe {
   readonly sequence: number;
   readonly target: FleetMember;
@@ -25,35 +25,35 @@
   indirect: boolean;
 }
 
-/** Goes round the members in a shuffled order, so that each is pinged within two rounds. */
+/** Goes through the members in a shuffled order, so that each is pinged within two rounds. */
 export class ProbeSchedule {
   readonly #random: Randomness;
-  readonly #listened: ListenedTimeView;
-  readonly #open = new Map<number, Probe>();
-  #round: Incarnation[] = [];
+  readonly #clock: ListenedTimeView;
+  readonly #openProbes = new Map<number, Probe>();
+  #remainingInRound: Incarnation[] = [];
   #sequence = 0;
 
   constructor(random: Randomness, listened: ListenedTimeView) {
     this.#random = random;
-    this.#listened = listened;
+    this.#clock = listened;
   }
 
-  /** The next members to ping, none twice. */
+  /** Returns the next members to ping, without duplicates. */
   next(members: readonly FleetMember[], count: number): FleetMember[] {
     const byIncarnation = new Map(
       members.map((member) => [member.record.incarnation, member]),
     );
     const picked: FleetMember[] = [];
-    const wanted = Math.min(count, members.length);
-    while (picked.length < wanted) {
-      if (this.#round.length === 0) {
-        this.#round = sample(
+    const total = Math.min(count, members.length);
+    while (picked.length < total) {
+      if (this.#remainingInRound.length === 0) {
+        this.#remainingInRound = sample(
           [...byIncarnation.keys()],
           byIncarnation.size,
           this.#random,
         );
       }
-      const member = byIncarnation.get(this.#round.pop()!);
+      const member = byIncarnation.get(this.#remainingInRound.pop()!);
       if (member !== undefined && !picked.includes(member)) {
         picked.push(member);
       }
@@ -61,10 +61,10 @@
     return picked;
   }
 
-  /** Opens a probe of the target. */
+  /** Starts tracking a probe of the target and returns its sequence number. */
   open(target: FleetMember, now: Instant): number {
     this.#sequence++;
-    this.#open.set(this.#sequence, {
+    this.#openProbes.set(this.#sequence, {
       sequence: this.#sequence,
       target,
       sentAt: now,
@@ -73,50 +73,50 @@
     return this.#sequence;
   }
 
-  /** A number for a message that opens no probe. */
-  number(): number {
+  /** Returns a sequence number for a ping that is not tracked. */
+  nextSequence(): number {
     this.#sequence++;
     return this.#sequence;
   }
 
   close(sequence: number): void {
-    this.#open.delete(sequence);
+    this.#openProbes.delete(sequence);
   }
 
-  /** Closes all probes of a member that was heard. */
-  heard(incarnation: Incarnation): void {
-    for (const [sequence, { target }] of this.#open) {
+  /** Closes all probes of a member that sent a message. */
+  closeFor(incarnation: Incarnation): void {
+    for (const [sequence, { target }] of this.#openProbes) {
       if (target.record.incarnation === incarnation) {
-        this.#open.delete(sequence);
+        this.#openProbes.delete(sequence);
       }
     }
   }
 
-  /** Probes that shall now go through others. */
-  takeIndirect(now: Instant): Probe[] {
-    const due = [...this.#open.values()].filter((probe) =>
-      !probe.indirect && this.#hasWaited(probe, DIRECT_TIMEOUT_MS, now)
+  /** Returns probes that are due to be repeated through other members, each once. */
+  takeDueForIndirect(now: Instant): Probe[] {
+    const due = [...this.#openProbes.values()].filter((probe) =>
+      !probe.indirect && this.#hasWaitedFor(probe, DIRECT_PROBE_TIMEOUT_MS, now)
     );
     due.forEach((probe) => probe.indirect = true);
     return due;
   }
 
-  /** Probes that failed. */
-  takeFailed(now: Instant): Probe[] {
-    const failed = [...this.#open.values()].filter((probe) =>
-      this.#hasWaited(probe, PROBE_TIMEOUT_MS, now)
+  /** Removes and returns probes that timed out. */
+  takeTimedOut(now: Instant): Probe[] {
+    const failed = [...this.#openProbes.values()].filter((probe) =>
+      this.#hasWaitedFor(probe, PROBE_TIMEOUT_MS, now)
     );
-    failed.forEach((probe) => this.#open.delete(probe.sequence));
+    failed.forEach((probe) => this.#openProbes.delete(probe.sequence));
     return failed;
   }
 
-  /** Drops all open probes: after a pause their answers may have been lost here. */
+  /** Drops all open probes: after a pause of this process their answers may have been lost. */
   clear(): void {
-    this.#open.clear();
+    this.#openProbes.clear();
   }
 
-  /** An answer that came while this process stood still is yet to be read. */
-  #hasWaited({ sentAt }: Probe, time: number, now: Instant): boolean {
-    return this.#listened.since(sentAt, now) >= time;
+  /** Stalls of this process don't count: an answer that arrived during one is yet to be read. */
+  #hasWaitedFor({ sentAt }: Probe, duration: number, now: Instant): boolean {
+    return this.#clock.since(sentAt, now) >= duration;
   }
 }
--- a/packages/core/src/fleet/region_summaries.ts
+++ b/packages/core/src/fleet/region_summaries.ts
@@ -1,5 +1,5 @@
 /**
- * What is known of other regions' load.
+ * Load summaries of other regions.
  *
  * @module
  */
@@ -11,10 +11,10 @@
 } from "../ids/index.ts";
 import type { RegionSummary } from "./fleet_messages.ts";
 
-/** Older summaries say nothing any more. */
+/** Older summaries are ignored. */
 export const SUMMARY_LIFETIME_MS = 5_000;
 /** Summaries of other regions in one message. */
-const REGIONS_PER_MESSAGE = 6;
+const SUMMARIES_PER_MESSAGE = 6;
 
 interface KnownSummary {
   readonly summary: RegionSummary;
@@ -23,24 +23,24 @@
 
 /** Keeps the newest summary of each other region. */
 export class RegionSummaries {
-  readonly #own: RegionId;
+  readonly #ownRegion: RegionId;
   readonly #summaries = new Map<RegionId, KnownSummary>();
   #cursor = 0;
 
-  constructor(own: RegionId) {
-    this.#own = own;
+  constructor(ownRegion: RegionId) {
+    this.#ownRegion = ownRegion;
   }
 
-  learn(summary: RegionSummary, now: Instant): void {
+  update(summary: RegionSummary, now: Instant): void {
     const countedAt = instant(now - summary.age);
     const known = this.#summaries.get(summary.region);
     const newer = known === undefined || countedAt > known.countedAt;
-    if (summary.region !== this.#own && newer) {
+    if (summary.region !== this.#ownRegion && newer) {
       this.#summaries.set(summary.region, { summary, countedAt });
     }
   }
 
-  /** Summaries of other regions that are fresh enough to act on. */
+  /** Summaries of other regions that have not expired. */
   fresh(now: Instant): RegionSummary[] {
     return [...this.#summaries.values()]
       .filter(({ countedAt }) => now - countedAt <= SUMMARY_LIFETIME_MS)
@@ -50,15 +50,15 @@
       }));
   }
 
-  /** Summaries to pass on, in turn. */
+  /** The next summaries to pass on, in turn. */
   next(now: Instant): RegionSummary[] {
     const fresh = this.fresh(now);
-    if (fresh.length <= REGIONS_PER_MESSAGE) {
+    if (fresh.length <= SUMMARIES_PER_MESSAGE) {
       return fresh;
     }
-    this.#cursor += REGIONS_PER_MESSAGE;
+    this.#cursor += SUMMARIES_PER_MESSAGE;
     return Array.from(
-      { length: REGIONS_PER_MESSAGE },
+      { length: SUMMARIES_PER_MESSAGE },
       (_, index) => fresh[(this.#cursor + index) % fresh.length]!,
     );
   }
--- a/packages/core/src/fleet/unreachable_peers.ts
+++ b/packages/core/src/fleet/unreachable_peers.ts
@@ -1,47 +1,47 @@
 /**
- * Addresses from which nobody answers: seeds, and entries held for dead.
+ * Addresses without a live or suspect member: seeds that were not heard, and members declared dead.
  *
  * @module
  */
 import type { FleetMember } from "./membership_list.ts";
 
-/** Addresses that are tried a period: heals partitions within seconds. */
-const TRIES_A_PERIOD = 2;
+/** Addresses that are tried each period, so that a partition heals within seconds. */
+const ATTEMPTS_PER_PERIOD = 2;
 
-/** One address, and who was there if that is known. */
-export interface LostAddress {
+/** An address, and the dead member that was last known there, if any. */
+export interface UnreachableAddress {
   readonly address: string;
   readonly member: FleetMember | undefined;
 }
 
-/** Goes round them: they may be back, and a healed cut shows only by asking. */
+/** Selects unreachable addresses to try in turn: only an attempt shows that a partition has ended. */
 export class UnreachablePeers {
-  readonly #own: string;
+  readonly #ownAddress: string;
   readonly #seeds: readonly string[];
   #cursor = 0;
 
-  constructor(own: string, seeds: readonly string[]) {
-    this.#own = own;
+  constructor(ownAddress: string, seeds: readonly string[]) {
+    this.#ownAddress = ownAddress;
     this.#seeds = seeds;
   }
 
-  /** The next ones to try. */
-  next(members: Iterable<FleetMember>): LostAddress[] {
-    const heard = new Set<string>([this.#own]);
+  /** Returns the next addresses to try. */
+  next(members: Iterable<FleetMember>): UnreachableAddress[] {
+    const reachable = new Set<string>([this.#ownAddress]);
     const dead = new Map<string, FleetMember>();
     for (const member of members) {
       if (member.health === "dead") {
         dead.set(member.record.peerAddress, member);
       } else {
-        heard.add(member.record.peerAddress);
+        reachable.add(member.record.peerAddress);
       }
     }
-    const lost = [...new Set([...this.#seeds, ...dead.keys()])].filter(
-      (address) => !heard.has(address),
+    const unreachable = [...new Set([...this.#seeds, ...dead.keys()])].filter(
+      (address) => !reachable.has(address),
     );
-    const count = Math.min(TRIES_A_PERIOD, lost.length);
+    const count = Math.min(ATTEMPTS_PER_PERIOD, unreachable.length);
     return Array.from({ length: count }, () => {
-      const address = lost[this.#cursor++ % lost.length]!;
+      const address = unreachable[this.#cursor++ % unreachable.length]!;
       return { address, member: dead.get(address) };
     });
   }
--- a/packages/core/src/ids/hash.ts
+++ b/packages/core/src/ids/hash.ts
@@ -1,5 +1,5 @@
 /**
- * Seeded hashing for rendezvous choices, and the digest for tokens and bodies.
+ * Hashes for rendezvous hashing, digests of keys and contents, and seeded random numbers.
  *
  * @module
  */
@@ -33,13 +33,13 @@
 /** Characters of a key's digest: 132 bits. */
 const KEY_DIGEST_LENGTH = 22;
 
-/** What stands for a key wherever it is kept or compared. */
+/** Digest that represents a key wherever it is stored or compared. */
 export function keyDigest(key: string): KeyDigest {
   return createHash("sha256").update(key).digest("base64url")
     .slice(0, KEY_DIGEST_LENGTH) as KeyDigest;
 }
 
-/** Orders candidates by rendezvous hash for `key`, best first. Equal inputs give equal orders everywhere. */
+/** Orders candidates by rendezvous hash for `key`, best first. All processes get the same order. */
 export function rendezvous<Item>(
   key: string,
   items: Iterable<Item>,
@@ -57,8 +57,8 @@
 }
 
 /**
- * Orders candidates by rendezvous hash for `key`, best first, each the best for a part of all keys that
- * is proportional to its weight (above 0).
+ * Orders candidates by weighted rendezvous hash for `key`, best first. Each candidate is the best one for a
+ * fraction of all keys that is proportional to its weight (above 0).
  */
 export function weightedRendezvous<Item>(
   key: string,
@@ -69,14 +69,14 @@
   },
 ): Item[] {
   const scored = items.map((item) => {
-    const place = (hash32(`${key}|${nameOf(item)}`) + 1) / (UINT32_RANGE + 1);
-    return { item, score: -Math.log(place) / weightOf(item) };
+    const uniform = (hash32(`${key}|${nameOf(item)}`) + 1) / (UINT32_RANGE + 1);
+    return { item, score: -Math.log(uniform) / weightOf(item) };
   });
   scored.sort((left, right) => left.score - right.score);
   return scored.map(({ item }) => item);
 }
 
-/** A seeded source of numbers in [0, 1). */
+/** A source of random numbers in [0, 1). */
 export interface Randomness {
   next(): number;
 }
@@ -104,11 +104,12 @@
   count: number,
   random: Randomness,
 ): Item[] {
-  const left = [...items];
-  const taken = Math.min(count, left.length);
+  const shuffled = [...items];
+  const taken = Math.min(count, shuffled.length);
   for (let index = 0; index < taken; index++) {
-    const other = index + Math.floor(random.next() * (left.length - index));
-    [left[index], left[other]] = [left[other]!, left[index]!];
+    const chosen = index +
+      Math.floor(random.next() * (shuffled.length - index));
+    [shuffled[index], shuffled[chosen]] = [shuffled[chosen]!, shuffled[index]!];
   }
-  return left.slice(0, taken);
+  return shuffled.slice(0, taken);
 }
--- a/packages/core/src/ids/ids.ts
+++ b/packages/core/src/ids/ids.ts
@@ -1,6 +1,6 @@
 /**
  * Branded identifiers and units of time.
- * A brand keeps two strings or two numbers of different meaning from being mixed up.
+ * The brands let the compiler reject a string or number that is used with the wrong meaning.
  *
  * @module
  */
@@ -13,46 +13,46 @@
 /** A duration in milliseconds. The only form of time that crosses processes. */
 export type Milliseconds = Branded<number, "Milliseconds">;
 
-/** Name of an entry from its settings; a replaced VM may keep it. */
+/** Name of an entry (a gateway process) from its settings. The replacement of a VM may reuse it. */
 export type EntryId = Branded<string, "EntryId">;
-/** One life of one entry process, random at its start. */
+/** Random identifier of one run of an entry process, drawn when it starts. */
 export type Incarnation = Branded<string, "Incarnation">;
-/** Platform's name for one endpoint VM's life; a replaced VM has another. */
+/** The platform's name for an endpoint VM. The replacement of a VM has another one. */
 export type EndpointId = Branded<string, "EndpointId">;
-/** Name of a region in the operators' text. */
+/** Name of a region in the operators' configuration. */
 export type RegionId = Branded<string, "RegionId">;
 /** Name of an availability zone, unique across regions. */
 export type ZoneId = Branded<string, "ZoneId">;
-/** Name of a customer in the operators' text. */
+/** Name of a customer in the operators' configuration. */
 export type CustomerId = Branded<string, "CustomerId">;
-/** Digest of a key by which a customer names itself. Never the key. */
+/** Digest of a key by which a customer identifies itself, never the key itself. */
 export type KeyDigest = Branded<string, "KeyDigest">;
-/** Name of a service in the operators' text. */
+/** Name of a service in the operators' configuration. */
 export type ServiceId = Branded<string, "ServiceId">;
 /** One request as received by one entry. */
 export type RequestId = Branded<string, "RequestId">;
 /** Name of a route in the routing document. */
 export type RouteName = Branded<string, "RouteName">;
-/** Identifier that a caller gives to one try of its own; endpoints repeat it in their answers. */
+/** Identifier that a caller assigns to one of its own tries. Endpoints repeat it in their answers. */
 export type CallId = Branded<string, "CallId">;
-/** One try of a request at one endpoint or peer. */
+/** One attempt to run a request at an endpoint or through a peer. */
 export type AttemptId = Branded<string, "AttemptId">;
 /**
- * One life of an endpoint: a larger one began later. Read from the endpoint's own clock, so that only
- * lives under one id can be compared.
+ * One life of an endpoint, that is, the time from one of its starts to the next. A larger value began later.
+ * It is read from the endpoint's own clock, so only lives of the same endpoint id can be compared.
  */
 export type EndpointLife = Branded<number, "EndpointLife">;
 
-/** Digest of what a request asks for: host, path and body. The same for each repeat of it. */
+/** Digest of a request's host, path and body, the same for each repeat of the request. */
 export type ContentDigest = Branded<string, "ContentDigest">;
-/** Digest of who sends a request, as far as entries can tell. */
+/** Digest that identifies the sender of a request, as far as entries can tell. */
 export type CallerDigest = Branded<string, "CallerDigest">;
 
-/** Revision of the operators' text, counted by the configuration service. */
+/** Revision of the operators' configuration, assigned by the configuration service. */
 export type Revision = Branded<number, "Revision">;
 /**
- * One life of the counter of catalogue revisions. It rises each time the catalogue is restored from a copy:
- * revisions after that one are given out again.
+ * Epoch of the catalogue's revision counter. It increases each time the catalogue is restored from a backup,
+ * because the revisions after the backup's are then assigned again.
  */
 export type CatalogueEpoch = Branded<number, "CatalogueEpoch">;
 /** Idempotency key as the caller sent it. */
--- a/packages/core/src/lifecycle/lifecycle_controller.ts
+++ b/packages/core/src/lifecycle/lifecycle_controller.ts
@@ -1,5 +1,5 @@
 /**
- * Start, pause and stop of an entry.
+ * Startup, pauses and shutdown of an entry.
  *
  * @module
  */
@@ -11,10 +11,10 @@
 import type { Instant } from "../ids/index.ts";
 import type { Emit } from "../messages/index.ts";
 
-/** The loop ticks far more often; a larger gap means that the process or the VM stood still. */
+/** The event loop ticks far more often; a larger gap means that the process or the VM was paused. */
 export const PAUSE_GAP_MS = 2_000;
 
-/** First section of a new entry. */
+/** Creates the `lifecycle` section of a starting entry. */
 export function createLifecycle(now: Instant): Writable<LifecycleView> {
   return {
     startedAt: now,
@@ -25,7 +25,7 @@
   };
 }
 
-/** Writes the `lifecycle` section. */
+/** Maintains the `lifecycle` section. */
 export class LifecycleController {
   readonly #board: Blackboard;
   readonly #section: Writable<LifecycleView>;
@@ -38,12 +38,12 @@
   }
 
   /**
-   * Notes that the loop runs and whether it stood still before.
+   * Records that the event loop runs, and detects pauses of the process.
    *
-   * A process that was frozen wakes with its old picture and would act on it: run a request whose
-   * caller was answered long ago, or send an engine order that another has replaced. One notices by
-   * orders and answers that come minutes late. Every event passes here first, so a pause is known
-   * before anything is decided after it.
+   * A process that was paused resumes with outdated state and would act on it: run a request whose caller was
+   * answered long ago, or send an engine an order that has been replaced since. The symptom is orders and
+   * answers that come minutes late. Every event passes through here first, so that a pause is detected
+   * before any decision is made after it.
    */
   noteLoop(now: Instant): void {
     const gap = now - this.#section.lastLoopAt;
@@ -61,7 +61,7 @@
     });
   }
 
-  /** Becomes ready once an accepted text and a list of VMs are there. */
+  /** Becomes ready once a configuration was accepted and the VMs were listed. */
   tick(): void {
     const { configuration, endpoints } = this.#board;
     const complete = configuration.deployment !== undefined &&
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Begins a planned stop. A second call changes nothing. */
+  /** Begins a planned shutdown. Further calls have no effect. */
   stop(): void {
     if (
       this.#section.phase === "stopping" || this.#section.phase === "stopped"
@@ -93,7 +93,7 @@
     });
   }
 
-  /** Ends the stop. */
+  /** Completes the shutdown and exits. */
   finish(): void {
     this.#section.phase = "stopped";
     this.#emit({ kind: "log", part: "stop", text: "Stopped.", fields: {} });
--- a/packages/core/src/listening/__tests__/listened_time.test.ts
+++ b/packages/core/src/listening/__tests__/listened_time.test.ts
@@ -2,7 +2,7 @@
 import { instant } from "../../ids/index.ts";
 import { ListenedTime } from "../listened_time.ts";
 
-describe("the time that a process listened", () => {
+describe("the time without stalls of a process", () => {
   let listened: ListenedTime;
   let now: number;
   const run = (time: number): void => {
@@ -24,13 +24,13 @@
     listened = new ListenedTime(instant(0));
   });
 
-  it("is the clock's as long as the loop turns", () => {
+  it("equals the elapsed time while the event loop turns", () => {
     run(10_000);
     expect(since(0)).toBe(10_000);
     expect(since(9_000)).toBe(1_000);
   });
 
-  it("grows by one step in a pause, however long", () => {
+  it("grows by the longest normal gap during a pause of any length", () => {
     run(1_000);
     stall(60_000);
     expect(since(0)).toBe(1_350);
@@ -38,7 +38,7 @@
     expect(since(now)).toBe(0);
   });
 
-  it("runs on after a pause", () => {
+  it("continues after a pause", () => {
     stall(3_000);
     const woken = now;
     run(500);
@@ -46,7 +46,7 @@
     expect(since(0)).toBe(850);
   });
 
-  it("leaves out each of several pauses", () => {
+  it("excludes each of several pauses", () => {
     for (let turn = 0; turn < 5; turn++) {
       run(100);
       stall(900);
@@ -55,7 +55,7 @@
     expect(since(3_000)).toBe(2 * 450);
   });
 
-  it("counts short turns, so that silence is seen in the end", () => {
+  it("counts part of each of many stalls, so that silence is detected eventually", () => {
     for (let turn = 0; turn < 1_000; turn++) {
       stall(1_000);
     }
--- a/packages/core/src/listening/listened_time.ts
+++ b/packages/core/src/listening/listened_time.ts
@@ -1,5 +1,5 @@
 /**
- * Time during which this process could have heard something.
+ * Elapsed time without the stalls of this process, for timeouts on silence.
  *
  * @module
  */
@@ -10,63 +10,65 @@
   milliseconds,
 } from "../ids/index.ts";
 
-/** The loop turns at least this often where nothing holds it up; more of a gap is absence. */
-const MOST_GAP_MS = 350;
-/** Nothing is judged by a silence that began longer ago. */
-const MEMORY_MS = 120_000;
+/** Without a stall the event loop turns at least this often; the excess of a longer gap counts as a stall. */
+const MAX_NORMAL_GAP_MS = 350;
+/** Stalls are forgotten after this time. Silence that began earlier is not evaluated. */
+const STALL_RETENTION_MS = 120_000;
 
-/** What judges by silence sees of it. */
+/** Read access, for code that evaluates silence. */
 export type ListenedTimeView = Pick<ListenedTime, "since">;
 
-interface Absence {
-  /** When the process went on. */
+interface Stall {
+  /** When the process resumed. */
   readonly endedAt: Instant;
-  readonly time: number;
+  readonly duration: number;
 }
 
 /**
- * A process that is stopped, whose loop is blocked or whose machine is busy hears nothing, while what
- * others say gathers in its sockets. Judged by a clock that runs on meanwhile, all that it knows has
- * fallen silent at the moment at which it goes on: every stream is sent to a second endpoint. So whoever
- * is to be taken for silent or dead has to be so for a time of listening. Ages of what was read, leases
- * and callers' deadlines go by the clock.
+ * Measures elapsed time without the stalls of this process.
+ *
+ * While a process is stopped, its event loop is blocked or its machine is busy, it reads nothing, and
+ * messages queue up in its sockets. By the plain clock, every peer and endpoint would then seem silent when
+ * the process resumes, and every stream would be sent to a second endpoint. Timeouts that declare something
+ * silent or dead therefore count only time in which the process could read. The age of read data, leases and
+ * callers' deadlines use the plain clock.
  */
 export class ListenedTime {
-  #lastAt: Instant;
-  /** Oldest first; none as long as the loop turns. */
-  readonly #absences: Absence[] = [];
+  #lastTurnAt: Instant;
+  /** Recent stalls, oldest first. */
+  readonly #stalls: Stall[] = [];
 
   constructor(now: Instant) {
-    this.#lastAt = now;
+    this.#lastTurnAt = now;
   }
 
-  /** The loop turns. Returns the time since it last did. */
+  /** Records a turn of the event loop and returns the time since the previous one. */
   note(now: Instant): Milliseconds {
-    const gap = now - this.#lastAt;
-    this.#lastAt = now;
-    if (gap > MOST_GAP_MS) {
-      this.#absences.push({ endedAt: now, time: gap - MOST_GAP_MS });
-      this.#forget(instant(now - MEMORY_MS));
+    const gap = now - this.#lastTurnAt;
+    this.#lastTurnAt = now;
+    if (gap > MAX_NORMAL_GAP_MS) {
+      this.#stalls.push({ endedAt: now, duration: gap - MAX_NORMAL_GAP_MS });
+      this.#removeEndedBefore(instant(now - STALL_RETENTION_MS));
     }
     return milliseconds(gap);
   }
 
-  /** How much of the time since an instant the process listened. */
+  /** Time since an instant, without stalls. */
   since(from: Instant, now: Instant): Milliseconds {
-    let listened = now - from;
-    for (let index = this.#absences.length - 1; index >= 0; index--) {
-      const { endedAt, time } = this.#absences[index]!;
+    let elapsed = now - from;
+    for (let index = this.#stalls.length - 1; index >= 0; index--) {
+      const { endedAt, duration } = this.#stalls[index]!;
       if (endedAt <= from) {
         break;
       }
-      listened -= time;
+      elapsed -= duration;
     }
-    return milliseconds(Math.max(0, listened));
+    return milliseconds(Math.max(0, elapsed));
   }
 
-  #forget(before: Instant): void {
-    while (this.#absences[0]!.endedAt < before) {
-      this.#absences.shift();
+  #removeEndedBefore(before: Instant): void {
+    while (this.#stalls[0]!.endedAt < before) {
+      this.#stalls.shift();
     }
   }
 }
--- a/packages/core/src/membership/__tests__/silence.test.ts
+++ b/packages/core/src/membership/__tests__/silence.test.ts
@@ -3,7 +3,7 @@
 import type { Effect, Incarnation } from "../../index.ts";
 
 const OTHER = "bbbbbbbbbbbb" as Incarnation;
-/** Silence after which a member of the own zone is suspect, with room for one heartbeat. */
+/** Silence after which a member of the same zone is suspect, plus the time of one heartbeat. */
 const SUSPECT_MS = 9_500;
 const PAUSE_MS = 20_000;
 
@@ -20,10 +20,10 @@
     expect(suspects(core.pass(SUSPECT_MS))).toBe(1);
   });
 
-  describe("over a pause of this entry", () => {
-    // An entry that had stood still for longer than its peers may be silent took all of them for dead on
-    // its first tick, with their heartbeats in its sockets. Calls with keys of theirs were refused until
-    // each of them was heard again.
+  describe("during a pause of this entry", () => {
+    // Guards against suspecting all peers after a pause that is longer than the silence allowed to them. The
+    // first tick ran before the heartbeats in the sockets were read, and requests with idempotency keys that
+    // peers own were refused until each peer was heard again.
     it("doesn't count", () => {
       const core = new ReadyCore([]);
       core.hear({ incarnation: OTHER });
@@ -33,7 +33,7 @@
       expect(suspects(core.pass(SUSPECT_MS / 2))).toBe(0);
     });
 
-    it("counts from the wake", () => {
+    it("counts from the end of the pause", () => {
       const core = new ReadyCore([]);
       core.hear({ incarnation: OTHER });
       core.stall(PAUSE_MS);
--- a/packages/core/src/membership/__tests__/stalls.test.ts
+++ b/packages/core/src/membership/__tests__/stalls.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from "vitest";
 import { ReadyCore } from "../../__tests__/ready_core.ts";
 
-// An entry stood still for longer than its peers may be silent. Their heartbeats lay in its sockets, and its
-// timer came first: "Member is suspect." for each, and callers were told of no other entry.
-describe("an entry that stood still", () => {
+// Guards against suspecting every peer after a pause that is longer than the silence allowed to them. The
+// timer ran before the heartbeats in the sockets were read, so callers were given no other entry.
+describe("an entry that was paused", () => {
   const suspects = (ready: ReadyCore): number =>
     ready.effects.filter((effect) =>
       effect.kind === "log" && effect.text === "Member is suspect."
--- a/packages/core/src/membership/heartbeat_content.ts
+++ b/packages/core/src/membership/heartbeat_content.ts
@@ -1,5 +1,5 @@
 /**
- * What one entry's heartbeats say.
+ * Contents of an entry's heartbeats.
  *
  * @module
  */
@@ -12,28 +12,28 @@
   ZoneNews,
 } from "../messages/index.ts";
 import type { MemberTable } from "./member_table.ts";
-import { pickFrom } from "./pick_from.ts";
+import { takeCyclic } from "./pick_from.ts";
 import type { ZoneTable } from "./zone_table.ts";
 
-/** Members of the own zone and region that one heartbeat tells of, in turn where there are more. */
-const NEAR_FRESHNESS = 12;
-/** Members of other regions that one heartbeat tells of, in turn. */
-const FAR_FRESHNESS = 4;
-/** Beats whose news of other zones one heartbeat carries: every second one. */
-const NEWS_EVERY_BEATS = 2;
-/** Demand entries of one heartbeat: only customers near their limit matter. */
+/** Members of the same region whose freshness one heartbeat carries, in turn where there are more. */
+const MAX_REGION_FRESHNESS = 12;
+/** Members of other regions whose freshness one heartbeat carries, in turn. */
+const MAX_REMOTE_FRESHNESS = 4;
+/** Updates about other zones are passed on with every second beat. */
+const ZONE_UPDATE_INTERVAL_BEATS = 2;
+/** Customers whose demand one heartbeat carries: only those near their limit matter. */
 const MAX_DEMAND = 8;
-/** A customer's demand is told from this part of its limit on. */
-const TOLD_PART_OF_LIMIT = 1 / 16;
+/** A customer's demand is reported above this fraction of its limit. */
+const REPORTED_DEMAND_FRACTION = 1 / 16;
 
-/** Puts heartbeats' contents together. */
+/** Builds the contents of heartbeats. */
 export class HeartbeatContent {
   readonly #board: Blackboard;
   readonly #members: MemberTable;
   readonly #zones: ZoneTable;
-  #nearCursor = 0;
-  #farCursor = 0;
-  #own: MemberRecord | undefined;
+  #regionCursor = 0;
+  #remoteCursor = 0;
+  #lastRecord: MemberRecord | undefined;
 
   constructor(
     board: Blackboard,
@@ -50,16 +50,16 @@
     return { incarnation, beat: this.#board.membership.beat, version };
   }
 
-  /** This entry's record, with a new version whenever it differs from the last one. */
+  /** This entry's record. Its version increases whenever the record changes. */
   ownRecord(now: Instant): MemberRecord {
     const { self, lifecycle, actions } = this.#board;
     const stopping = lifecycle.phase === "stopping" ||
       lifecycle.phase === "stopped";
-    const last = this.#own;
+    const previous = this.#lastRecord;
     const record: MemberRecord = {
       id: self.id,
       incarnation: self.incarnation,
-      version: last?.version ?? 1,
+      version: previous?.version ?? 1,
       zone: self.zone,
       region: self.region,
       url: self.url,
@@ -72,21 +72,24 @@
       epoch: actions.epoch(now),
       owns: actions.owns,
     };
-    const same = last !== undefined && last.state === record.state &&
-      last.epoch === record.epoch &&
-      last.owns.join() === record.owns.join();
-    this.#own = same ? last : { ...record, version: record.version + 1 };
-    return this.#own;
+    const unchanged = previous !== undefined &&
+      previous.state === record.state &&
+      previous.epoch === record.epoch &&
+      previous.owns.join() === record.owns.join();
+    this.#lastRecord = unchanged
+      ? previous
+      : { ...record, version: record.version + 1 };
+    return this.#lastRecord;
   }
 
-  /** Customers near their limit, by what they ask of this entry. */
+  /** Customers near their limit with their request rates at this entry, highest first. */
   demand(now: Instant): Demand[] {
     const customers = this.#board.configuration.deployment?.customers;
     return [...this.#board.requests.demand(now)]
       .filter(([customer, rate]) =>
         rate >
           (customers?.get(customer)?.limit?.perSecond ?? Infinity) *
-            TOLD_PART_OF_LIMIT
+            REPORTED_DEMAND_FRACTION
       )
       .sort((left, right) => right[1] - left[1])
       .slice(0, MAX_DEMAND)
@@ -96,10 +99,10 @@
       }));
   }
 
-  /** The own zone's capacity, and the demand of all its entries. */
-  #ownNews(now: Instant): ZoneNews {
+  /** Spare capacity of this entry's zone, and the total demand at the zone's entries. */
+  #ownZoneUpdate(now: Instant): ZoneNews {
     const { self, requests } = this.#board;
-    const total = new Map(
+    const totals = new Map(
       this.demand(now).map((
         { customer, requestsPerSecond },
       ) => [customer, requestsPerSecond]),
@@ -110,7 +113,7 @@
           ? demand
           : []
       ) {
-        total.set(customer, (total.get(customer) ?? 0) + requestsPerSecond);
+        totals.set(customer, (totals.get(customer) ?? 0) + requestsPerSecond);
       }
     }
     return {
@@ -119,53 +122,66 @@
       issuer: self.incarnation,
       beat: this.#board.membership.beat,
       spare: requests.spare(now),
-      demand: [...total].map(([customer, requestsPerSecond]) => ({
+      demand: [...totals].map(([customer, requestsPerSecond]) => ({
         customer,
         requestsPerSecond,
       })),
     };
   }
 
-  /** News for a receiver: of the own zone, which its own members know, and now and then of another. */
-  newsFor(
+  /** Zone updates for a receiver: about this zone unless the receiver is in it, and at times about another. */
+  zoneUpdatesFor(
     region: string,
     { sameZone, now }: { sameZone: boolean; now: Instant },
   ): ZoneNews[] {
-    const passedOn = this.#board.membership.beat % NEWS_EVERY_BEATS === 0
-      ? this.#zones.nextFor(region, now)
-      : [];
+    const relayed =
+      this.#board.membership.beat % ZONE_UPDATE_INTERVAL_BEATS === 0
+        ? this.#zones.nextUpdateFor(region, now)
+        : [];
     if (sameZone) {
-      return passedOn;
+      return relayed;
     }
-    const own = this.#ownNews(now);
+    const ownUpdate = this.#ownZoneUpdate(now);
     return [
-      region === this.#board.self.region ? own : { ...own, demand: [] },
-      ...passedOn,
+      region === this.#board.self.region
+        ? ownUpdate
+        : { ...ownUpdate, demand: [] },
+      ...relayed,
     ];
   }
 
-  /** The next members in turn: those of the own zone and region, and a few of other regions. */
+  /** Freshness of the next members in turn: those of this zone and region, and a few of other regions. */
   nextFreshness(): Freshness[] {
     const { self } = this.#board;
     const live = this.#members.live();
-    const near = live.filter(({ record }) => record.region === self.region);
-    const far = live.filter(({ record }) => record.region !== self.region);
-    // The own zone first: what is passed on there decides who is held for dead.
-    near.sort((left, right) =>
+    const sameRegion = live.filter(({ record }) =>
+      record.region === self.region
+    );
+    const otherRegions = live.filter(({ record }) =>
+      record.region !== self.region
+    );
+    // This zone first: the freshness passed on within it decides which members are considered dead.
+    sameRegion.sort((left, right) =>
       zoneRank(self.zone, left) - zoneRank(self.zone, right)
     );
-    const ownZone = near.filter(({ record }) => record.zone === self.zone)
-      .slice(0, NEAR_FRESHNESS);
-    const otherZones = near.slice(ownZone.length);
-    const nearTurn = pickFrom(
+    const ownZone = sameRegion.filter(({ record }) => record.zone === self.zone)
+      .slice(0, MAX_REGION_FRESHNESS);
+    const otherZones = sameRegion.slice(ownZone.length);
+    const nextOtherZones = takeCyclic(
       otherZones,
-      this.#nearCursor,
-      NEAR_FRESHNESS - ownZone.length,
+      this.#regionCursor,
+      MAX_REGION_FRESHNESS - ownZone.length,
+    );
+    const nextOtherRegions = takeCyclic(
+      otherRegions,
+      this.#remoteCursor,
+      MAX_REMOTE_FRESHNESS,
     );
-    const farTurn = pickFrom(far, this.#farCursor, FAR_FRESHNESS);
-    this.#nearCursor += nearTurn.length;
-    this.#farCursor += farTurn.length;
-    return [...ownZone, ...nearTurn, ...farTurn].map(({ record, beat }) => ({
+    this.#regionCursor += nextOtherZones.length;
+    this.#remoteCursor += nextOtherRegions.length;
+    return [...ownZone, ...nextOtherZones, ...nextOtherRegions].map((
+      { record, beat },
+    ) => ({
       incarnation: record.incarnation,
       beat,
       version: record.version,
--- a/packages/core/src/membership/heartbeat_plan.ts
+++ b/packages/core/src/membership/heartbeat_plan.ts
@@ -1,7 +1,7 @@
 /**
- * Whom to send a heartbeat to: one peer of the own zone a period, in turn. A zone's delegates take
- * turns to also reach one delegate of the region's other zones, and one of another region. The cost
- * of a node is thus nearly the same at 8 entries and at 530.
+ * Selects the receivers of heartbeats. Each period an entry sends one to the next peer of its zone. The zone's
+ * delegates take turns to also reach one delegate of the region's other zones and one of another region. The
+ * cost for each entry is thus nearly the same at 8 entries and at 530.
  *
  * @module
  */
@@ -9,61 +9,64 @@
 import { rendezvous, type ZoneId } from "../ids/index.ts";
 import type { MemberRecord } from "../messages/index.ts";
 
-/** Entries of a zone that speak for it to other zones. */
+/** Entries of a zone that exchange heartbeats with other zones. */
 export const DELEGATES_PER_ZONE = 2;
 
-/** Who is an entry of the fleet, as far as a plan needs it. */
-export type Place = Pick<
+/** The part of an entry's record that the plan needs. */
+export type DelegateCandidate = Pick<
   MemberRecord,
   "id" | "zone" | "region" | "incarnation" | "controlUrl"
 >;
 
-/** Whom one beat goes to. */
+/** Receivers of one beat. */
 export interface HeartbeatPlan {
-  readonly zone: readonly MemberRecord[];
-  /** Other zones of the region. */
-  readonly near: readonly MemberRecord[];
-  /** Other regions. */
-  readonly far: readonly MemberRecord[];
+  readonly sameZone: readonly MemberRecord[];
+  /** In other zones of the region. */
+  readonly sameRegion: readonly MemberRecord[];
+  /** In other regions. */
+  readonly otherRegions: readonly MemberRecord[];
 }
 
-/** The delegates of each zone: the same for all who see the same members. */
-export function delegatesByZone(places: Iterable<Place>): Map<ZoneId, Place[]> {
-  const zones = new Map<ZoneId, Place[]>();
-  for (const place of places) {
-    const zone = zones.get(place.zone);
+/** The delegates of each zone. All entries with the same members select the same delegates. */
+export function delegatesByZone(
+  candidates: Iterable<DelegateCandidate>,
+): Map<ZoneId, DelegateCandidate[]> {
+  const zones = new Map<ZoneId, DelegateCandidate[]>();
+  for (const candidate of candidates) {
+    const zone = zones.get(candidate.zone);
     if (zone === undefined) {
-      zones.set(place.zone, [place]);
+      zones.set(candidate.zone, [candidate]);
     } else {
-      zone.push(place);
+      zone.push(candidate);
     }
   }
-  for (const [zone, places] of zones) {
+  for (const [zone, candidates] of zones) {
     zones.set(
       zone,
-      rendezvous(`delegate ${zone}`, places, (place) => place.id).slice(
-        0,
-        DELEGATES_PER_ZONE,
-      ),
+      rendezvous(`delegate ${zone}`, candidates, (candidate) => candidate.id)
+        .slice(
+          0,
+          DELEGATES_PER_ZONE,
+        ),
     );
   }
   return zones;
 }
 
-/** Where the heartbeats of beat number `beat` go. */
+/** Selects the receivers of the heartbeats of beat number `beat`. */
 export function planHeartbeat(
   self: Self,
   members: Iterable<Member>,
   beat: number,
 ): HeartbeatPlan {
   const all = [...members].map((member) => member.record);
-  const zone = pickInTurn(
+  const sameZone = pickRoundRobin(
     all.filter((record) => record.zone === self.zone),
     beat,
   );
   const delegates = delegatesByZone([self, ...all]);
-  if (!isOnDuty(self, delegates.get(self.zone) ?? [], beat)) {
-    return { zone, near: [], far: [] };
+  if (!isDelegateTurn(self, delegates.get(self.zone) ?? [], beat)) {
+    return { sameZone, sameRegion: [], otherRegions: [] };
   }
   const others = all.filter((record) =>
     record.zone !== self.zone &&
@@ -71,38 +74,41 @@
       incarnation === record.incarnation
     )
   );
-  const turn = Math.floor(beat / DELEGATES_PER_ZONE);
-  const near = pickInTurn(
+  const round = Math.floor(beat / DELEGATES_PER_ZONE);
+  const sameRegion = pickRoundRobin(
     others.filter((record) => record.region === self.region),
-    turn,
+    round,
   );
   return {
-    // A delegate with something to tell outside leaves its zone to the others for this beat.
-    zone: near.length > 0 ? [] : zone,
-    near,
-    far: pickInTurn(
+    // A delegate that sends to another zone of the region leaves its zone to the other entries for this beat.
+    sameZone: sameRegion.length > 0 ? [] : sameZone,
+    sameRegion,
+    otherRegions: pickRoundRobin(
       others.filter((record) => record.region !== self.region),
-      turn,
+      round,
     ),
   };
 }
 
-/** Delegates alternate. Their beats are not in step, which costs a message now and then, not safety. */
-function isOnDuty(
+/**
+ * Whether this entry is the delegate whose turn it is to send to other zones. Delegates' beats are not
+ * synchronized, which sometimes costs an extra message but is harmless.
+ */
+function isDelegateTurn(
   self: Self,
-  delegates: readonly Place[],
+  delegates: readonly DelegateCandidate[],
   beat: number,
 ): boolean {
-  const index = delegates.findIndex((place) =>
-    place.incarnation === self.incarnation
+  const index = delegates.findIndex((candidate) =>
+    candidate.incarnation === self.incarnation
   );
   return index >= 0 &&
     (delegates.length === 1 || beat % DELEGATES_PER_ZONE === index);
 }
 
-function pickInTurn<Item extends { readonly incarnation: string }>(
+function pickRoundRobin<Item extends { readonly incarnation: string }>(
   items: Item[],
-  turn: number,
+  round: number,
 ): Item[] {
   if (items.length === 0) {
     return [];
@@ -111,5 +117,5 @@
     left,
     right,
   ) => (left.incarnation < right.incarnation ? -1 : 1));
-  return [sorted[turn % sorted.length]!];
+  return [sorted[round % sorted.length]!];
 }
--- a/packages/core/src/membership/index.ts
+++ b/packages/core/src/membership/index.ts
@@ -6,7 +6,7 @@
 } from "./heartbeat_plan.ts";
 export {
   createMembership,
-  LEAVING_NEWS_MS,
+  LEAVING_UPDATE_DURATION_MS,
   MembershipController,
   type MembershipSection,
 } from "./membership_controller.ts";
--- a/packages/core/src/membership/member_table.ts
+++ b/packages/core/src/membership/member_table.ts
@@ -1,5 +1,5 @@
 /**
- * What is known of other entries.
+ * The other entries, with their records, beats and health.
  *
  * @module
  */
@@ -15,47 +15,47 @@
 } from "../messages/index.ts";
 import { DELEGATES_PER_ZONE } from "./heartbeat_plan.ts";
 
-/** Heartbeat periods without news after which a member of the own zone is suspect. */
+/** Heartbeat periods without a new beat after which a member of the same zone is suspect. */
 const ZONE_SUSPECT_PERIODS = 8;
-/** The same for the own region, whose news come through delegates. */
+/** The same for the rest of the region, whose beats arrive through delegates. */
 const REGION_SUSPECT_PERIODS = 24;
-/** The same for other regions, where each further member makes the round of news longer. */
-const FAR_SUSPECT_PERIODS = 30;
-const FAR_SUSPECT_PERIODS_PER_MEMBER = 0.5;
-/** Periods after which a suspect is forgotten: its VM was replaced. */
-const FORGET_PERIODS = 600;
-/** Ended incarnations kept in mind, oldest dropped first. */
-const MAX_GONE = 4_096;
-/** Members of one zone of another region that are kept: its delegates and one more while they change. */
-const MAX_FAR_MEMBERS_PER_ZONE = DELEGATES_PER_ZONE + 1;
-
-/** What the table is made with. */
+/** The same for other regions, where each additional member makes it take longer until its turn comes. */
+const REMOTE_SUSPECT_PERIODS = 30;
+const REMOTE_SUSPECT_PERIODS_PER_MEMBER = 0.5;
+/** Periods after which a suspect is removed, because its VM was replaced. */
+const REMOVE_PERIODS = 600;
+/** Ended incarnations that are remembered; the oldest are dropped first. */
+const MAX_ENDED_INCARNATIONS = 4_096;
+/** Members kept for each zone of another region: its delegates, and one more while the delegates change. */
+const MAX_REMOTE_MEMBERS_PER_ZONE = DELEGATES_PER_ZONE + 1;
+
+/** Dependencies and storage of the table. */
 export interface MemberTableOptions {
   readonly self: Self;
   readonly emit: Emit;
   readonly listened: ListenedTimeView;
-  /** The section's maps, which this table alone writes. */
+  /** Maps of the `membership` section, written only by this table. */
   readonly members: Map<Incarnation, Member>;
   readonly gone: Map<Incarnation, Instant>;
 }
 
-/** Keeps members, their beats and their health. */
+/** Maintains the other members with their beats and health. */
 export class MemberTable {
   readonly #self: Self;
   readonly #emit: Emit;
-  readonly #listened: ListenedTimeView;
+  readonly #clock: ListenedTimeView;
   readonly #members: Map<Incarnation, Member>;
-  readonly #gone: Map<Incarnation, Instant>;
+  readonly #ended: Map<Incarnation, Instant>;
 
   constructor({ self, emit, listened, members, gone }: MemberTableOptions) {
     this.#self = self;
     this.#emit = emit;
-    this.#listened = listened;
+    this.#clock = listened;
     this.#members = members;
-    this.#gone = gone;
+    this.#ended = gone;
   }
 
-  /** All members that are heard. */
+  /** All live members. */
   live(): Member[] {
     return [...this.#members.values()].filter(({ health }) =>
       health === "live"
@@ -67,21 +67,21 @@
   }
 
   /**
-   * Takes a record if it is newer than what is known.
+   * Applies a copy of a member's record if it is newer than the known one.
    *
-   * A process that was paused, or a record that was passed on along a slow way, brings an old state.
-   * Taking it would make a dead member look alive, or a stopping one look ready. Beats and versions
-   * only grow within an incarnation, so an old record is recognised without any clock.
+   * A copy from a process that was paused, or one that took a slow path, is outdated. Applying it would make a
+   * dead member look alive, or a stopping one look ready. Beats and versions only increase within an
+   * incarnation, so an outdated copy is recognized without comparing clocks.
    */
-  learn({ record, beat }: MemberCopy, now: Instant): void {
-    if (this.#isNone(record.incarnation)) {
+  applyCopy({ record, beat }: MemberCopy, now: Instant): void {
+    if (this.#isSelfOrEnded(record.incarnation)) {
       return;
     }
     const known = this.#members.get(record.incarnation);
     if (known === undefined) {
-      this.#retireNamesakes(record, now);
+      this.#removePredecessors(record, now);
       this.#add({ record, beat }, now);
-      this.#pruneFar(record);
+      this.#pruneRemoteZone(record);
       return;
     }
     if (record.version > known.record.version) {
@@ -94,9 +94,9 @@
     }, now);
   }
 
-  /** Refreshes a member by its beat; tells whether its record is wanted. */
+  /** Updates a member's beat. Returns whether its record is needed. */
   refresh({ incarnation, beat, version }: Freshness, now: Instant): boolean {
-    if (this.#isNone(incarnation)) {
+    if (this.#isSelfOrEnded(incarnation)) {
       return false;
     }
     const known = this.#members.get(incarnation);
@@ -104,23 +104,23 @@
       return true;
     }
     if (beat > known.beat) {
-      const back = known.health === "suspect";
+      const returned = known.health === "suspect";
       this.#members.set(incarnation, {
         ...known,
         beat,
         heardAt: now,
         health: "live",
-        liveSince: back ? now : known.liveSince,
+        liveSince: returned ? now : known.liveSince,
       });
-      if (back) {
+      if (returned) {
         this.#logLive(known.record);
       }
     }
     return version > known.record.version;
   }
 
-  /** Notes what a member said of itself beside its record. */
-  noteWord(
+  /** Records a member's configuration revision and its demand, where that is given. */
+  recordReport(
     incarnation: Incarnation,
     { revision, demand }: { revision: Revision; demand?: readonly Demand[] },
   ): void {
@@ -136,8 +136,8 @@
   }
 
   /**
-   * A control address refused the connection: nothing listens there, so the process has ended. Its
-   * silence need not be waited out; a heartbeat of its own brings it back.
+   * Suspects the member at a control address that refused a connection. Nothing listens there, so the process
+   * has ended and the silence timeout is not awaited. A heartbeat from the member makes it live again.
    */
   refused(url: string): void {
     for (const member of this.live()) {
@@ -147,29 +147,30 @@
     }
   }
 
-  /** Suspects and forgets who was not heard for long. */
-  age(now: Instant, period: number): void {
-    const far =
+  /** Suspects and eventually removes members that were not heard. */
+  expireSilent(now: Instant, period: number): void {
+    const remoteMemberCount =
       [...this.#members.values()].filter(({ record }) =>
         record.region !== this.#self.region
       ).length;
     for (const [incarnation, member] of this.#members) {
-      // Heartbeats that came during a pause of this process are yet to be read.
-      const silence = this.#listened.since(member.heardAt, now);
-      if (silence > period * FORGET_PERIODS) {
+      // Stalls of this process don't count: heartbeats that arrived during one are yet to be read.
+      const silence = this.#clock.since(member.heardAt, now);
+      if (silence > period * REMOVE_PERIODS) {
         this.#members.delete(incarnation);
       } else if (
         member.health === "live" &&
-        silence > period * this.#suspectPeriods(member.record, far)
+        silence >
+          period * this.#suspectPeriods(member.record, remoteMemberCount)
       ) {
         this.#suspect(member);
       }
     }
   }
 
-  #isNone(incarnation: Incarnation): boolean {
+  #isSelfOrEnded(incarnation: Incarnation): boolean {
     return incarnation === this.#self.incarnation ||
-      this.#gone.has(incarnation);
+      this.#ended.has(incarnation);
   }
 
   #add({ record, beat }: MemberCopy, now: Instant): void {
@@ -185,36 +186,39 @@
     this.#logLive(record);
   }
 
-  /** A new life at the same address, or of the same name, ends the former one: two cannot listen there. */
-  #retireNamesakes(record: MemberRecord, now: Instant): void {
+  /**
+   * Removes former incarnations with a record's address or id, and remembers them as ended: two processes
+   * cannot listen at one address.
+   */
+  #removePredecessors(record: MemberRecord, now: Instant): void {
     for (const [incarnation, member] of this.#members) {
       if (
         member.record.controlUrl === record.controlUrl ||
         member.record.id === record.id
       ) {
         this.#members.delete(incarnation);
-        this.#noteGone(incarnation, now);
+        this.#recordEnded(incarnation, now);
       }
     }
   }
 
-  #noteGone(incarnation: Incarnation, now: Instant): void {
-    this.#gone.set(incarnation, now);
-    if (this.#gone.size > MAX_GONE) {
-      this.#gone.delete(this.#gone.keys().next().value!);
+  #recordEnded(incarnation: Incarnation, now: Instant): void {
+    this.#ended.set(incarnation, now);
+    if (this.#ended.size > MAX_ENDED_INCARNATIONS) {
+      this.#ended.delete(this.#ended.keys().next().value!);
     }
   }
 
-  /** Of another region's zone only those last heard are kept: they are its delegates. */
-  #pruneFar({ zone, region }: MemberRecord): void {
+  /** Keeps only the last heard members of a zone of another region: those are its delegates. */
+  #pruneRemoteZone({ zone, region }: MemberRecord): void {
     if (region === this.#self.region) {
       return;
     }
-    const ofZone = [...this.#members.values()].filter((member) =>
+    const zoneMembers = [...this.#members.values()].filter((member) =>
       member.record.zone === zone
     );
-    ofZone.sort((left, right) => right.heardAt - left.heardAt);
-    for (const { record } of ofZone.slice(MAX_FAR_MEMBERS_PER_ZONE)) {
+    zoneMembers.sort((left, right) => right.heardAt - left.heardAt);
+    for (const { record } of zoneMembers.slice(MAX_REMOTE_MEMBERS_PER_ZONE)) {
       this.#members.delete(record.incarnation);
     }
   }
@@ -239,12 +243,13 @@
     });
   }
 
-  #suspectPeriods(record: MemberRecord, farMembers: number): number {
+  #suspectPeriods(record: MemberRecord, remoteMemberCount: number): number {
     if (record.zone === this.#self.zone) {
       return ZONE_SUSPECT_PERIODS;
     }
     return record.region === this.#self.region
       ? REGION_SUSPECT_PERIODS
-      : FAR_SUSPECT_PERIODS + farMembers * FAR_SUSPECT_PERIODS_PER_MEMBER;
+      : REMOTE_SUSPECT_PERIODS +
+        remoteMemberCount * REMOTE_SUSPECT_PERIODS_PER_MEMBER;
   }
 }
--- a/packages/core/src/membership/membership_controller.ts
+++ b/packages/core/src/membership/membership_controller.ts
@@ -1,5 +1,5 @@
 /**
- * Who else is an entry of the fleet and alive.
+ * Tracks the other entries of the fleet by heartbeats.
  *
  * @module
  */
@@ -31,31 +31,31 @@
 import { HeartbeatContent } from "./heartbeat_content.ts";
 import { planHeartbeat } from "./heartbeat_plan.ts";
 import { MemberTable } from "./member_table.ts";
-import { pickFrom } from "./pick_from.ts";
+import { takeCyclic } from "./pick_from.ts";
 import { ZoneTable } from "./zone_table.ts";
 
 const RECORDS_PER_HEARTBEAT = 4;
-/** From so many known members on, heartbeats go half as often: there is more to tell in each. */
-const MANY_MEMBERS = 20;
-const MANY_MEMBERS_SCALE = 2;
-/** How long news of a leaving endpoint are passed on. */
-export const LEAVING_NEWS_MS = 30_000;
-/** Every so many beats an address is tried from which nobody was heard. */
-const UNHEARD_EVERY_BEATS = 5;
+/** With this many known members, heartbeats are sent half as often, each with more content. */
+const LARGE_FLEET_MEMBERS = 20;
+const LARGE_FLEET_PERIOD_FACTOR = 2;
+/** How long updates about a leaving endpoint are passed on. */
+export const LEAVING_UPDATE_DURATION_MS = 30_000;
+/** Number of beats between attempts to reach an address without a live member. */
+const UNREACHABLE_RETRY_BEATS = 5;
 
-/** Section of a new entry. */
+/** The `membership` section, as its controller writes it. */
 export interface MembershipSection extends Writable<MembershipView> {
   members: Map<Incarnation, Member>;
   gone: Map<Incarnation, Instant>;
   zones: Map<ZoneId, KnownZone>;
 }
 
-/** First section of a new entry. */
+/** Creates the `membership` section of a starting entry. */
 export function createMembership(): MembershipSection {
   return { members: new Map(), gone: new Map(), zones: new Map(), beat: 0 };
 }
 
-/** Writes the `membership` section. */
+/** Maintains the `membership` section. */
 export class MembershipController {
   readonly #board: Blackboard;
   readonly #section: MembershipSection;
@@ -63,11 +63,11 @@
   readonly #members: MemberTable;
   readonly #zones: ZoneTable;
   readonly #content: HeartbeatContent;
-  /** Records that peers asked for, by control address. */
-  readonly #wanted = new Map<string, readonly Incarnation[]>();
-  /** Version of the own record that each address has. */
-  readonly #told = new Map<string, number>();
-  readonly #leavingNews = new Map<EndpointId, Instant>();
+  /** Incarnations whose records a peer asked for, by the peer's control address. */
+  readonly #requestedRecords = new Map<string, readonly Incarnation[]>();
+  /** Version of this entry's record that was last sent, by control address. */
+  readonly #sentVersions = new Map<string, number>();
+  readonly #leavingSince = new Map<EndpointId, Instant>();
   #listedUrls: readonly string[] = [];
   #nextBeatAt: Instant;
 
@@ -98,70 +98,70 @@
     this.#nextBeatAt = now;
   }
 
-  /** Sends heartbeats that are due and ages what was heard. */
+  /** Sends due heartbeats and updates the health of silent members. */
   tick(now: Instant): void {
     if (now < this.#nextBeatAt) {
       return;
     }
     this.#nextBeatAt = after(now, this.#period());
     this.#section.beat++;
-    this.#members.age(now, this.#period());
+    this.#members.expireSilent(now, this.#period());
     this.#sendBeats(now);
   }
 
-  /** Answers a heartbeat of a peer. */
+  /** Handles a peer's heartbeat and returns the reply. */
   receive(heartbeat: Heartbeat, now: Instant): HeartbeatReply {
     const { from, records, freshness, revision, demand, news } = heartbeat;
-    records.forEach((copy) => this.#members.learn(copy, now));
+    records.forEach((copy) => this.#members.applyCopy(copy, now));
     const wanted = [from, ...freshness].filter((item) =>
       this.#members.refresh(item, now)
     );
-    this.#members.noteWord(from.incarnation, { revision, demand });
-    news.forEach((item) => this.#zones.learn(item, now));
-    const introduced = records.some(({ record }) =>
+    this.#members.recordReport(from.incarnation, { revision, demand });
+    news.forEach((item) => this.#zones.applyUpdate(item, now));
+    const includesSenderRecord = records.some(({ record }) =>
       record.incarnation === from.incarnation
     );
     return {
       from: this.#content.ownFreshness(now),
       revision: this.#board.configuration.revision,
-      rejected: rejectedOf(this.#board),
-      record: introduced ? this.#content.ownRecord(now) : undefined,
+      rejected: rejectedRevision(this.#board),
+      record: includesSenderRecord ? this.#content.ownRecord(now) : undefined,
       wanted: wanted.map(({ incarnation }) => incarnation).slice(
         0,
         RECORDS_PER_HEARTBEAT,
       ),
-      leaving: this.#freshLeaving(now),
+      leaving: this.#currentLeavingUpdates(now),
     };
   }
 
-  /** Takes the answer to a heartbeat of ours. */
+  /** Handles the reply to a heartbeat of this entry. */
   replied(
     { from, revision, record, wanted }: HeartbeatReply,
     now: Instant,
   ): void {
     if (record !== undefined) {
-      this.#members.learn({ record, beat: from.beat }, now);
+      this.#members.applyCopy({ record, beat: from.beat }, now);
     }
     const unknown = this.#members.refresh(from, now);
-    this.#members.noteWord(from.incarnation, { revision });
+    this.#members.recordReport(from.incarnation, { revision });
     const url = this.#members.get(from.incarnation)?.record.controlUrl;
     if (url === undefined) {
       return;
     }
-    this.#wanted.set(url, wanted);
+    this.#requestedRecords.set(url, wanted);
     if (unknown || wanted.includes(this.#board.self.incarnation)) {
-      // Introduce ourselves anew: the answer to that brings the peer's record.
-      this.#told.delete(url);
+      // Send this entry's record again: the reply to that contains the peer's record.
+      this.#sentVersions.delete(url);
     }
   }
 
-  /** A control address refused the connection. */
+  /** Handles a refused connection to a control address. */
   refused(url: string): void {
-    this.#told.delete(url);
+    this.#sentVersions.delete(url);
     this.#members.refused(url);
   }
 
-  /** Takes entries of the VM list as addresses to try; a listed entry is not yet a live one. */
+  /** Takes the entries of the VM list as addresses to contact. A listed entry is not yet a live member. */
   listed(vms: readonly ListedVm[]): void {
     const entries = vms.filter((vm) =>
       vm.role === "entry" && vm.state === "live"
@@ -169,15 +169,15 @@
     this.#listedUrls = entries.flatMap((vm) => vm.controlUrl ?? []);
   }
 
-  /** Tells the whole region of a leaving endpoint at once, and goes on telling for a while. */
+  /** Announces a leaving endpoint to the whole region at once, and repeats that in heartbeats for a while. */
   announceLeaving(endpoint: EndpointId, now: Instant): void {
-    if (!this.#leavingNews.has(endpoint)) {
-      this.#leavingNews.set(endpoint, now);
+    if (!this.#leavingSince.has(endpoint)) {
+      this.#leavingSince.set(endpoint, now);
       this.announce(now);
     }
   }
 
-  /** Sends a heartbeat to every live member of the region now: rare news that must be quick. */
+  /** Sends a heartbeat to every live member of the region now, for rare changes that must spread quickly. */
   announce(now: Instant): void {
     this.#section.beat++;
     for (const { record } of this.#members.live()) {
@@ -188,10 +188,10 @@
   }
 
   #period(): number {
-    const scale = this.#section.members.size >= MANY_MEMBERS
-      ? MANY_MEMBERS_SCALE
+    const factor = this.#section.members.size >= LARGE_FLEET_MEMBERS
+      ? LARGE_FLEET_PERIOD_FACTOR
       : 1;
-    return this.#board.self.heartbeatPeriod * scale;
+    return this.#board.self.heartbeatPeriod * factor;
   }
 
   #sendBeats(now: Instant): void {
@@ -200,37 +200,43 @@
       this.#members.live(),
       this.#section.beat,
     );
-    const targets = [...plan.zone, ...plan.near, ...plan.far];
+    const targets = [
+      ...plan.sameZone,
+      ...plan.sameRegion,
+      ...plan.otherRegions,
+    ];
     targets.forEach((record) => this.#send(record, now));
-    this.#unheardUrls().forEach((url) => this.#send({ controlUrl: url }, now));
+    this.#unreachableUrls().forEach((url) =>
+      this.#send({ controlUrl: url }, now)
+    );
   }
 
-  /** Addresses that nobody answers from: seeds, listed entries and suspects, one in turn. */
-  #unheardUrls(): string[] {
+  /** Addresses without a live member, in turn: seeds, listed entries and suspects. */
+  #unreachableUrls(): string[] {
     const { beat, members } = this.#section;
     const alone = members.size === 0;
-    if (!alone && beat % UNHEARD_EVERY_BEATS !== 1) {
+    if (!alone && beat % UNREACHABLE_RETRY_BEATS !== 1) {
       return [];
     }
     const { self } = this.#board;
-    const heard = new Set([self.controlUrl]);
+    const reachable = new Set([self.controlUrl]);
     const suspects: string[] = [];
     for (const { health, record } of members.values()) {
       if (health === "live") {
-        heard.add(record.controlUrl);
+        reachable.add(record.controlUrl);
       } else {
         suspects.push(record.controlUrl);
       }
     }
-    const unheard = [
+    const unreachable = [
       ...new Set([...self.seeds, ...this.#listedUrls, ...suspects]),
-    ].filter((url) => !heard.has(url));
-    const turn = Math.floor(beat / UNHEARD_EVERY_BEATS);
-    const count = alone ? UNHEARD_EVERY_BEATS : 1;
-    return pickFrom(unheard, turn * count, count);
+    ].filter((url) => !reachable.has(url));
+    const round = Math.floor(beat / UNREACHABLE_RETRY_BEATS);
+    const count = alone ? UNREACHABLE_RETRY_BEATS : 1;
+    return takeCyclic(unreachable, round * count, count);
   }
 
-  /** Sends to a known member, or to an address of which nothing is known. */
+  /** Sends a heartbeat to a known member, or to an address without one. */
   #send(
     to: MemberRecord | { readonly controlUrl: string },
     now: Instant,
@@ -246,21 +252,21 @@
         deployment: self.deployment,
         from: this.#content.ownFreshness(now),
         revision: configuration.revision,
-        rejected: rejectedOf(this.#board),
+        rejected: rejectedRevision(this.#board),
         demand: region === self.region ? this.#content.demand(now) : [],
         freshness: this.#content.nextFreshness(),
         records: this.#recordsFor(url, now),
         news: region === undefined
           ? []
-          : this.#content.newsFor(region, { sameZone, now }),
-        leaving: region === self.region ? this.#freshLeaving(now) : [],
+          : this.#content.zoneUpdatesFor(region, { sameZone, now }),
+        leaving: region === self.region ? this.#currentLeavingUpdates(now) : [],
       },
     });
   }
 
   #recordsFor(url: string, now: Instant): MemberCopy[] {
-    const wanted = this.#wanted.get(url) ?? [];
-    this.#wanted.delete(url);
+    const wanted = this.#requestedRecords.get(url) ?? [];
+    this.#requestedRecords.delete(url);
     const others = wanted.flatMap((incarnation): MemberCopy[] => {
       const member = this.#members.get(incarnation);
       return member === undefined
@@ -268,23 +274,23 @@
         : [{ record: member.record, beat: member.beat }];
     });
     const own = this.#content.ownRecord(now);
-    if (this.#told.get(url) === own.version) {
+    if (this.#sentVersions.get(url) === own.version) {
       return others;
     }
-    this.#told.set(url, own.version);
+    this.#sentVersions.set(url, own.version);
     return [{ record: own, beat: this.#section.beat }, ...others];
   }
 
-  #freshLeaving(now: Instant): LeavingNews[] {
-    for (const [endpoint, since] of this.#leavingNews) {
-      if (now - since > LEAVING_NEWS_MS) {
-        this.#leavingNews.delete(endpoint);
+  #currentLeavingUpdates(now: Instant): LeavingNews[] {
+    for (const [endpoint, since] of this.#leavingSince) {
+      if (now - since > LEAVING_UPDATE_DURATION_MS) {
+        this.#leavingSince.delete(endpoint);
       }
     }
-    return [...this.#leavingNews.keys()].map((endpoint) => ({ endpoint }));
+    return [...this.#leavingSince.keys()].map((endpoint) => ({ endpoint }));
   }
 }
 
-function rejectedOf({ configuration }: Blackboard): Revision {
+function rejectedRevision({ configuration }: Blackboard): Revision {
   return configuration.rejected?.revision ?? 0 as Revision;
 }
--- a/packages/core/src/membership/pick_from.ts
+++ b/packages/core/src/membership/pick_from.ts
@@ -1,11 +1,11 @@
 /**
- * Items in turn.
+ * Round-robin selection.
  *
  * @module
  */
 
-/** Up to `count` items from a place that moves on with each call. */
-export function pickFrom<Item>(
+/** Returns up to `count` items from index `start` on, wrapping around at the end. */
+export function takeCyclic<Item>(
   items: readonly Item[],
   start: number,
   count: number,
--- a/packages/core/src/membership/zone_table.ts
+++ b/packages/core/src/membership/zone_table.ts
@@ -1,5 +1,5 @@
 /**
- * What is known of other zones' capacity and demand.
+ * Capacity and demand of other zones.
  *
  * @module
  */
@@ -7,10 +7,10 @@
 import type { Instant, ZoneId } from "../ids/index.ts";
 import type { ZoneNews } from "../messages/index.ts";
 
-/** Silence after which a zone that is heard again counts as having come back, its caches cold. */
+/** A zone that is heard again after this much silence counts as newly returned, with cold caches. */
 export const ZONE_RETURN_MS = 60_000;
 
-/** Keeps the newest news of each zone. */
+/** Maintains the latest update from each other zone. */
 export class ZoneTable {
   readonly #self: Self;
   readonly #zones: Map<ZoneId, KnownZone>;
@@ -21,24 +21,25 @@
     this.#zones = zones;
   }
 
-  /** Takes news that are newer than what the same delegate said before. */
-  learn(news: ZoneNews, now: Instant): void {
+  /** Applies an update, unless the same delegate has already sent it or a newer one. */
+  applyUpdate(news: ZoneNews, now: Instant): void {
     const known = this.#zones.get(news.zone);
-    const old = known !== undefined && known.news.issuer === news.issuer &&
+    const outdated = known !== undefined && known.news.issuer === news.issuer &&
       news.beat <= known.news.beat;
-    if (old || news.zone === this.#self.zone) {
+    if (outdated || news.zone === this.#self.zone) {
       return;
     }
-    const back = known === undefined || now - known.heardAt > ZONE_RETURN_MS;
+    const returned = known === undefined ||
+      now - known.heardAt > ZONE_RETURN_MS;
     this.#zones.set(news.zone, {
       news,
       heardAt: now,
-      liveSince: back ? now : known.liveSince,
+      liveSince: returned ? now : known.liveSince,
     });
   }
 
-  /** The next zone's news to pass on; demand stays within the region. */
-  nextFor(region: string, now: Instant): ZoneNews[] {
+  /** Returns the next zone's update to pass on, if any. Demand is only sent within the zone's own region. */
+  nextUpdateFor(region: string, now: Instant): ZoneNews[] {
     const known = [...this.#zones.values()].filter(({ news, heardAt }) =>
       now - heardAt < ZONE_RETURN_MS &&
       (news.region === this.#self.region || region === this.#self.region)
--- a/packages/core/src/routes/catalogue_position.ts
+++ b/packages/core/src/routes/catalogue_position.ts
@@ -1,23 +1,23 @@
 /**
- * Places in the history of the catalogue.
+ * Positions in the catalogue's history.
  *
  * @module
  */
 import type { CatalogueEpoch, Revision } from "../ids/index.ts";
 
-/** A revision, and the life of the counter that it belongs to: revisions of two epochs do not compare. */
+/** A revision with the epoch of its counter. Revisions of different epochs cannot be compared. */
 export interface CataloguePosition {
   readonly epoch: CatalogueEpoch;
   readonly revision: Revision;
 }
 
-/** Before anything was read. */
+/** Position before anything was read. */
 export const NO_POSITION: CataloguePosition = {
   epoch: 0 as CatalogueEpoch,
   revision: 0 as Revision,
 };
 
-/** Whether one place lies after another. */
+/** Whether `left` is later than `right`. */
 export function isAfter(
   left: CataloguePosition,
   right: CataloguePosition,
@@ -27,7 +27,7 @@
     : left.epoch > right.epoch;
 }
 
-/** Whether two places are the same. */
+/** Whether two positions are equal. */
 export function isSamePosition(
   left: CataloguePosition,
   right: CataloguePosition,
--- a/packages/core/src/routes/currency_messages.ts
+++ b/packages/core/src/routes/currency_messages.ts
@@ -1,5 +1,5 @@
 /**
- * Questions how current the document is that an entry holds.
+ * Messages by which an entry asks another one how up to date its catalogue is.
  *
  * @module
  */
@@ -7,36 +7,36 @@
 import type { CataloguePosition } from "./catalogue_position.ts";
 import type { CatalogueChange } from "./endpoint_record.ts";
 
-/** Asks; to be answered at once. */
+/** Asks an entry for what it holds, to be answered at once. */
 export interface CurrencyQuestion {
   readonly kind: "question";
   /** Host and port to answer to. */
   readonly from: string;
   readonly sequence: number;
-  /** Of the picture that the asker holds. */
+  /** Position of the catalogue that the asker holds. */
   readonly position: CataloguePosition;
 }
 
-/** Changes that lead from the asker's revision to another of the same epoch, none of them the document. */
+/** Changes from the asker's revision to a later one of the same epoch, none of them to the document. */
 export interface PictureNews {
   readonly revision: Revision;
   readonly changes: readonly CatalogueChange[];
 }
 
-/** What the asked one holds. */
+/** States what the asked entry holds. */
 export interface CurrencyAnswer {
   readonly kind: "answer";
   readonly incarnation: Incarnation;
   readonly sequence: number;
-  /** Of the document that it holds. */
+  /** Version of its routing document. */
   readonly version: Revision;
-  /** Of its whole picture. */
+  /** Position of its catalogue. */
   readonly position: CataloguePosition;
-  /** Since that document was known to be the newest. */
+  /** Time since its document was known to be the newest. */
   readonly age: Milliseconds;
-  /** `undefined` where there are none, or too many: then the asker reads for itself. */
+  /** `undefined` if there are no changes, or too many: then the asker reads the catalogue itself. */
   readonly news: PictureNews | undefined;
 }
 
-/** Datagrams about currency. */
+/** A message of this exchange. */
 export type CurrencyMessage = CurrencyQuestion | CurrencyAnswer;
--- a/packages/core/src/routes/endpoint_record.ts
+++ b/packages/core/src/routes/endpoint_record.ts
@@ -1,5 +1,5 @@
 /**
- * What an endpoint says of itself in the platform's records.
+ * Records that endpoints publish on the platform, and the catalogue's changes.
  *
  * @module
  */
@@ -14,28 +14,28 @@
 } from "../ids/index.ts";
 import type { RoutingDocument } from "./route.ts";
 
-/** One endpoint as it told of itself. It may start again under its id; `life` tells its lives apart. */
+/** An endpoint's description of itself. It may restart under the same id; `life` tells its lives apart. */
 export interface EndpointRecord {
   readonly id: EndpointId;
   readonly service: ServiceId;
-  /** Host and port. Another endpoint may get it after this one has ended. */
+  /** Host and port. Another endpoint may reuse it after this one has ended. */
   readonly address: string;
   readonly zone: ZoneId;
   readonly softwareVersion: string;
-  /** Requests that it runs at the same time. */
+  /** Number of requests that it runs concurrently. */
   readonly slots: number;
   readonly state: "ready" | "draining";
-  /** How long it stays cold, as of the record's writing. */
+  /** How long it stays cold, counted from when the record was written. */
   readonly coldFor: Milliseconds;
-  /** Time until it is gone whatever it runs, where it leaves at short notice. */
+  /** Time until it shuts down whatever it still runs, if it leaves at short notice. */
   readonly leavesIn: Milliseconds | undefined;
-  /** `undefined` where the endpoint does not tell: then its counter alone orders its records. */
+  /** `undefined` if the endpoint doesn't state it. Its records are then ordered by `sequence` alone. */
   readonly life: EndpointLife | undefined;
-  /** Grows with each record that the endpoint writes, and starts anew with each life. */
+  /** Increases with each record that the endpoint writes, and starts over with each life. */
   readonly sequence: number;
 }
 
-/** Whether two records are of the same life of an endpoint. */
+/** Whether two records belong to the same life of an endpoint. */
 export function isSameLife(
   left: Pick<EndpointRecord, "life">,
   right: Pick<EndpointRecord, "life">,
@@ -44,44 +44,44 @@
 }
 
 /**
- * Whether a record takes the place of another one of the same id.
+ * Whether a record replaces a known record of the same id.
  *
- * The life decides, whatever the counters say: those start anew with it. An endpoint that tells its life
- * always does, so that a record without one is another writer's, or is from before it told.
+ * The life takes precedence over the sequence, which starts over with each life. An endpoint that states its
+ * life always does so, so a record without one is from another writer, or from before the endpoint stated it.
  */
 export function supersedes(
-  news: Pick<EndpointRecord, "life" | "sequence">,
+  incoming: Pick<EndpointRecord, "life" | "sequence">,
   known: Pick<EndpointRecord, "life" | "sequence">,
 ): boolean {
-  if (isSameLife(news, known)) {
-    return news.sequence >= known.sequence;
+  if (isSameLife(incoming, known)) {
+    return incoming.sequence >= known.sequence;
   }
-  return (news.life ?? -Infinity) > (known.life ?? -Infinity);
+  return (incoming.life ?? -Infinity) > (known.life ?? -Infinity);
 }
 
-/** One change of the published picture. */
+/** One change of the catalogue. */
 export type CatalogueChange =
   | { readonly kind: "document"; readonly document: RoutingDocument }
   | { readonly kind: "endpoint"; readonly record: EndpointRecord }
   | { readonly kind: "endpointRemoved"; readonly id: EndpointId }
-  /** Nothing more may be sent to endpoints of the zone. */
+  /** No more requests may be sent to endpoints of the zone. */
   | { readonly kind: "evacuated"; readonly zone: ZoneId }
   | { readonly kind: "evacuationEnded"; readonly zone: ZoneId };
 
-/** The whole published picture as of one revision. */
+/** The whole catalogue as of one revision. */
 export interface CatalogueSnapshot {
-  /** Whose revision it is, `undefined` where the source does not state it. */
+  /** Epoch of the revision, `undefined` if the source doesn't state it. */
   readonly epoch?: CatalogueEpoch | undefined;
   readonly revision: Revision;
-  /** `undefined` before the operators' first document. */
+  /** `undefined` before the first document was published. */
   readonly document: RoutingDocument | undefined;
   readonly endpoints: readonly EndpointRecord[];
   readonly evacuated: readonly ZoneId[];
 }
 
-/** Changes up to a revision, in order. */
+/** Changes of the catalogue up to a revision, in order. */
 export interface CatalogueChanges {
-  /** Whose revision it is, `undefined` where the source does not state it. */
+  /** Epoch of the revision, `undefined` if the source doesn't state it. */
   readonly epoch?: CatalogueEpoch | undefined;
   readonly revision: Revision;
   readonly changes: readonly CatalogueChange[];
--- a/packages/core/src/routes/route.ts
+++ b/packages/core/src/routes/route.ts
@@ -1,5 +1,5 @@
 /**
- * Routes: which service answers a host and path, and what its requests are allowed.
+ * Routes: the services that answer a host and path, and the rules for their requests.
  *
  * @module
  */
@@ -13,89 +13,89 @@
   ServiceId,
 } from "../ids/index.ts";
 
-/** What may be repeated: anything, nothing, or a stream of events (see {@link Route.resumable}). */
+/** Whether requests may be repeated: always, never, or as a stream of events (see {@link Route.resumable}). */
 export type RouteKind = "idempotent" | "non_idempotent" | "stream";
 
-/** One service of a route, with its part of the requests. */
+/** A service of a route, with its share of the requests. */
 export interface RouteTarget {
   readonly service: ServiceId;
   /** Share relative to the other targets of the route, above 0. */
   readonly weight: number;
 }
 
-/** One route. */
+/** Assigns requests for a host and path prefix to services, with the rules for these requests. */
 export interface Route {
   readonly name: RouteName;
-  /** Host that callers name, in lower case. */
+  /** Host of the requests, in lower case. */
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
   readonly targets: readonly RouteTarget[];
-  /** Endpoints that may run one request, 1 or more. */
+  /** Maximum number of endpoints that may run one request, at least 1. */
   readonly attempts: number;
-  /** Longest time that a caller is kept waiting for the whole answer. */
+  /** Maximum time until the whole answer. */
   readonly timeout: Milliseconds;
-  /** Time to the answer, or to a stream's first event, within which it is worth most. */
+  /** Target time to the answer, or to a stream's first event; a later answer is worth less. */
   readonly objective: Milliseconds;
-  /** Longest pause between two events of a stream that is still on time. */
+  /** Target for the longest pause between two events of a stream. */
   readonly pauseObjective: Milliseconds | undefined;
-  /** Rank, 0 first. */
+  /** Priority rank, 0 comes first. */
   readonly priority: number;
-  /** Regions in which requests must stay; empty where they may be served anywhere. */
+  /** Regions in which requests must be served; empty if they may be served anywhere. */
   readonly homes: readonly RegionId[];
-  /** Whether requests share prompt prefixes, so that the choice of an engine should keep to them. */
+  /** Whether requests share prompt prefixes, so that they should go to engines that have these cached. */
   readonly sticky: boolean;
-  /** Whether its requests need no key, and belong to no customer. */
+  /** Whether requests need no key and belong to no customer. */
   readonly public: boolean;
-  /** Whether an interrupted stream may go on at another endpoint. */
+  /** Whether an interrupted stream may be resumed at another endpoint. */
   readonly resumable: boolean;
 }
 
-/** What is published of a model engine of a service. */
+/** Published properties of a service's model engines. */
 export interface EngineProfile {
-  /** Requests in one batch. */
+  /** Maximum number of requests in one batch. */
   readonly slots: number;
-  /** Tokens that running requests and cached prefixes share. */
+  /** Cache capacity in tokens, shared by running requests and cached prefixes. */
   readonly cacheTokens: number;
-  /** Whether an engine can fetch a cached prefix from another. */
+  /** Whether an engine can fetch a cached prefix from another engine. */
   readonly fetches: boolean;
 }
 
-/** One service that routes name. */
+/** A service that routes refer to. */
 export interface RoutedService {
   readonly id: ServiceId;
   readonly healthPath: string;
-  /** Connections that one endpoint accepts from all entries together. */
+  /** Maximum number of connections to one endpoint from all entries together. */
   readonly connectionLimit: number;
-  /** Requests a second that a cold endpoint bears, all entries together; 0 where none turns cold. */
+  /** Requests per second that a cold endpoint can take from all entries together; 0 if none is ever cold. */
   readonly coldRate: number;
-  /** How long an endpoint stays cold after its start. */
+  /** How long an endpoint is cold after its start. */
   readonly coldPeriod: Milliseconds;
   readonly engine: EngineProfile | undefined;
 }
 
-/** Bounds on what callers may send. */
+/** Limits on callers' requests and connections. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
-  /** Time to send a whole request head. */
+  /** Maximum time to send the whole request head. */
   readonly headerTime: Milliseconds;
-  /** Time that a kept connection may stay idle. */
+  /** Maximum time that a kept-alive connection may be idle. */
   readonly idleTime: Milliseconds;
 }
 
-/** Everything that one revision of the operators' document says of routes. */
+/** One version of the operators' routing configuration. */
 export interface RoutingDocument {
   readonly version: Revision;
   readonly routes: readonly Route[];
   readonly services: ReadonlyMap<ServiceId, RoutedService>;
-  /** Empty where requests are from nobody in particular. */
+  /** Empty if requests are not attributed to customers. */
   readonly customers: ReadonlyMap<CustomerId, Customer>;
   readonly limits: CallerLimits;
 }
 
-/** Whether a second run of the same request does no harm. */
+/** Whether a request may safely run twice. */
 export function mayRepeat(route: Route): boolean {
   return route.kind === "idempotent" ||
     (route.kind === "stream" && route.resumable);
--- a/packages/core/src/routes/route_table.ts
+++ b/packages/core/src/routes/route_table.ts
@@ -1,5 +1,5 @@
 /**
- * Finds the route of a request.
+ * Index of routes for finding a request's route.
  *
  * @module
  */
@@ -23,11 +23,11 @@
   }
 
   /**
-   * The route with the longest prefix of the path. Prefixes end with a slash, so only the path's own
-   * slashes are tried: the cost does not grow with the number of routes.
+   * Returns the route with the longest matching path prefix. Prefixes end with a slash, so only the positions
+   * of slashes in the path are tried, and the cost does not depend on the number of routes.
    */
   find(host: string, target: string): Route | undefined {
-    const prefixes = this.#hosts.get(withoutPort(host));
+    const prefixes = this.#hosts.get(normalizeHost(host));
     if (prefixes === undefined) {
       return undefined;
     }
@@ -49,17 +49,17 @@
 
   /** All routes of a host. */
   ofHost(host: string): readonly Route[] {
-    return [...this.#hosts.get(withoutPort(host))?.values() ?? []];
+    return [...this.#hosts.get(normalizeHost(host))?.values() ?? []];
   }
 }
 
-function withoutPort(host: string): string {
+function normalizeHost(host: string): string {
   const colon = host.lastIndexOf(":");
   const bare = colon > 0 && !host.endsWith("]") ? host.slice(0, colon) : host;
   return bare.toLowerCase();
 }
 
 function withoutQuery(target: string): string {
-  const mark = target.indexOf("?");
-  return mark < 0 ? target : target.slice(0, mark);
+  const queryStart = target.indexOf("?");
+  return queryStart < 0 ? target : target.slice(0, queryStart);
 }
--- a/packages/core/src/verdict/__tests__/verdict.test.ts
+++ b/packages/core/src/verdict/__tests__/verdict.test.ts
@@ -14,7 +14,7 @@
 }
 
 describe("verdict", () => {
-  describe("from the log of attempts", () => {
+  describe("derived from the log of attempts", () => {
     const cases: [AttemptState[], string][] = [
       [[], "not_run"],
       [["prepared"], "not_run"],
@@ -34,7 +34,7 @@
       expect(logOf(states).verdict().kind).toBe(expected);
     });
 
-    it("never moves an attempt out of a final state", () => {
+    it("ignores changes to an attempt in a final state", () => {
       const log = logOf(["lost"]);
       log.record("a0" as AttemptId, "unsent");
       expect(log.verdict().kind).toBe("may_have_run");
@@ -43,14 +43,14 @@
 
   describe("as a header", () => {
     it.each(["not_run", "ran", "may_have_run; settled", "may_have_run; open"])(
-      "keeps %s",
+      "preserves %s",
       (header) => {
         expect(verdictHeader(parseVerdictHeader(header))).toBe(header);
       },
     );
 
     it.each([undefined, "", "not run", "NOT_RUN"])(
-      "takes %j for doubt",
+      "parses %j as may_have_run",
       (header) => {
         expect(parseVerdictHeader(header).kind).toBe("may_have_run");
       },
--- a/packages/core/src/verdict/refusal.ts
+++ b/packages/core/src/verdict/refusal.ts
@@ -1,12 +1,12 @@
 /**
- * A refusal as the caller gets it: status, reason, verdict, when to come back and where to go.
+ * Refusals that callers get: status, reason, verdict, when to retry and which other entries to use.
  *
  * @module
  */
 import type { Milliseconds } from "../ids/index.ts";
 import type { Verdict } from "./verdict.ts";
 
-/** Every reason for which an entry refuses. Stable: callers and metrics name them. */
+/** Reasons for which an entry refuses a request. They must stay stable, since callers and metrics use them. */
 export type RefusalReason =
   | "unknown_customer"
   | "unknown_service"
@@ -60,24 +60,27 @@
   caller_gone: 499,
 };
 
-/** A final answer that is not the endpoint's own. */
+/** A final answer that was not produced by an endpoint. */
 export interface Refusal {
   readonly reason: RefusalReason;
   /** HTTP status, fixed by the reason. */
   readonly status: number;
-  /** One sentence for a person; never customer data. */
+  /** One human-readable sentence, without any customer data. */
   readonly detail: string;
-  /** About the request under its key, all sends included. */
+  /** Verdict on the request, including all earlier sends under the same idempotency key. */
   readonly verdict: Verdict;
-  /** About this send alone, where it differs: a key's earlier send may have run though this one did not. */
+  /**
+   * Verdict on this send alone, if it differs: an earlier send under the same key may have run even though
+   * this one did not.
+   */
   readonly thisSend?: Verdict;
-  /** When asking again makes sense. */
+  /** Time after which a retry makes sense. */
   readonly retryAfter?: Milliseconds;
   /** Base URLs of entries that may serve the request instead. */
   readonly goTo?: readonly string[];
 }
 
-/** Builds a refusal with the status that belongs to its reason. */
+/** Creates a refusal with the HTTP status of its reason. */
 export function refusal(
   reason: RefusalReason,
   rest: Omit<Refusal, "reason" | "status">,
--- a/packages/core/src/verdict/verdict.ts
+++ b/packages/core/src/verdict/verdict.ts
@@ -1,15 +1,15 @@
 /**
- * May a request have run? Every outcome carries a verdict, and a verdict is only ever derived from
- * the log of attempts.
+ * Verdicts state whether a request may have run. Every outcome carries a verdict, and verdicts are derived
+ * only from the log of attempts.
  *
  * @module
  */
 import type { AttemptId } from "../ids/index.ts";
 
 /**
- * What is known about whether a request ran.
- * `settled` on `may_have_run` says that nothing more can be learnt; otherwise asking again with the
- * same key may bring the outcome.
+ * Whether a request ran, as far as is known.
+ * On `may_have_run`, `settled` means that nothing more can be found out; otherwise a retry with the same
+ * idempotency key may return the outcome.
  */
 export type Verdict =
   | { readonly kind: "not_run" }
@@ -20,12 +20,12 @@
 export const NOT_RUN: Verdict = { kind: "not_run" };
 /** The request ran and its answer is known. */
 export const RAN: Verdict = { kind: "ran" };
-/** It may have run, and asking again may tell. */
+/** The request may have run, and a retry may find out. */
 export const MAY_HAVE_RUN_OPEN: Verdict = {
   kind: "may_have_run",
   settled: false,
 };
-/** It may have run, and nothing more can be learnt. */
+/** The request may have run, and nothing more can be found out. */
 export const MAY_HAVE_RUN_SETTLED: Verdict = {
   kind: "may_have_run",
   settled: true,
@@ -33,12 +33,12 @@
 
 /**
  * State of one attempt.
- * - `prepared`: decided, no byte handed over.
- * - `unsent`: ended before any byte was handed over (connect refused, withdrawn).
- * - `sent`: the first byte may have left; the outcome is not known yet.
- * - `refused`: the receiver said, as its contract allows, that the request did not run.
- * - `completed`: a whole answer came back.
- * - `lost`: bytes left and no trustworthy answer came back.
+ * - `prepared`: planned, nothing passed to the network yet.
+ * - `unsent`: ended before any byte was passed to the network (connection refused, withdrawn).
+ * - `sent`: bytes may have been sent; the outcome is not known yet.
+ * - `refused`: the receiver stated, as its contract allows, that the request did not run.
+ * - `completed`: a complete answer was received.
+ * - `lost`: bytes were sent and no trustworthy answer was received.
  */
 export type AttemptState =
   | "prepared"
@@ -52,7 +52,7 @@
 export class AttemptLog {
   readonly #states = new Map<AttemptId, AttemptState>();
 
-  /** Adds an attempt or moves it on. A final state never changes. */
+  /** Adds an attempt or updates its state. Final states never change. */
   record(attempt: AttemptId, state: AttemptState): void {
     const known = this.#states.get(attempt);
     if (known !== undefined && isFinal(known)) {
@@ -61,30 +61,30 @@
     this.#states.set(attempt, state);
   }
 
-  /** State of one attempt, `undefined` if it was never made. */
+  /** State of an attempt, `undefined` if it was not recorded. */
   stateOf(attempt: AttemptId): AttemptState | undefined {
     return this.#states.get(attempt);
   }
 
-  /** Number of attempts made. */
+  /** Number of recorded attempts. */
   get size(): number {
     return this.#states.size;
   }
 
   /**
-   * The verdict that the attempts support.
-   * One doubtful attempt makes the whole request doubtful: if an earlier attempt may have run, a
-   * later clean refusal says nothing about the earlier one.
+   * Derives the verdict from the attempts.
+   * A single attempt with an unknown outcome makes the verdict `may_have_run` unless another one completed: a
+   * later refusal proves nothing about an earlier attempt that may have run.
    */
   verdict(): Verdict {
     const states = [...this.#states.values()];
     if (states.includes("completed")) {
       return RAN;
     }
-    const doubtful = states.some((state) =>
+    const uncertain = states.some((state) =>
       state === "sent" || state === "lost"
     );
-    return doubtful ? MAY_HAVE_RUN_OPEN : NOT_RUN;
+    return uncertain ? MAY_HAVE_RUN_OPEN : NOT_RUN;
   }
 }
 
@@ -93,7 +93,7 @@
     state === "lost";
 }
 
-/** Verdict as it stands in the response header. */
+/** Formats a verdict for the response header. */
 export function verdictHeader(verdict: Verdict): string {
   if (verdict.kind !== "may_have_run") {
     return verdict.kind;
@@ -101,7 +101,7 @@
   return verdict.settled ? "may_have_run; settled" : "may_have_run; open";
 }
 
-/** Reads a verdict header of a peer. Anything else is doubt, since a peer that says nothing proves nothing. */
+/** Parses a peer's verdict header. A missing or unknown value proves nothing, so it means `may_have_run`. */
 export function parseVerdictHeader(text: string | undefined): Verdict {
   if (text === "not_run") {
     return NOT_RUN;
--- a/playground/src/guards/route_guards.ts
+++ b/playground/src/guards/route_guards.ts
@@ -34,15 +34,15 @@
     point: "routes: an endpoint starts again",
     name: "a late record of the same life changes nothing",
     file: "packages/core/src/routes/endpoint_record.ts",
-    find: "return news.sequence >= known.sequence;",
+    find: "return incoming.sequence >= known.sequence;",
     replace: "return true;",
   },
   {
     point: "routes: an endpoint starts again",
     name: "a newer life takes the place of the former one",
     file: "packages/core/src/routes/endpoint_record.ts",
-    find: "if (isSameLife(news, known)) {",
-    replace: "if (news !== known) {",
+    find: "if (isSameLife(incoming, known)) {",
+    replace: "if (incoming !== known) {",
   },
   {
     point: "routes: an endpoint starts again",
--- a/playground/src/guards/stall_guards.ts
+++ b/playground/src/guards/stall_guards.ts
@@ -34,7 +34,7 @@
     point: POINT,
     name: "no peer is suspected for an unread answer",
     file: `${CORE}/fleet/probe_schedule.ts`,
-    find: "this.#listened.since(sentAt, now)",
+    find: "this.#clock.since(sentAt, now)",
     replace: "now - sentAt",
   },
   {
@@ -69,7 +69,7 @@
     point: POINT,
     name: "no member is suspect for unread heartbeats",
     file: `${CORE}/membership/member_table.ts`,
-    find: "this.#listened.since(member.heardAt, now)",
+    find: "this.#clock.since(member.heardAt, now)",
     replace: "now - member.heardAt",
   },
   {
--- a/soak/src/guard_list.ts
+++ b/soak/src/guard_list.ts
@@ -115,8 +115,8 @@
     kinds: PAUSES,
     name: "silence is counted while the process listens",
     file: "packages/core/src/listening/listened_time.ts",
-    find: "listened -= time;",
-    replace: "listened -= 0 * time;",
+    find: "elapsed -= duration;",
+    replace: "elapsed -= 0 * duration;",
   },
   {
     point: POINT,
