--- a/packages/core/src/gateway/__tests__/endpoint_lives.test.ts
+++ b/packages/core/src/gateway/__tests__/endpoint_lives.test.ts
@@ -17,29 +17,29 @@
 
 const REGION = "r" as RegionId;
 const PEER = "peer" as Incarnation;
-const FORMER = 1_000 as EndpointLife;
-const PRESENT = 2_000 as EndpointLife;
+const PREVIOUS_LIFE = 1_000 as EndpointLife;
+const CURRENT_LIFE = 2_000 as EndpointLife;
 const PARTS = [{ id: "subject", tokens: 4_000 }];
 
 function record(fields: Partial<EndpointRecord>): EndpointRecord {
-  return { ...engine("e1").record, life: FORMER, ...fields };
+  return { ...engine("e1").record, life: PREVIOUS_LIFE, ...fields };
 }
 
-describe("records of one endpoint", () => {
+describe("the order of an endpoint's records", () => {
   it.each([
     [{ sequence: 3 }, { sequence: 2 }, true],
     [{ sequence: 2 }, { sequence: 2 }, true],
     [{ sequence: 1 }, { sequence: 2 }, false],
-    [{ life: PRESENT, sequence: 1 }, { sequence: 90 }, true],
-    [{ sequence: 91 }, { life: PRESENT, sequence: 1 }, false],
+    [{ life: CURRENT_LIFE, sequence: 1 }, { sequence: 90 }, true],
+    [{ sequence: 91 }, { life: CURRENT_LIFE, sequence: 1 }, false],
     [{ life: undefined, sequence: 91 }, { sequence: 1 }, false],
     [{ life: undefined, sequence: 1 }, { life: undefined, sequence: 2 }, false],
-  ])("%o takes the place of %o: %s", (news, known, expected) => {
+  ])("%o supersedes %o: %s", (news, known, expected) => {
     expect(supersedes(record(news), record(known))).toBe(expected);
   });
 });
 
-describe("an endpoint that starts again under its id", () => {
+describe("an endpoint that restarts under the same id", () => {
   let published: Map<EndpointId, EndpointRecord>;
   let catalogue: {
     generation: number;
@@ -47,15 +47,15 @@
     endpoints: Map<EndpointId, EndpointRecord>;
     document: unknown;
   };
-  let book: EndpointRegistry;
+  let registry: EndpointRegistry;
 
   const publish = (fields: Partial<EndpointRecord>): void => {
     published.set("e1" as EndpointId, record(fields));
     catalogue.generation++;
-    book.follow(instant(0));
+    registry.follow(instant(0));
   };
   const report = (life: EndpointLife): void =>
-    book.learn(PEER, {
+    registry.learn(PEER, {
       partial: false,
       endpoints: [
         {
@@ -70,7 +70,7 @@
       arrivals: [],
       picture: 0,
     }, instant(1));
-  const state = () => book.get("e1" as EndpointId)!;
+  const state = () => registry.get("e1" as EndpointId)!;
 
   beforeEach(() => {
     published = new Map();
@@ -80,7 +80,7 @@
       endpoints: published,
       document: { services: new Map([[POOL.id, POOL]]) },
     };
-    book = new EndpointRegistry({
+    registry = new EndpointRegistry({
       region: REGION,
       regionByZone: new Map([["z1" as ZoneId, REGION]]),
       catalogue: catalogue as never,
@@ -91,53 +91,48 @@
     publish({});
   });
 
-  it("is known to hold nothing and to run nothing", () => {
-    const former = state();
-    former.prefixes.use(PARTS);
-    former.begin("a" as AttemptId, { prefill: 9, tokens: 9 }, instant(0));
-    former.health.note("broken", instant(0));
-    former.health.note("broken", instant(0));
-    publish({ life: PRESENT });
-    expect(state()).not.toBe(former);
-    expect(state().prefixes.cached(PARTS)).toBe(0);
+  it("starts with no cached prefixes, requests or failures", () => {
+    const previous = state();
+    previous.prefixes.use(PARTS);
+    previous.begin("a" as AttemptId, { prefill: 9, tokens: 9 }, instant(0));
+    previous.health.note("broken", instant(0));
+    previous.health.note("broken", instant(0));
+    publish({ life: CURRENT_LIFE });
+    expect(state()).not.toBe(previous);
+    expect(state().prefixes.cachedTokens(PARTS)).toBe(0);
     expect(state().requests).toBe(0);
-    expect(book.accepts(state(), instant(1))).toBe(true);
-    expect(book.hasStartedAgain(former)).toBe(true);
-    expect(book.isOpen(former)).toBe(false);
+    expect(registry.accepts(state(), instant(1))).toBe(true);
+    expect(registry.hasStartedAgain(previous)).toBe(true);
+    expect(registry.isOpen(previous)).toBe(false);
   });
 
-  /**
-   * Symptom: an engine that was just started is thought to hold what it lost, and to be busy.
-   * Sequence: it starts again; a peer that has not heard of it reports its work there.
-   * Cause: reports named the endpoint, not the life.
-   */
-  it("is not burdened with what a peer says of the former life", () => {
-    report(FORMER);
+  // Guards against a restarted engine that counts as busy and as holding cached prefixes it has lost. A
+  // peer that does not know of the restart yet still reports its earlier work there; reports used to name
+  // the endpoint but not its life.
+  it("ignores a peer's report about its previous life", () => {
+    report(PREVIOUS_LIFE);
     expect(state().requests).toBe(1);
-    publish({ life: PRESENT });
-    report(FORMER);
+    publish({ life: CURRENT_LIFE });
+    report(PREVIOUS_LIFE);
     expect(state().requests).toBe(0);
-    expect(state().prefixes.cached(PARTS)).toBe(0);
-    report(PRESENT);
+    expect(state().prefixes.cachedTokens(PARTS)).toBe(0);
+    report(CURRENT_LIFE);
     expect(state().requests).toBe(1);
-    expect(state().prefixes.cached(PARTS)).toBe(4_000);
-    book.expire(instant(10_000));
+    expect(state().prefixes.cachedTokens(PARTS)).toBe(4_000);
+    registry.expire(instant(10_000));
     expect(state().requests).toBe(0);
   });
 
-  it("is reported by a peer before its record is read", () => {
-    report(PRESENT);
+  it("counts a peer's report that arrived before its record", () => {
+    report(CURRENT_LIFE);
     expect(state().requests).toBe(0);
-    publish({ life: PRESENT });
+    publish({ life: CURRENT_LIFE });
     expect(state().requests).toBe(1);
   });
 
-  /**
-   * Symptom: an endpoint that came back cold with its zone gets a full load and ends.
-   * Sequence: its zone is taken back; the record written before that arrives once more, with no cold time.
-   * Cause: it was believed.
-   */
-  it("stays in doubt after an evacuation until a record that was written later", () => {
+  // Guards against a full load for a cold endpoint, which crashes it. After an evacuation has ended, the
+  // record from before arrives once more, without cold time, and must not be trusted.
+  it("counts as cold after an evacuation until a later record arrives", () => {
     const service = {
       ...POOL,
       coldRate: 2,
--- a/packages/core/src/gateway/__tests__/endpoint_records.test.ts
+++ b/packages/core/src/gateway/__tests__/endpoint_records.test.ts
@@ -11,7 +11,7 @@
 import { EndpointRecords } from "../endpoint_records.ts";
 
 const ID = "i-1" as EndpointId;
-const BELIEVED_AT = instant(5_000);
+const ACCEPTED_AT = instant(5_000);
 
 function record(
   sequence: number,
@@ -34,10 +34,10 @@
   };
 }
 
-describe("records of endpoints", () => {
+describe("endpoint records", () => {
   let records: EndpointRecords;
   const restore = (...found: EndpointRecord[]): void =>
-    records.restore(found, { keptUntil: undefined, believedAt: BELIEVED_AT });
+    records.restore(found, { keptUntil: undefined, believedAt: ACCEPTED_AT });
   const stateOf = (): string | undefined => records.all.get(ID)?.state;
 
   beforeEach(() => {
@@ -45,62 +45,63 @@
     records.put(record(7));
   });
 
-  // Guards against requests to an endpoint whose leaving a copy does not know.
-  it("that were written later hold against those of a copy", () => {
+  // Guards against requests to a draining endpoint whose older record in a restored backup says that it is
+  // ready.
+  it("keep a record that is newer than that of a restored backup", () => {
     records.put(record(8, { state: "draining" }));
     restore(record(7));
     expect(stateOf()).toBe("draining");
   });
 
-  // Guards against requests to an endpoint that is gone and stands in a copy again.
-  describe("of one that is gone are not believed where a copy has them", () => {
+  // Guards against requests to a departed endpoint that reappears in a restored backup.
+  describe("withhold a departed endpoint's record from a restored backup", () => {
     beforeEach(() => {
       records.remove(ID, undefined);
       restore(record(6));
       expect(records.withheld).toBe(1);
     });
 
-    it("until it writes again", () => {
+    it("until the endpoint writes a newer one", () => {
       expect(stateOf()).toBeUndefined();
       records.put(record(8));
       expect(stateOf()).toBe("ready");
       expect(records.withheld).toBe(0);
     });
 
-    it("nor where the same record is read again", () => {
+    it("even if the same record is read again", () => {
       records.replace([record(6)], undefined);
       expect(stateOf()).toBeUndefined();
       records.replace([record(7)], undefined);
       expect(stateOf()).toBe("ready");
     });
 
-    it("until the platform would have removed it", () => {
+    it("until the platform would have removed the record", () => {
       expect(records.expire(instant(4_999))).toBe(false);
-      expect(records.expire(BELIEVED_AT)).toBe(true);
+      expect(records.expire(ACCEPTED_AT)).toBe(true);
       expect(stateOf()).toBe("ready");
     });
 
-    it("and it is removed again", () => {
+    it("and drop it when it is removed again", () => {
       records.remove(ID, undefined);
-      records.expire(BELIEVED_AT);
+      records.expire(ACCEPTED_AT);
       expect(stateOf()).toBeUndefined();
       expect(records.withheld).toBe(0);
     });
 
-    it("but another life of it is", () => {
+    it("but accept a record of another life", () => {
       restore(record(1, { life: 2 }));
       expect(stateOf()).toBe("ready");
     });
   });
 
-  it("of one that was never known are believed", () => {
+  it("accept an unknown endpoint's record from a restored backup", () => {
     records = new EndpointRecords();
     restore(record(1));
     expect(stateOf()).toBe("ready");
   });
 
-  it("that a copy lacks are used for a while, and told to nobody", () => {
-    records.restore([], { keptUntil: instant(100), believedAt: BELIEVED_AT });
+  it("keep a record that a restored backup lacks for a while, unpublished", () => {
+    records.restore([], { keptUntil: instant(100), believedAt: ACCEPTED_AT });
     expect(stateOf()).toBe("ready");
     expect(records.published).toEqual([]);
     records.expire(instant(100));
--- a/packages/core/src/gateway/__tests__/endpoint_terms_fixture.ts
+++ b/packages/core/src/gateway/__tests__/endpoint_terms_fixture.ts
@@ -7,7 +7,7 @@
   instant,
 } from "../../index.ts";
 
-/** Terms of endpoints that state nothing. */
+/** Endpoint terms for endpoints that state no limits, departures or rests. */
 export function noTerms(): EndpointTerms {
   const log = (): void => {};
   return {
--- a/packages/core/src/gateway/__tests__/engine_fixture.ts
+++ b/packages/core/src/gateway/__tests__/engine_fixture.ts
@@ -18,7 +18,7 @@
   engine: { slots: 64, cacheTokens: 200_000, fetches: true },
 };
 
-/** One of them, warm and idle. */
+/** An engine of `POOL`, warm and idle. */
 export function engine(name: string, zone = "z1"): EndpointState {
   return new EndpointState(
     {
--- a/packages/core/src/gateway/__tests__/idle_limit.test.ts
+++ b/packages/core/src/gateway/__tests__/idle_limit.test.ts
@@ -17,30 +17,26 @@
   );
 }
 
-describe("idle time of a kept connection", () => {
-  /**
-   * Symptom: half of all requests pay for a new connection.
-   * Sequence: an entry sends an endpoint something every second, on a connection of its own each time.
-   * Cause: a kept one might be dead; but its endpoint was heard on another a moment ago.
-   */
-  it("is long at an endpoint that was heard just now", () => {
+describe("the idle limit of a kept-alive connection", () => {
+  // Guards against new connections for half of all requests. An entry that sends to an endpoint every
+  // second used to open a connection each time, since a kept-alive one might be dead, although the
+  // endpoint had just been heard on another.
+  it("is long for an endpoint that was heard recently", () => {
     expect(limit("stream", { heardAt: 9_800 })).toBe(4_000);
     expect(limit("non_idempotent", { heardAt: 9_800 })).toBe(800);
   });
 
-  /**
-   * Symptom: requests that may not repeat are lost at an endpoint that is silent or cut off.
-   * Sequence: it falls silent; kept connections hang, new ones would have failed and cost nothing.
-   * Cause: a kept connection was trusted though nothing was heard of its endpoint.
-   */
-  it("is short at one of which nothing is heard", () => {
+  // Guards against the loss of requests that must not be repeated. If an endpoint falls silent or is cut
+  // off, requests on kept-alive connections hang, while new connections would have failed without any
+  // loss.
+  it("is short for an endpoint that was not heard recently", () => {
     for (const heardAt of [undefined, 9_000]) {
       expect(limit("stream", { heardAt })).toBe(1_000);
       expect(limit("non_idempotent", { heardAt })).toBe(0);
     }
   });
 
-  it("does not matter where the request may repeat", () => {
+  it("does not apply to a request that may be repeated", () => {
     expect(limit("idempotent", { mayRepeat: true })).toBe(Infinity);
   });
 });
--- a/packages/core/src/gateway/__tests__/limits.test.ts
+++ b/packages/core/src/gateway/__tests__/limits.test.ts
@@ -24,13 +24,10 @@
   stopTime: milliseconds(8_000),
 };
 
-describe("the budget of repeats", () => {
-  /**
-   * Symptom: repeats of all entries together are more than the platform allows.
-   * Sequence: every entry repeats as often as it may.
-   * Cause: each entry takes the whole of the slack.
-   */
-  it.each([1, 7, 91])("is kept by %i entries together", (entries) => {
+describe("the repeat budget", () => {
+  // Guards against more repeats by all entries together than the platform allows. Each entry must not use
+  // the whole slack for itself.
+  it.each([1, 7, 91])("is not exceeded by %i entries together", (entries) => {
     const firsts = 40;
     let repeats = 0;
     for (let entry = 0; entry < entries; entry++) {
@@ -47,10 +44,10 @@
     expect(repeats).toBeGreaterThan(0);
   });
 
-  it("comes back as its window passes", () => {
+  it("becomes available again after its window", () => {
     const budget = new RepeatBudget(BOUNDS);
     while (budget.spend(SERVICE, { entries: 9 }, instant(0))) {
-      // Until it is used up.
+      // Uses up the budget.
     }
     expect(budget.spend(SERVICE, { entries: 9 }, instant(5_000))).toBe(false);
     expect(budget.spend(SERVICE, { entries: 9 }, instant(11_000))).toBe(true);
@@ -83,12 +80,12 @@
     instant(0),
   );
 
-  it("belongs to one entry, and to two views bears both", () => {
-    const region = ["a", "b", "c"] as Incarnation[];
+  it("stays within the bound even if two entries both own the endpoint", () => {
+    const candidates = ["a", "b", "c"] as Incarnation[];
     let sent = 0;
-    for (const self of region) {
+    for (const self of candidates) {
       const cold = new ColdAllowance(BOUNDS, instant(-10_000));
-      while (cold.allows(state, { self, region }, instant(10))) {
+      while (cold.allows(state, { self, candidates }, instant(10))) {
         cold.spend(state.record.id, instant(10));
         sent++;
       }
@@ -100,22 +97,22 @@
 });
 
 describe("an endpoint's health", () => {
-  it("is doubted after two broken connections in a row, not after one", () => {
+  it("is suspected after two consecutive broken connections, not after one", () => {
     const health = new EndpointHealth();
     health.note("broken", instant(0));
-    expect(health.usable(instant(1))).toBe(true);
+    expect(health.isUsable(instant(1))).toBe(true);
     health.note("broken", instant(2));
-    expect(health.usable(instant(3))).toBe(false);
+    expect(health.isUsable(instant(3))).toBe(false);
   });
 
-  it("is tried with one request, and mended by a good answer", () => {
+  it("allows one trial request, and recovers with a good answer", () => {
     const health = new EndpointHealth();
     health.suspect(instant(0));
-    expect(health.usable(instant(600))).toBe(true);
+    expect(health.isUsable(instant(600))).toBe(true);
     health.used(instant(600));
-    expect(health.usable(instant(601))).toBe(false);
+    expect(health.isUsable(instant(601))).toBe(false);
     health.note("good", instant(650));
-    expect(health.usable(instant(651))).toBe(true);
-    expect(health.suspected).toBe(false);
+    expect(health.isUsable(instant(651))).toBe(true);
+    expect(health.isSuspected).toBe(false);
   });
 });
--- a/packages/core/src/gateway/__tests__/rest.test.ts
+++ b/packages/core/src/gateway/__tests__/rest.test.ts
@@ -13,25 +13,25 @@
 const ZONE = "z" as ZoneId;
 const REGION = "r" as RegionId;
 
-/** The weakest of many entries of a zone, before a platform that answers at once. */
-describe("an entry that stands by", () => {
+/** The entry with the lowest weight among many of its zone, with a platform that answers at once. */
+describe("a standby entry", () => {
   let gateway: Gateway;
   let now: number;
   let reads: number[];
   let refused: string[];
-  /** Whether the platform answers. */
-  let answers: boolean;
+  /** Whether the platform answers reads. */
+  let platformAnswers: boolean;
 
   const handle = (event: Parameters<Gateway["handle"]>[0]): void =>
-    take(gateway.handle(event, instant(now)));
-  const take = (effects: readonly GatewayEffect[]): void => {
+    applyEffects(gateway.handle(event, instant(now)));
+  const applyEffects = (effects: readonly GatewayEffect[]): void => {
     for (const effect of effects) {
       if (effect.kind === "datagram" && effect.message.kind === "ping") {
         acknowledge(effect.to, effect.message.sequence);
       }
       if (effect.kind === "readCatalogue") {
         reads.push(now);
-        if (answers) {
+        if (platformAnswers) {
           answer();
         }
       }
@@ -97,7 +97,7 @@
     now = 0;
     reads = [];
     refused = [];
-    answers = true;
+    platformAnswers = true;
     gateway = startGateway({ zone: ZONE, region: REGION });
     for (let index = 0; index < 20; index++) {
       handle({
@@ -107,21 +107,18 @@
     }
   });
 
-  /**
-   * Symptom: a large fleet spends a third of its processor time before the first request.
-   * Sequence: entries start and wait for requests.
-   * Cause: each woke forty times a second for deadlines of requests that it did not have.
-   */
-  it("is woken a few times a second", () => {
+  // Guards against a large fleet that spends a third of its processor time before the first request. Each
+  // entry woke up forty times a second to check the deadlines of requests that it did not have.
+  it("wakes up only a few times a second", () => {
     run(10_000);
     expect(run(12_000).length).toBeLessThanOrEqual(8);
   });
 
-  it("reads the picture seldom, and soon once a request has come", () => {
+  it("reads the catalogue seldom, but soon after a request has arrived", () => {
     run(20_000);
-    const rested = reads.slice(-3);
-    expect(rested[1]! - rested[0]!).toBeGreaterThanOrEqual(8_000);
-    expect(rested[1]! - rested[0]!).toBeLessThanOrEqual(8_300);
+    const standbyReads = reads.slice(-3);
+    expect(standbyReads[1]! - standbyReads[0]!).toBeGreaterThanOrEqual(8_000);
+    expect(standbyReads[1]! - standbyReads[0]!).toBeLessThanOrEqual(8_300);
     const last = reads.at(-1)!;
     run(last + 1_500);
     expect(reads.at(-1)).toBe(last);
@@ -130,8 +127,8 @@
     expect(reads.at(-1)).toBeGreaterThan(last);
   });
 
-  it("reads the picture soon where one that carries has another", () => {
-    const hear = (picture: number): void =>
+  it("reads the catalogue soon if a serving entry has a different one", () => {
+    const receiveReport = (picture: number): void =>
       handle({
         kind: "datagram",
         message: {
@@ -149,15 +146,15 @@
     run(20_000);
     const last = reads.at(-1)!;
     run(last + 1_500);
-    hear(gateway.catalogue.picture);
+    receiveReport(gateway.catalogue.picture);
     run(last + 3_000);
     expect(reads.at(-1)).toBe(last);
-    hear(gateway.catalogue.picture + 1);
+    receiveReport(gateway.catalogue.picture + 1);
     run(now + 300);
     const next = reads.at(-1)!;
     expect(next).toBeGreaterThan(last);
     while (now < next + 2_500) {
-      hear(gateway.catalogue.picture + 1);
+      receiveReport(gateway.catalogue.picture + 1);
       run(now + 100);
     }
     expect(reads.at(-1)).toBe(next);
@@ -165,36 +162,34 @@
     expect(reads.at(-1)).toBeGreaterThan(next);
   });
 
-  /**
-   * Symptom: a request is handled by a document that was replaced seconds ago.
-   * Sequence: an entry stands by and reads seldom; callers are named it and send at once.
-   * Cause: it served from the picture that it had.
-   */
-  it("has a request wait for the read where its picture is old", () => {
+  // Guards against requests that are handled by a document that was replaced seconds ago. A standby entry
+  // reads the catalogue seldom, but callers may be told to use it and send requests at once.
+  it("holds a request until the catalogue is read if its copy is old", () => {
     run(20_000);
     run(reads.at(-1)! + 5_000);
-    answers = false;
+    platformAnswers = false;
     arrive();
     expect(gateway.calls.active).toBe(1);
     run(now + 100);
     expect(refused).toEqual([]);
-    answers = true;
+    platformAnswers = true;
     answer();
     run(now + 50);
     expect(refused).toEqual(["no_route"]);
   });
 
-  // Guards against a request that is judged by a picture of seconds ago, as its read only told that all is old.
+  // Guards against requests that are decided on an outdated catalogue because the answer to the read only
+  // says that the catalogue has to be read in full.
   it.each([
     ["dropped", { kind: "catalogueCompacted" }],
     ["of another epoch", {
       kind: "catalogueChanged",
       changes: { epoch: 3 as never, revision: 1 as never, changes: [] },
     }],
-  ])("has it wait on where the history is %s", (_name, event) => {
+  ])("keeps holding the request if the history is %s", (_name, event) => {
     run(20_000);
     run(reads.at(-1)! + 5_000);
-    answers = false;
+    platformAnswers = false;
     arrive();
     handle(event as Parameters<Gateway["handle"]>[0]);
     run(now + 100);
@@ -204,17 +199,15 @@
     expect(refused).toEqual(["no_route"]);
   });
 
-  /**
-   * Symptom: every request of a region waits for most of a second when the platform falls silent.
-   * Sequence: entries that carry have a read under way that waits for changes; none comes.
-   * Cause: their picture was taken for that of an entry that had stood by.
-   */
-  it("has no request wait while it carries and the platform is silent", () => {
+  // Guards against a delay of most of a second for every request of a region when the platform falls
+  // silent. A serving entry always has a read in flight that waits for changes; its catalogue must not
+  // count as old, like a standby entry's.
+  it("holds no request while it serves and the platform is silent", () => {
     for (let index = 0; index < 40; index++) {
       arrive();
       run(now + 250);
     }
-    answers = false;
+    platformAnswers = false;
     for (let index = 0; index < 20; index++) {
       const before = refused.length;
       arrive();
@@ -223,10 +216,10 @@
     }
   });
 
-  it("goes by the old picture where the read fails", () => {
+  it("uses the old catalogue if the read fails", () => {
     run(20_000);
     run(reads.at(-1)! + 5_000);
-    answers = false;
+    platformAnswers = false;
     arrive();
     run(now + 50);
     handle({ kind: "catalogueFailed", detail: "down" });
@@ -234,12 +227,12 @@
     expect(refused).toEqual(["no_route"]);
   });
 
-  it("reads on as often as others while requests come", () => {
+  it("reads as often as serving entries while requests arrive", () => {
     for (let index = 0; index < 40; index++) {
       arrive();
       run(now + 250);
     }
-    const [former, latest] = reads.slice(-2);
-    expect(latest! - former!).toBeLessThanOrEqual(1_500);
+    const [previous, latest] = reads.slice(-2);
+    expect(latest! - previous!).toBeLessThanOrEqual(1_500);
   });
 });
--- a/packages/core/src/gateway/__tests__/steering.test.ts
+++ b/packages/core/src/gateway/__tests__/steering.test.ts
@@ -4,7 +4,7 @@
 import {
   chooseShares,
   estimateDemand,
-  KEEP_UTILIZATION,
+  MIN_STEERING_UTILIZATION,
   type RegionLoad,
   shareOf,
   smoothShares,
@@ -24,7 +24,7 @@
 }
 
 describe("steering", () => {
-  it("solves demand from arrivals and shares in force", () => {
+  it("solves for demand from arrivals and current shares", () => {
     const demand = estimateDemand([
       load(A, {
         capacity: 1,
@@ -37,16 +37,16 @@
     expect(demand.get(B!)).toBeCloseTo(100);
   });
 
-  it("keeps all callers below the utilization that a region bears", () => {
+  it("keeps all callers while the region's utilization is low", () => {
     const capacity = 1_000;
-    const arrivals = capacity * KEEP_UTILIZATION * 0.9;
+    const arrivals = capacity * MIN_STEERING_UTILIZATION * 0.9;
     expect(chooseShares(A!, [
       load(A, { capacity, arrivals }),
       load(B, { capacity, arrivals: 0 }),
     ])).toEqual([]);
   });
 
-  it("sends the peak of one region where there is room", () => {
+  it("sends a region's peak to regions with spare capacity", () => {
     const shares = chooseShares(A!, [
       load(A, { capacity: 1_000, arrivals: 2_000 }),
       load(B, { capacity: 2_000, arrivals: 100 }),
@@ -56,7 +56,7 @@
     expect(shareOf(shares, C!)).toBeLessThan(0.1);
   });
 
-  it("sends all where a region has no endpoint left", () => {
+  it("sends all callers away if a region has no capacity", () => {
     const shares = chooseShares(A!, [
       load(A, { capacity: 0, arrivals: 100 }),
       load(B, { capacity: 1_000, arrivals: 100 }),
@@ -64,12 +64,9 @@
     expect(shareOf(shares, B!)).toBeCloseTo(1);
   });
 
-  /**
-   * Symptom: callers are sent away and called back every second.
-   * Sequence: a region sends half of its callers away, and looks idle.
-   * Cause: shares are chosen from what arrives, not from what is asked for.
-   */
-  it("settles while the same callers ask", () => {
+  // Guards against callers that are sent away and called back every second. A region that sends half of
+  // its callers away looks idle if the shares are chosen from its arrivals instead of its demand.
+  it("converges while demand is constant", () => {
     const demand = { a: 2_000, b: 200 };
     let shares: RegionShare[] = [];
     const seen: number[] = [];
--- a/packages/core/src/gateway/__tests__/subject_region.test.ts
+++ b/packages/core/src/gateway/__tests__/subject_region.test.ts
@@ -12,8 +12,8 @@
 
 const SUBJECTS = Array.from({ length: 600 }, (_, index) => `s${index}`);
 
-/** The region that reads a subject, as an entry of `own` sees it. */
-function reader(
+/** The region that prefills a subject, as an entry of `own` sees it. */
+function prefillRegion(
   subject: string,
   own: SubjectRegion,
   all: readonly SubjectRegion[],
@@ -22,24 +22,23 @@
   return subjectRegion(subject, own, others) ?? own.region;
 }
 
-describe("the region that reads a subject", () => {
+describe("the region that prefills a subject", () => {
   const all = [view("a", 6), view("b", 4), view("c", 2)];
 
-  /**
-   * Symptom: engines read a fifth of all shared tokens again within seconds.
-   * Sequence: callers of one subject are spread over regions, and each region reads it.
-   * Cause: regions chose by caller, and no region knows what another keeps.
-   */
+  // Guards against repeated prefill of shared tokens: a fifth of them were prefilled again within seconds.
+  // Callers of one subject are spread over regions, and no region knows what another has cached.
   it("is the same in all regions' views", () => {
     for (const subject of SUBJECTS) {
-      const seen = new Set(all.map((own) => reader(subject, own, all)));
+      const seen = new Set(all.map((own) => prefillRegion(subject, own, all)));
       expect(seen.size).toBe(1);
     }
   });
 
-  it("gets a part of all subjects by its engines", () => {
+  it("gets a share of all subjects in proportion to its engines", () => {
     const count = (region: string): number =>
-      SUBJECTS.filter((subject) => reader(subject, all[0]!, all) === region)
+      SUBJECTS.filter((subject) =>
+        prefillRegion(subject, all[0]!, all) === region
+      )
         .length / SUBJECTS.length;
     expect(count("a")).toBeCloseTo(0.5, 1);
     expect(count("b")).toBeCloseTo(0.33, 1);
@@ -47,23 +46,34 @@
   });
 
   it("keeps most of its subjects when another region loses its engines", () => {
-    const without = [all[0]!, all[1]!, view("c", 0)];
+    const withoutEngines = [all[0]!, all[1]!, view("c", 0)];
     const moved = SUBJECTS.filter((subject) =>
-      reader(subject, all[0]!, all) !== "c" &&
-      reader(subject, all[0]!, all) !== reader(subject, all[0]!, without)
+      prefillRegion(subject, all[0]!, all) !== "c" &&
+      prefillRegion(subject, all[0]!, all) !==
+        prefillRegion(subject, all[0]!, withoutEngines)
     );
     expect(moved).toEqual([]);
     expect(
-      SUBJECTS.some((subject) => reader(subject, all[0]!, without) === "c"),
+      SUBJECTS.some((subject) =>
+        prefillRegion(subject, all[0]!, withoutEngines) === "c"
+      ),
     ).toBe(false);
   });
 
-  it("takes nothing while it is much busier than the caller's own", () => {
+  it("takes no subjects while it is much busier than the request's own region", () => {
     const busy = [view("a", 6, 0.4), view("b", 4, 0.9)];
-    expect(SUBJECTS.some((subject) => reader(subject, busy[0]!, busy) === "b"))
+    expect(
+      SUBJECTS.some((subject) =>
+        prefillRegion(subject, busy[0]!, busy) === "b"
+      ),
+    )
       .toBe(false);
     const both = [view("a", 6, 0.9), view("b", 4, 0.9)];
-    expect(SUBJECTS.some((subject) => reader(subject, both[0]!, both) === "b"))
+    expect(
+      SUBJECTS.some((subject) =>
+        prefillRegion(subject, both[0]!, both) === "b"
+      ),
+    )
       .toBe(true);
   });
 });
--- a/packages/core/src/gateway/__tests__/work_reporter.test.ts
+++ b/packages/core/src/gateway/__tests__/work_reporter.test.ts
@@ -30,12 +30,12 @@
   parts: [{ id: "g", tokens: 200 }],
 };
 
-/** A reporter in zone z1 of a region with an engine in each of its two zones. */
-describe("an entry's reports of its work", () => {
-  let near: EndpointState;
-  let far: EndpointState;
-  let open: Set<EndpointState>;
-  let told: {
+/** Tests a reporter in zone z1 of a region with an engine in each of its two zones. */
+describe("an entry's work reports", () => {
+  let ownZoneEngine: EndpointState;
+  let otherZoneEngine: EndpointState;
+  let available: Set<EndpointState>;
+  let sent: {
     zones: string[];
     report: WorkReport;
     standby: boolean;
@@ -44,10 +44,10 @@
   let reporter: WorkReporter;
 
   beforeEach(() => {
-    near = engine("e1", "z1");
-    far = engine("e2", "z2");
-    open = new Set([near, far]);
-    told = [];
+    ownZoneEngine = engine("e1", "z1");
+    otherZoneEngine = engine("e2", "z2");
+    available = new Set([ownZoneEngine, otherZoneEngine]);
+    sent = [];
     reporter = new WorkReporter({
       self: {
         region: REGION,
@@ -63,21 +63,23 @@
         mail: {
           sendWork: (
             report: WorkReport,
-            isTold: (record: FleetRecord) => boolean,
+            isRecipient: (record: FleetRecord) => boolean,
           ) =>
-            told.push({
+            sent.push({
               zones: ["z1", "z2", "z3"].filter((zone) =>
-                isTold({ zone, incarnation: "carrier" } as never)
+                isRecipient({ zone, incarnation: "carrier" } as never)
               ),
               report,
-              standby: isTold({ zone: "z1", incarnation: "standby" } as never),
-              busy: isTold({ zone: "z1", incarnation: "busy" } as never),
+              standby: isRecipient(
+                { zone: "z1", incarnation: "standby" } as never,
+              ),
+              busy: isRecipient({ zone: "z1", incarnation: "busy" } as never),
             }),
         },
       } as never,
       endpoints: {
-        all: () => [near, far],
-        isOpen: (state: EndpointState) => open.has(state),
+        all: () => [ownZoneEngine, otherZoneEngine],
+        isOpen: (state: EndpointState) => available.has(state),
         hasReport: (incarnation: string) => incarnation === "busy",
       } as unknown as EndpointRegistry,
       regions: { report: () => [] } as never,
@@ -95,63 +97,60 @@
       { prefill: LONG, tokens: LONG },
       instant(20),
     );
-  const zones = (): string[][] => told.map((item) => item.zones);
+  const zones = (): string[][] => sent.map((item) => item.zones);
 
-  it("go to all zones of the region first, to no other region", () => {
+  it("first go to all zones of the region, and to no other region", () => {
     expect(zones()).toEqual([["z1", "z2"]]);
   });
 
-  /**
-   * Symptom: most datagrams, and most bytes between zones, are work reports.
-   * Sequence: each prompt at an engine of this zone was told to the entries of all zones at once.
-   * Cause: entries choose among the engines of their own zone, the others did not act on it.
-   */
-  it("stay in the zone where they concern its engines alone", () => {
-    begin(near);
+  // Guards against work reports that are most of the datagrams and of the traffic between zones. Each
+  // prompt used to be reported to all zones at once, though entries choose among the engines of their own
+  // zone.
+  it("stay in the own zone if they are about its engines only", () => {
+    begin(ownZoneEngine);
     reporter.tick([], instant(25));
     expect(zones().at(-1)).toEqual(["z1"]);
   });
 
-  /**
-   * Symptom: of 91 entries each spends most of its time on the others' reports.
-   * Sequence: a few of them carry the callers; each prompt they send is told to all.
-   * Cause: entries without requests choose no engine, and were told of each prompt all the same.
-   */
-  it("go to those that carry, and once a second to those that stand by", () => {
-    expect(told.at(-1)).toMatchObject({ standby: true, busy: true });
-    begin(near);
+  // Guards against entries that spend most of their time on the reports of others. With 91 entries, of
+  // which few serve callers, each prompt was reported to all, though entries without requests choose no
+  // engine.
+  it("go to serving entries, and once a second to standby entries", () => {
+    expect(sent.at(-1)).toMatchObject({ standby: true, busy: true });
+    begin(ownZoneEngine);
     reporter.tick([], instant(25));
-    expect(told.at(-1)).toMatchObject({ standby: false, busy: true });
+    expect(sent.at(-1)).toMatchObject({ standby: false, busy: true });
     reporter.tick([], instant(500));
-    expect(told.at(-1)).toMatchObject({ standby: false, busy: true });
+    expect(sent.at(-1)).toMatchObject({ standby: false, busy: true });
     reporter.tick([], instant(1_000));
-    expect(told.at(-1)).toMatchObject({ standby: true, busy: true });
+    expect(sent.at(-1)).toMatchObject({ standby: true, busy: true });
   });
 
-  it("go to the zone whose engine they are about", () => {
-    begin(far);
+  it("go to the zone of the engine that they are about", () => {
+    begin(otherZoneEngine);
     reporter.tick([], instant(25));
     expect(zones().at(-1)).toEqual(["z1", "z2"]);
   });
 
-  /**
-   * Symptom: an engine gets several prompts at once while another zone is evacuated.
-   * Sequence: the entries of the empty zone choose among the engines of the other.
-   * Cause: they do not hear what that zone's entries send there.
-   */
-  it("go to all zones while one has no engine that takes work", () => {
-    open.delete(far);
-    begin(near);
+  // Guards against several prompts at once for one engine while another zone is evacuated. Entries of the
+  // evacuated zone choose among the other zone's engines and have to know what the entries there send.
+  it("go to all zones while one of them has no engine that takes work", () => {
+    available.delete(otherZoneEngine);
+    begin(ownZoneEngine);
     reporter.tick([], instant(25));
     expect(zones().at(-1)).toEqual(["z1", "z2"]);
   });
 
-  it("are whole once a second for the other zones, twice for the own", () => {
-    begin(near);
-    near.end("a0" as AttemptId, instant(21));
-    begin(far);
-    far.end("a0" as AttemptId, instant(21));
-    near.begin("b" as AttemptId, { prefill: 0, tokens: 1 }, instant(22));
+  it("are full once a second for other zones, twice a second for the own zone", () => {
+    begin(ownZoneEngine);
+    ownZoneEngine.end("a0" as AttemptId, instant(21));
+    begin(otherZoneEngine);
+    otherZoneEngine.end("a0" as AttemptId, instant(21));
+    ownZoneEngine.begin(
+      "b" as AttemptId,
+      { prefill: 0, tokens: 1 },
+      instant(22),
+    );
     for (let now = 25; now <= 2_000; now += 25) {
       reporter.tick([], instant(now));
     }
@@ -164,24 +163,21 @@
     ]);
   });
 
-  /**
-   * Symptom: a fleet that serves nobody takes a tenth of each core.
-   * Sequence: each entry tells its region twice a second that it has nothing in flight.
-   * Cause: whole reports went out whatever they held.
-   */
-  it("cease while there is nothing to tell, and go on with the next work", () => {
+  // Guards against a fleet without requests that uses a tenth of each core. Each entry reported twice a
+  // second that it has nothing in flight.
+  it("stop while there is no work, and resume with the next work", () => {
     for (let now = 25; now <= 5_000; now += 25) {
       reporter.tick([], instant(now));
     }
-    expect(told.length).toBe(2);
-    begin(near);
+    expect(sent.length).toBe(2);
+    begin(ownZoneEngine);
     reporter.tick([], instant(5_025));
-    expect(told.length).toBe(3);
-    near.end("a0" as AttemptId, instant(5_050));
+    expect(sent.length).toBe(3);
+    ownZoneEngine.end("a0" as AttemptId, instant(5_050));
     for (let now = 5_050; now <= 9_000; now += 25) {
       reporter.tick([], instant(now));
     }
-    const since = told.slice(3);
+    const since = sent.slice(3);
     const empty = since.filter(({ report }) =>
       report.endpoints.every(({ requests }) => requests === 0)
     );
@@ -190,24 +186,24 @@
     expect(empty.some((item) => item.zones.includes("z2"))).toBe(true);
   });
 
-  it("tell other zones later which prefixes can be fetched", () => {
-    begin(near);
+  it("tell other zones with a delay which prefixes can be fetched", () => {
+    begin(ownZoneEngine);
     reporter.tick([SUBJECT, GREETING], instant(25));
-    expect(told.at(-1)).toMatchObject({
+    expect(sent.at(-1)).toMatchObject({
       zones: ["z1"],
       report: { prefixes: [SUBJECT, GREETING] },
     });
     reporter.tick([], instant(500));
     reporter.tick([], instant(1_000));
-    expect(told.at(-1)).toMatchObject({
+    expect(sent.at(-1)).toMatchObject({
       zones: ["z1", "z2"],
       report: { prefixes: [SUBJECT] },
     });
   });
 });
 
-describe("messages of work", () => {
-  it("are one for all receivers, so that they are written once", async () => {
+describe("work report messages", () => {
+  it("are the same object for all receivers, so that it is serialized once", async () => {
     const { FleetController } = await import("../../fleet/index.ts");
     const sent: FleetMessage[] = [];
     const self = {
--- a/packages/core/src/gateway/cold_allowance.ts
+++ b/packages/core/src/gateway/cold_allowance.ts
@@ -1,5 +1,5 @@
 /**
- * How much a cold endpoint may get from this entry.
+ * Limits how many requests this entry sends to a cold endpoint.
  *
  * @module
  */
@@ -12,26 +12,34 @@
 import type { EndpointState } from "./endpoint_state.ts";
 import type { GatewayBounds } from "./messages.ts";
 
-/** The bound holds for any second, by the endpoint's clock: a little more covers the way there. */
-const WINDOW_MS = 1_100;
-/** Two entries may both hold themselves for the one, while their views differ. */
-const POSSIBLE_OWNERS = 2;
-/** An entry that has run for less may not know its peers yet. */
-const SETTLING_MS = 3_000;
+/**
+ * The bound applies to any second of the endpoint's clock. The margin covers differences in network delay.
+ */
+const RATE_WINDOW_MS = 1_100;
+/** Maximum number of entries that consider themselves the owner of an endpoint while their views differ. */
+const MAX_CONCURRENT_OWNERS = 2;
+/** An entry that has been running for less time may not know its peers yet. */
+const OWNER_SETTLING_MS = 3_000;
 
-/** Endpoints that are cold at one time, at the most: each start of one has an id of its own. */
-const MOST_ENDPOINTS = 4_096;
+/**
+ * Maximum number of endpoints tracked, as many as may be cold at one time: each start of an endpoint has
+ * its own id.
+ */
+const MAX_TRACKED_ENDPOINTS = 4_096;
 
-/** The one entry that may send to a cold endpoint, in this entry's view. */
+/** The only entry that may send to a cold endpoint, in this entry's view. */
 interface Owner {
   readonly entry: Incarnation | undefined;
   readonly since: number;
 }
 
 /**
- * Ten entries that each send a cold endpoint only a few requests crash it together. One notices by
- * endpoints that end again right after their return. So one entry of the region, the same in all
- * their views, may send to it, and only half of what it bears.
+ * Decides whether this entry may send to a cold endpoint.
+ *
+ * Ten entries that each send a cold endpoint only a few requests overload and crash it together; the
+ * symptom is endpoints that end again right after their return. So a single owner, the same in the views
+ * of all entries of the region, may send to a cold endpoint. It uses only half of the endpoint's bound,
+ * because two entries may both consider themselves the owner.
  */
 export class ColdAllowance {
   #bounds: GatewayBounds;
@@ -44,7 +52,7 @@
     this.#startedAt = now;
   }
 
-  /** Takes new figures. */
+  /** Applies changed bounds from the settings. */
   rebound(bounds: GatewayBounds): void {
     this.#bounds = bounds;
   }
@@ -52,58 +60,62 @@
   /** Whether this entry may send to the cold endpoint now. */
   allows(
     { record, service }: EndpointState,
-    { self, region }: {
+    { self, candidates }: {
       self: Incarnation;
-      /** Entries of the region that may be alive, this one included. */
-      region: readonly Incarnation[];
+      /** Entries of the region that may be alive, including this one. */
+      candidates: readonly Incarnation[];
     },
     now: Instant,
   ): boolean {
-    const owner = this.#ownerOf(record.id, region, now);
-    // What the former owner sent still counts: entries that start one after another and each become the
-    // owner at once would together send more than two of them may.
-    if (owner.entry !== self || now - owner.since < WINDOW_MS) {
+    const owner = this.#ownerOf(record.id, candidates, now);
+    // Requests of the previous owner still count. Otherwise entries that start one after another, each
+    // becoming the owner at once, could together send more than twice an owner's share.
+    if (owner.entry !== self || now - owner.since < RATE_WINDOW_MS) {
       return false;
     }
     const { coldOvershoot, coldSlack } = this.#bounds;
     const bound = (service?.coldRate ?? 0) * coldOvershoot + coldSlack;
-    return this.#recent(record.id, now).length <
-      Math.floor(bound / POSSIBLE_OWNERS);
+    return this.#recentSends(record.id, now).length <
+      Math.floor(bound / MAX_CONCURRENT_OWNERS);
   }
 
-  /** Notes a request that is sent. */
+  /** Records a request that is sent to a cold endpoint. */
   spend(endpoint: EndpointId, now: Instant): void {
-    this.#sent.set(endpoint, [...this.#recent(endpoint, now), now]);
-    forgetOldest(this.#sent);
+    this.#sent.set(endpoint, [...this.#recentSends(endpoint, now), now]);
+    evictOldest(this.#sent);
   }
 
   #ownerOf(
     endpoint: EndpointId,
-    region: readonly Incarnation[],
+    candidates: readonly Incarnation[],
     now: Instant,
   ): Owner {
-    const [entry] = rendezvous(`cold ${endpoint}`, region, (name) => name);
+    const [entry] = rendezvous(
+      `cold ${endpoint}`,
+      candidates,
+      (incarnation) => incarnation,
+    );
     const known = this.#owners.get(endpoint);
     if (known !== undefined && known.entry === entry) {
       return known;
     }
     const settled = known === undefined &&
-      now - this.#startedAt >= SETTLING_MS;
+      now - this.#startedAt >= OWNER_SETTLING_MS;
     const owner = { entry, since: settled ? -Infinity : now };
     this.#owners.set(endpoint, owner);
-    forgetOldest(this.#owners);
+    evictOldest(this.#owners);
     return owner;
   }
 
-  #recent(endpoint: EndpointId, now: Instant): Instant[] {
+  #recentSends(endpoint: EndpointId, now: Instant): Instant[] {
     return (this.#sent.get(endpoint) ?? []).filter((at) =>
-      now - at < WINDOW_MS
+      now - at < RATE_WINDOW_MS
     );
   }
 }
 
-function forgetOldest(endpoints: Map<EndpointId, unknown>): void {
-  if (endpoints.size > MOST_ENDPOINTS) {
+function evictOldest(endpoints: Map<EndpointId, unknown>): void {
+  if (endpoints.size > MAX_TRACKED_ENDPOINTS) {
     const [oldest] = endpoints.keys();
     endpoints.delete(oldest!);
   }
--- a/packages/core/src/gateway/endpoint_health.ts
+++ b/packages/core/src/gateway/endpoint_health.ts
@@ -1,104 +1,117 @@
 /**
- * What an endpoint's own answers say of its health. Health checks are not asked: an endpoint may pass
- * them and fail its callers, or the reverse, and each probe costs it a slot.
+ * Tracks an endpoint's health from the outcomes of real requests. There are no active health checks: an
+ * endpoint may pass them and still fail its callers, or the reverse, and each probe costs it a slot.
  *
  * @module
  */
 import { after, type Instant } from "../ids/index.ts";
 
-/** Weight of the newest outcome: some ten outcomes decide. */
-const NEWEST_WEIGHT = 0.12;
-/** A connection that fails, or silence, in a row: one may be chance, two are not. */
+/** Weight of the newest outcome in the moving averages: roughly the last ten outcomes decide. */
+const OUTCOME_WEIGHT = 0.12;
+/**
+ * Consecutive connection failures or silences that make an endpoint suspected. One may be chance, two are
+ * not.
+ */
 const FAILURES_TO_SUSPECT = 2;
-/** First time out of use; doubles with each trial that fails, up to the most. */
-const FIRST_SUSPICION_MS = 500;
-const MOST_SUSPICION_MS = 2_000;
+/** Length of the first suspicion. It doubles with each failed trial, up to the maximum. */
+const INITIAL_SUSPICION_MS = 500;
+const MAX_SUSPICION_MS = 2_000;
 /**
- * The same for an endpoint that takes no connection. A trial costs its request a moment and nothing can be
- * lost with it, while requests wait a second at the most: with the times above they were refused although
- * the endpoint had been back for half of that.
+ * The same times for an endpoint that accepts no connection. A trial costs its request only a moment, and
+ * nothing can be lost because no byte is written, while requests wait one second at most. With the times
+ * above, requests were refused although the endpoint had been back for half of that second.
  */
-const FIRST_ABSENCE_MS = 150;
-const MOST_ABSENCE_MS = 500;
+const INITIAL_UNREACHABLE_MS = 150;
+const MAX_UNREACHABLE_MS = 500;
 
-/** How an attempt went, as far as the endpoint is to blame. */
-export type Outcome =
+/** Outcome of an attempt, as far as the endpoint is responsible for it. */
+export type AttemptOutcome =
   | "good"
-  /** Turned away by an endpoint that said when it takes requests again. */
+  /** The endpoint refused the request and said when it accepts requests again. */
   | "deferred"
-  /** An answer that says failure. */
+  /** The endpoint answered with a failure. */
   | "failed"
-  /** No connection: no byte was written. */
+  /** The connection failed before any byte was written. */
   | "unreached"
-  /** A broken connection, or silence. */
+  /** The connection broke, or the endpoint fell silent. */
   | "broken";
 
-/** Keeps the failure rate and takes an endpoint out of use for a while. */
+/**
+ * Tracks an endpoint's failure rate and excludes the endpoint from use for a while after connection
+ * failures.
+ */
 export class EndpointHealth {
-  /** Part of the last outcomes that failed or broke, 0 to 1. */
+  /** Moving average of the outcomes that were failures of any kind, from 0 to 1. */
   failureRate = 0;
-  /** The same for broken ones alone. */
-  brokenRate = 0;
-  #inARow = 0;
-  /** Times out of use since the last sign of life. */
-  #trials = 0;
-  #suspectUntil: Instant | undefined;
-  /** Whether the one request that tests a suspect is under way. */
-  #trialAt: Instant | undefined;
+  /** Moving average of the outcomes that were connection failures, from 0 to 1. */
+  connectionFailureRate = 0;
+  #consecutiveFailures = 0;
+  /** Suspicions since the endpoint last answered; determines the length of the next one. */
+  #suspicions = 0;
+  #suspectedUntil: Instant | undefined;
+  /** When the trial request of a suspected endpoint was sent, `undefined` while none is in flight. */
+  #trialStartedAt: Instant | undefined;
 
-  note(outcome: Outcome, now: Instant): void {
-    const bad = outcome === "good" ? 0 : 1;
-    const lost = outcome === "broken" || outcome === "unreached";
-    const broken = lost ? 1 : 0;
-    // Counted as a failure, a refusal would keep requests away for as long as others serve.
+  note(outcome: AttemptOutcome, now: Instant): void {
+    const failure = outcome === "good" ? 0 : 1;
+    const connectionFailed = outcome === "broken" || outcome === "unreached";
+    const connectionFailure = connectionFailed ? 1 : 0;
+    // Counting a deferral as a failure would keep requests away for as long as other endpoints serve.
     if (outcome !== "deferred") {
-      this.failureRate += NEWEST_WEIGHT * (bad - this.failureRate);
-      this.brokenRate += NEWEST_WEIGHT * (broken - this.brokenRate);
+      this.failureRate += OUTCOME_WEIGHT * (failure - this.failureRate);
+      this.connectionFailureRate += OUTCOME_WEIGHT *
+        (connectionFailure - this.connectionFailureRate);
     }
-    this.#trialAt = undefined;
-    if (!lost) {
-      this.#inARow = 0;
-      this.#trials = 0;
-      this.#suspectUntil = undefined;
+    this.#trialStartedAt = undefined;
+    if (!connectionFailed) {
+      this.#consecutiveFailures = 0;
+      this.#suspicions = 0;
+      this.#suspectedUntil = undefined;
       return;
     }
-    this.#inARow++;
-    if (this.#inARow >= FAILURES_TO_SUSPECT) {
+    this.#consecutiveFailures++;
+    if (this.#consecutiveFailures >= FAILURES_TO_SUSPECT) {
       this.suspect(now, outcome);
     }
   }
 
-  /** Takes the endpoint out of use for a while. */
+  /** Excludes the endpoint from use for a while. */
   suspect(now: Instant, cause: "broken" | "unreached" = "broken"): void {
-    if (this.#suspectUntil !== undefined && now < this.#suspectUntil) {
+    if (this.#suspectedUntil !== undefined && now < this.#suspectedUntil) {
       return;
     }
-    const [first, most] = cause === "broken"
-      ? [FIRST_SUSPICION_MS, MOST_SUSPICION_MS]
-      : [FIRST_ABSENCE_MS, MOST_ABSENCE_MS];
-    this.#suspectUntil = after(now, Math.min(most, first * 2 ** this.#trials));
-    this.#trials++;
-    this.#inARow = FAILURES_TO_SUSPECT;
+    const [initial, max] = cause === "broken"
+      ? [INITIAL_SUSPICION_MS, MAX_SUSPICION_MS]
+      : [INITIAL_UNREACHABLE_MS, MAX_UNREACHABLE_MS];
+    this.#suspectedUntil = after(
+      now,
+      Math.min(max, initial * 2 ** this.#suspicions),
+    );
+    this.#suspicions++;
+    this.#consecutiveFailures = FAILURES_TO_SUSPECT;
   }
 
-  /** Whether new work may go there; after its time a suspect gets one request as a trial. */
-  usable(now: Instant): boolean {
-    if (this.#suspectUntil === undefined) {
+  /**
+   * Whether new work may be sent to the endpoint. Once its suspicion has run out, it gets one request as a
+   * trial.
+   */
+  isUsable(now: Instant): boolean {
+    if (this.#suspectedUntil === undefined) {
       return true;
     }
-    const trialOpen = this.#trialAt !== undefined &&
-      now - this.#trialAt < MOST_SUSPICION_MS;
-    return now >= this.#suspectUntil && !trialOpen;
+    const trialInProgress = this.#trialStartedAt !== undefined &&
+      now - this.#trialStartedAt < MAX_SUSPICION_MS;
+    return now >= this.#suspectedUntil && !trialInProgress;
   }
 
-  get suspected(): boolean {
-    return this.#suspectUntil !== undefined;
+  get isSuspected(): boolean {
+    return this.#suspectedUntil !== undefined;
   }
 
-  /** A request goes there; of a suspect it is the trial. */
+  /** Notes that a request is sent to the endpoint. For a suspected endpoint this request is the trial. */
   used(now: Instant): void {
-    if (this.#suspectUntil !== undefined) {
-      this.#trialAt = now;
+    if (this.#suspectedUntil !== undefined) {
+      this.#trialStartedAt = now;
     }
   }
 }
--- a/packages/core/src/gateway/endpoint_records.ts
+++ b/packages/core/src/gateway/endpoint_records.ts
@@ -1,5 +1,5 @@
 /**
- * Endpoints' records as this entry holds them.
+ * Endpoint records from the catalogue, as this entry holds them.
  *
  * @module
  */
@@ -10,55 +10,59 @@
   supersedes,
 } from "../routes/index.ts";
 
-/** Gone endpoints that are remembered. */
-const MOST_DEPARTED = 2_000;
+/** Maximum number of departed endpoints whose last record is remembered. */
+const MAX_DEPARTED_RECORDS = 2_000;
 
-/** A record that a restored catalogue brought back. */
+/** A record of a departed endpoint that reappeared in a restored catalogue. */
 interface WithheldRecord {
   readonly record: EndpointRecord;
   readonly until: Instant;
 }
 
-/** Records by endpoint. A record that goes missing may be kept for a while. */
+/** Holds the records by endpoint. A record that goes missing from the catalogue may be kept for a while. */
 export class EndpointRecords {
   readonly all = new Map<EndpointId, EndpointRecord>();
-  /** Endpoints whose record is missing, with the time until which that is not believed. */
+  /** Endpoints whose record is missing from the catalogue, with the time until which they stay in use. */
   readonly #missing = new Map<EndpointId, Instant>();
-  /** Last records of endpoints that are gone, the latest to go last. */
+  /** Last records of endpoints that have departed, most recent departure last. */
   readonly #departed = new Map<EndpointId, EndpointRecord>();
-  readonly #withheld = new Map<EndpointId, WithheldRecord>();
+  readonly #withheldRecords = new Map<EndpointId, WithheldRecord>();
 
   /**
-   * Those that are published. One that is only kept is not among them: a peer would take it for published
-   * and, reading on from our revision, never learn that it is gone.
+   * Records that are published in the catalogue. Records that are only kept are excluded: a peer that
+   * copied one would take it for published and, reading changes from our revision on, never learn of its
+   * removal.
    */
   get published(): EndpointRecord[] {
     return [...this.all.values()].filter(({ id }) => !this.#missing.has(id));
   }
 
-  /** Endpoints that are used although their record is missing. */
+  /** Number of endpoints that are in use although their record is missing. */
   get kept(): number {
     return this.#missing.size;
   }
 
-  /** Endpoints that are not used although there is a record. */
+  /** Number of endpoints that are not in use although they have a record. */
   get withheld(): number {
-    return this.#withheld.size;
+    return this.#withheldRecords.size;
   }
 
-  /** An endpoint has written its record. */
+  /** Stores a record that an endpoint has written. */
   put(record: EndpointRecord): void {
     const known = this.all.get(record.id);
     this.#missing.delete(record.id);
-    this.#withheld.delete(record.id);
+    this.#withheldRecords.delete(record.id);
     if (known === undefined || supersedes(record, known)) {
       this.all.set(record.id, record);
     }
   }
 
-  /** The record is missing; the endpoint is used until `keptUntil`, if at all. */
+  /**
+   * Handles a record that is gone from the catalogue. The endpoint stays in use until `keptUntil`, if
+   * given.
+   */
   remove(id: EndpointId, keptUntil: Instant | undefined): void {
-    this.#withheld.delete(id);
+    this.#withheldRecords.delete(id);
     if (keptUntil === undefined || !this.all.has(id)) {
       this.#drop(id);
     } else if (!this.#missing.has(id)) {
@@ -66,7 +70,7 @@
     }
   }
 
-  /** Takes all records that there are. */
+  /** Replaces the records by the full set of a catalogue read. */
   replace(
     records: readonly EndpointRecord[],
     keptUntil: Instant | undefined,
@@ -74,7 +78,7 @@
     const present = new Set(records.map(({ id }) => id));
     records.filter((record) => !this.#isWithheld(record))
       .forEach((record) => this.put(record));
-    for (const id of [...this.all.keys(), ...this.#withheld.keys()]) {
+    for (const id of [...this.all.keys(), ...this.#withheldRecords.keys()]) {
       if (!present.has(id)) {
         this.remove(id, keptUntil);
       }
@@ -82,10 +86,10 @@
   }
 
   /**
-   * Takes all records of a copy that the platform came back from. A record in it of an endpoint that has
-   * gone since would get requests, at an address that may be another service's by now: unless the endpoint
-   * writes again it is not used until `believedAt`, by when the platform has removed the records of those
-   * that are silent.
+   * Replaces the records by those of a backup that the platform was restored from. A departed endpoint may
+   * have a record in it and would get requests, at an address that may belong to another service by now.
+   * Such an endpoint is not used until it writes a newer record, or until `believedAt`: by then the
+   * platform has removed the records of silent endpoints.
    */
   restore(
     records: readonly EndpointRecord[],
@@ -95,20 +99,20 @@
     },
   ): void {
     for (const record of records.filter((item) => this.#hasDeparted(item))) {
-      this.#withheld.set(record.id, { record, until: believedAt });
+      this.#withheldRecords.set(record.id, { record, until: believedAt });
     }
     this.replace(records, keptUntil);
   }
 
-  /** Ends what was for a while; whether there was any. */
+  /** Drops kept records and accepts withheld ones whose time is over. Returns whether there were any. */
   expire(now: Instant): boolean {
-    const dropped = [...this.#missing].filter(([, until]) => now >= until);
-    dropped.forEach(([id]) => this.#drop(id));
-    const believed = [...this.#withheld.values()].filter(({ until }) =>
+    const expired = [...this.#missing].filter(([, until]) => now >= until);
+    expired.forEach(([id]) => this.#drop(id));
+    const accepted = [...this.#withheldRecords.values()].filter(({ until }) =>
       now >= until
     );
-    believed.forEach(({ record }) => this.put(record));
-    return dropped.length + believed.length > 0;
+    accepted.forEach(({ record }) => this.put(record));
+    return expired.length + accepted.length > 0;
   }
 
   #drop(id: EndpointId): void {
@@ -119,12 +123,12 @@
       this.#departed.delete(id);
       this.#departed.set(id, known);
     }
-    if (this.#departed.size > MOST_DEPARTED) {
+    if (this.#departed.size > MAX_DEPARTED_RECORDS) {
       this.#departed.delete(this.#departed.keys().next().value!);
     }
   }
 
-  /** Whether a record is no newer than the last one of an endpoint that is gone. */
+  /** Whether a record is no newer than the last record of an endpoint that has departed. */
   #hasDeparted(record: EndpointRecord): boolean {
     const last = this.#departed.get(record.id);
     return last !== undefined && !this.all.has(record.id) &&
@@ -132,12 +136,12 @@
   }
 
   #isWithheld(record: EndpointRecord): boolean {
-    const withheld = this.#withheld.get(record.id);
+    const withheld = this.#withheldRecords.get(record.id);
     return withheld !== undefined && !isNewer(record, withheld.record);
   }
 }
 
-/** Whether an endpoint wrote one record after the other. */
+/** Whether the endpoint wrote `record` after `known`. */
 function isNewer(record: EndpointRecord, known: EndpointRecord): boolean {
   return supersedes(record, known) &&
     !(isSameLife(record, known) && record.sequence === known.sequence);
--- a/packages/core/src/gateway/endpoint_registry.ts
+++ b/packages/core/src/gateway/endpoint_registry.ts
@@ -1,5 +1,5 @@
 /**
- * The endpoints of this entry's region and what is in flight there, by this entry and its peers.
+ * The endpoints of this entry's region, with the work that this entry and its peers have in flight there.
  *
  * @module
  */
@@ -19,27 +19,27 @@
 import { EndpointState } from "./endpoint_state.ts";
 
 /**
- * A peer's report older than this is not counted any more: the peer has ended or is cut off. Two whole
- * reports to other zones, and a little.
+ * Age at which a peer's report stops counting, because the peer has ended or is cut off: the time of two
+ * full reports to other zones, plus a margin.
  */
 const REPORT_LIFETIME_MS = 2_200;
 
-interface KnownReport {
+interface ReceivedReport {
   readonly report: WorkReport;
-  readonly at: Instant;
+  readonly receivedAt: Instant;
 }
 
-/** Keeps the state of each endpoint; follows the catalogue. */
+/** Keeps the state of each endpoint in step with the catalogue. */
 export class EndpointRegistry {
   readonly #region: RegionId;
   readonly #regionByZone: ReadonlyMap<ZoneId, RegionId>;
   readonly #catalogue: CatalogueView;
   readonly #listened: ListenedTimeView;
   readonly #isLeaving: (record: EndpointRecord) => boolean;
-  readonly #restOf: (record: EndpointRecord, now: Instant) => Milliseconds;
+  readonly #backoffOf: (record: EndpointRecord, now: Instant) => Milliseconds;
   readonly #states = new Map<EndpointId, EndpointState>();
   readonly #byService = new Map<ServiceId, EndpointState[]>();
-  readonly #reports = new Map<Incarnation, KnownReport>();
+  readonly #reports = new Map<Incarnation, ReceivedReport>();
   #evacuated: ReadonlySet<ZoneId> = new Set();
   #generation = -1;
 
@@ -49,9 +49,9 @@
       regionByZone: ReadonlyMap<ZoneId, RegionId>;
       catalogue: CatalogueView;
       listened: ListenedTimeView;
-      /** Whether an endpoint has said itself that it leaves. */
+      /** Whether an endpoint has announced in an answer that it is leaving. */
       isLeaving: (record: EndpointRecord) => boolean;
-      /** Time for which an endpoint wants nothing from this entry. */
+      /** Time for which an endpoint has asked this entry to send no requests. */
       restOf: (record: EndpointRecord, now: Instant) => Milliseconds;
     },
   ) {
@@ -60,7 +60,7 @@
     this.#catalogue = catalogue;
     this.#listened = listened;
     this.#isLeaving = isLeaving;
-    this.#restOf = restOf;
+    this.#backoffOf = restOf;
   }
 
   get(id: EndpointId): EndpointState | undefined {
@@ -71,47 +71,53 @@
     return this.#states.values();
   }
 
-  /** Endpoints of a service in the own region, leaving ones included. */
+  /** Endpoints of a service in this region, including those that are leaving. */
   of(service: ServiceId): readonly EndpointState[] {
     return this.#byService.get(service) ?? [];
   }
 
-  /** Whether new work may go to an endpoint now. */
+  /** Whether new work may be sent to an endpoint now. */
   accepts(state: EndpointState, now: Instant): boolean {
-    return this.isOpen(state) && state.health.usable(now) &&
+    return this.isOpen(state) && state.health.isUsable(now) &&
       this.restOf(state, now) === 0;
   }
 
-  /** Time for which an endpoint wants nothing from this entry, 0 where it takes requests. */
+  /** Time for which an endpoint has asked this entry to send no requests, 0 if it accepts them. */
   restOf({ record }: EndpointState, now: Instant): Milliseconds {
-    return this.#restOf(record, now);
+    return this.#backoffOf(record, now);
   }
 
-  /** Whether an endpoint has started again since: what was sent there is lost or will be. */
+  /**
+   * Whether the endpoint has restarted since this state was created: requests sent to it before are or
+   * will be lost.
+   */
   hasStartedAgain(state: EndpointState): boolean {
-    const present = this.#states.get(state.record.id);
-    return present !== undefined && !isSameLife(present.record, state.record);
+    const current = this.#states.get(state.record.id);
+    return current !== undefined && !isSameLife(current.record, state.record);
   }
 
-  /** Whether an endpoint is neither leaving, nor gone, nor evacuated. */
+  /** Whether an endpoint is in service: not restarted, leaving, gone or evacuated. */
   isOpen(state: EndpointState): boolean {
     const { record } = state;
-    return !this.hasStartedAgain(state) && this.#stays(record) &&
+    return !this.hasStartedAgain(state) && this.#isServing(record) &&
       !this.#catalogue.evacuated.has(record.zone) &&
       this.#catalogue.endpoints.has(record.id);
   }
 
-  /** Whether some endpoint of a service, in any region that will do, is neither leaving nor evacuated. */
+  /**
+   * Whether any endpoint of a service, in a region that `isAllowed` accepts, is neither leaving nor
+   * evacuated.
+   */
   isPublished(
     service: ServiceId,
-    willDo: (region: RegionId) => boolean,
+    isAllowed: (region: RegionId) => boolean,
   ): boolean {
     const { endpoints, evacuated } = this.#catalogue;
     for (const record of endpoints.values()) {
       const region = this.#regionByZone.get(record.zone);
       if (
-        record.service === service && this.#stays(record) &&
-        !evacuated.has(record.zone) && region !== undefined && willDo(region)
+        record.service === service && this.#isServing(record) &&
+        !evacuated.has(record.zone) && region !== undefined && isAllowed(region)
       ) {
         return true;
       }
@@ -119,12 +125,12 @@
     return false;
   }
 
-  /** Neither its record nor its own answers say that it leaves. */
-  #stays(record: EndpointRecord): boolean {
+  /** Whether neither the endpoint's record nor its own answers say that it is leaving. */
+  #isServing(record: EndpointRecord): boolean {
     return record.state === "ready" && !this.#isLeaving(record);
   }
 
-  /** Follows the catalogue, if it changed. */
+  /** Applies the current catalogue if it has changed. */
   follow(now: Instant): void {
     if (this.#generation === this.#catalogue.generation) {
       return;
@@ -132,71 +138,72 @@
     this.#generation = this.#catalogue.generation;
     for (const record of this.#catalogue.endpoints.values()) {
       if (this.#regionByZone.get(record.zone) === this.#region) {
-        this.#take(record.id, now);
+        this.#upsert(record.id, now);
       }
     }
-    this.#dropGone();
-    this.#followEvacuations(now);
-    this.#index();
+    this.#removeGone();
+    this.#syncEvacuations(now);
+    this.#indexByService();
   }
 
-  /** Takes a peer's report of its work, in place of its former one. */
+  /** Replaces a peer's previous report of its work, or merges a partial one into it. */
   learn(from: Incarnation, report: WorkReport, now: Instant): void {
     const known = this.#reports.get(from);
-    const whole = report.partial && known !== undefined
-      ? merge(known.report, report)
+    const full = report.partial && known !== undefined
+      ? mergeReports(known.report, report)
       : report;
-    this.#count(from, -1, now);
-    this.#reports.set(from, { report: whole, at: now });
-    this.#count(from, 1, now);
-    report.prefixes.forEach((news) => this.#learnPrefix(news));
+    this.#applyReport(from, -1, now);
+    this.#reports.set(from, { report: full, receivedAt: now });
+    this.#applyReport(from, 1, now);
+    report.prefixes.forEach((update) => this.#notePrefix(update));
   }
 
-  /** Reports of peers that still count. */
-  reports(): Iterable<KnownReport> {
+  /** The peers' reports that still count. */
+  reports(): Iterable<ReceivedReport> {
     return this.#reports.values();
   }
 
-  /** Whether a peer has told of its work lately: it carries, or did so a moment ago. */
+  /** Whether a peer has reported work recently, so that it serves callers or did so a moment ago. */
   hasReport(from: Incarnation): boolean {
     return this.#reports.has(from);
   }
 
-  /** Peers of the region that carry requests. */
+  /** Number of peers in the region that have requests. */
   busyPeers(): number {
     return [...this.#reports.values()].filter(({ report }) =>
       report.arrivals.length > 0 || report.endpoints.length > 0
     ).length;
   }
 
-  /** Forgets reports of peers that fell silent. */
+  /** Drops the reports of peers that have fallen silent. */
   expire(now: Instant): void {
-    for (const [from, { at }] of this.#reports) {
-      // After a pause the peer's next reports wait to be read: without it its engines would look idle.
-      if (this.#listened.since(at, now) > REPORT_LIFETIME_MS) {
-        this.#count(from, -1, now);
+    for (const [from, { receivedAt }] of this.#reports) {
+      // After a pause of this process the peer's next reports are still unread. If the pause counted as
+      // silence, the engines that the peer uses would look idle.
+      if (this.#listened.since(receivedAt, now) > REPORT_LIFETIME_MS) {
+        this.#applyReport(from, -1, now);
         this.#reports.delete(from);
       }
     }
   }
 
-  #take(id: EndpointId, now: Instant): void {
+  #upsert(id: EndpointId, now: Instant): void {
     const record = this.#catalogue.endpoints.get(id)!;
     const service = this.#catalogue.document?.services.get(record.service);
     const known = this.#states.get(id);
     if (known === undefined || !isSameLife(known.record, record)) {
-      // Another life holds nothing of what the former had, and has nothing in flight.
+      // After a restart the endpoint has no cached prefixes and nothing in flight.
       const state = new EndpointState(record, service, now);
       this.#states.set(id, state);
-      this.#countAllAt(state);
+      this.#addPeerWork(state);
     } else {
-      known.renew(record, now);
+      known.updateRecord(record, now);
       known.service = service;
     }
   }
 
-  /** States of endpoints that left stay while something of ours is in flight there. */
-  #dropGone(): void {
+  /** Removes endpoints that have departed, except those where this entry still has requests in flight. */
+  #removeGone(): void {
     for (const [id, state] of this.#states) {
       if (!this.#catalogue.endpoints.has(id) && state.own.requests === 0) {
         this.#states.delete(id);
@@ -204,7 +211,7 @@
     }
   }
 
-  #followEvacuations(now: Instant): void {
+  #syncEvacuations(now: Instant): void {
     for (const zone of this.#evacuated) {
       if (!this.#catalogue.evacuated.has(zone)) {
         [...this.#states.values()]
@@ -215,7 +222,7 @@
     this.#evacuated = new Set(this.#catalogue.evacuated);
   }
 
-  #index(): void {
+  #indexByService(): void {
     this.#byService.clear();
     for (const state of this.#states.values()) {
       if (!this.#catalogue.endpoints.has(state.record.id)) {
@@ -228,15 +235,15 @@
     }
   }
 
-  #count(from: Incarnation, sign: 1 | -1, now: Instant): void {
+  #applyReport(from: Incarnation, sign: 1 | -1, now: Instant): void {
     const known = this.#reports.get(from);
     for (const work of known?.report.endpoints ?? []) {
-      this.#living(work)?.countPeer(work, sign, now);
+      this.#stateOfLife(work)?.applyPeerWork(work, sign, now);
     }
   }
 
-  /** Reports may name an endpoint before its record is read. */
-  #countAllAt({ record, peers }: EndpointState): void {
+  /** Adds the work that peers reported for an endpoint before its record was read. */
+  #addPeerWork({ record, peers }: EndpointState): void {
     for (const { report } of this.#reports.values()) {
       const work = report.endpoints.find(({ endpoint, life }) =>
         endpoint === record.id && life === record.life
@@ -247,12 +254,15 @@
     }
   }
 
-  #learnPrefix(news: PrefixNews): void {
-    this.#living(news)?.prefixes.use(news.parts);
+  #notePrefix(update: PrefixNews): void {
+    this.#stateOfLife(update)?.prefixes.use(update.parts);
   }
 
-  /** The endpoint that a peer speaks of, unless it means another life. */
-  #living(
+  /**
+   * The state of the endpoint that a peer's report names, `undefined` if the report is about another life
+   * of it.
+   */
+  #stateOfLife(
     { endpoint, life }: Pick<EndpointWork, "endpoint" | "life">,
   ): EndpointState | undefined {
     const state = this.#states.get(endpoint);
@@ -260,14 +270,14 @@
   }
 }
 
-/** What is named anew takes the place of what was; arrivals are always whole. */
-function merge(known: WorkReport, news: WorkReport): WorkReport {
-  const named = new Set(news.endpoints.map(({ endpoint }) => endpoint));
+/** Replaces the endpoints that a partial report names. Arrivals are always reported in full. */
+function mergeReports(known: WorkReport, update: WorkReport): WorkReport {
+  const updated = new Set(update.endpoints.map(({ endpoint }) => endpoint));
   return {
-    ...news,
+    ...update,
     endpoints: [
-      ...known.endpoints.filter(({ endpoint }) => !named.has(endpoint)),
-      ...news.endpoints,
+      ...known.endpoints.filter(({ endpoint }) => !updated.has(endpoint)),
+      ...update.endpoints,
     ],
   };
 }
--- a/packages/core/src/gateway/endpoint_state.ts
+++ b/packages/core/src/gateway/endpoint_state.ts
@@ -1,5 +1,6 @@
 /**
- * What an entry knows of one endpoint beside its record.
+ * What an entry knows about one endpoint besides its record: work in flight, prefill state, cached
+ * prefixes, health.
  *
  * @module
  */
@@ -8,72 +9,76 @@
 import type { EndpointRecord, RoutedService } from "../routes/index.ts";
 import { EndpointHealth } from "./endpoint_health.ts";
 import type { ToldLoad } from "./messages.ts";
-import { PrefixMemory } from "./prefix_memory.ts";
+import { PrefixCacheModel } from "./prefix_memory.ts";
 import { DEFAULT_PREFILL_RATE } from "./prompt_cost.ts";
 
-/** Weight of the newest measurement of the prefill rate. */
-const NEWEST_RATE_WEIGHT = 0.2;
-/** Shorter prompts say little about the rate. */
-const MEASURABLE_TOKENS = 1_500;
-/** Time to the first event that is not prefill: queueing, one step, the way. */
+/** Weight of the newest measurement in the moving average of the prefill rate. */
+const PREFILL_RATE_WEIGHT = 0.2;
+/** Minimum prompt length for a measurement: shorter prompts say little about the prefill rate. */
+const MIN_MEASURED_TOKENS = 1_500;
+/**
+ * Part of the time to the first event that is not prefill: queueing, one step and the network round trip.
+ */
 const FIRST_EVENT_OVERHEAD_MS = 12;
-const LEAST_RATE = 2;
-const MOST_RATE = 200;
+const MIN_TOKENS_PER_MS = 2;
+const MAX_TOKENS_PER_MS = 200;
 
 /**
- * After an engine has read prompts for some time it goes without for this part of that time. A step
- * that reads takes a hundred milliseconds, one that does not takes five: a little time without reading
- * gives the running streams most of their tokens. Without it, long answers do not end in time at all.
+ * Length of the pause after an engine has prefilled prompts, as a fraction of the time it prefilled. A
+ * step with prefill takes about 100 ms, one without about 5 ms, so that a short pause gives the running
+ * streams most of their tokens. Without the pauses, long answers do not finish in time at all.
  */
-const REST_PART = 0.2;
-/** Shortest and longest rest, in milliseconds: some steps that do not read. */
-const LEAST_REST_MS = 30;
-const MOST_REST_MS = 80;
+const PREFILL_PAUSE_FRACTION = 0.2;
+/** Shortest and longest pause: a few steps without prefill. */
+const MIN_PREFILL_PAUSE_MS = 30;
+const MAX_PREFILL_PAUSE_MS = 80;
 
-/** How far back the part of time that an engine reads is remembered, fading. */
-const READING_MEMORY_MS = 2_000;
+/** Time constant of the exponentially decaying share of time that an engine spends on prefill. */
+const PREFILL_SHARE_DECAY_MS = 2_000;
 
-/** One of this entry's attempts in flight at the endpoint. */
-export interface Share {
-  /** Tokens to be read before the first event; 0 after it. */
+/** The load of one of this entry's attempts in flight at the endpoint. */
+export interface AttemptLoad {
+  /** Tokens to prefill before the first event, 0 once it has arrived. */
   prefill: number;
-  /** Tokens that lie in the engine's memory until the end. */
+  /** Tokens that occupy the engine's memory until the attempt ends. */
   readonly tokens: number;
   readonly sentAt: Instant;
-  /** Whether nothing else was being read when it was sent. */
+  /**
+   * Whether the endpoint had no other prefill when the attempt was sent, so that its rate can be measured.
+   */
   readonly alone: boolean;
 }
 
-/** Totals over some attempts. */
-export interface Totals {
+/** Sums over several attempts. */
+export interface LoadTotals {
   prefill: number;
   requests: number;
   tokens: number;
 }
 
-/** One endpoint's running state. */
+/** The runtime state of one endpoint. */
 export class EndpointState {
   record: EndpointRecord;
   service: RoutedService | undefined;
   readonly health = new EndpointHealth();
-  readonly prefixes: PrefixMemory;
-  /** Told with its last answer. */
+  readonly prefixes: PrefixCacheModel;
+  /** The load that the endpoint reported with its last answer. */
   load: ToldLoad | undefined;
   loadAt: Instant | undefined;
-  /** When bytes last came from it. */
+  /** When the last bytes from the endpoint arrived. */
   heardAt: Instant | undefined;
   prefillRate = DEFAULT_PREFILL_RATE;
-  readonly own: Totals = { prefill: 0, requests: 0, tokens: 0 };
-  readonly peers: Totals = { prefill: 0, requests: 0, tokens: 0 };
+  readonly own: LoadTotals = { prefill: 0, requests: 0, tokens: 0 };
+  readonly peers: LoadTotals = { prefill: 0, requests: 0, tokens: 0 };
   #coldUntil: Instant;
-  /** After an evacuation, records up to this one do not tell whether it is cold. */
-  #doubtedSequence = -1;
-  readonly #shares = new Map<AttemptId, Share>();
-  /** Since when prompts are being read, `undefined` while none is. */
-  #readingSince: Instant | undefined;
-  #restUntil: Instant | undefined;
-  #readingPart = 0;
-  #readingPartAt: Instant | undefined;
+  /** After an evacuation, records up to this sequence number do not tell whether the endpoint is cold. */
+  #lastUntrustedSequence = -1;
+  readonly #attempts = new Map<AttemptId, AttemptLoad>();
+  /** When the current period of prefill began, `undefined` while nothing is being prefilled. */
+  #prefillSince: Instant | undefined;
+  #prefillPausedUntil: Instant | undefined;
+  #prefillShare = 0;
+  #prefillShareAt: Instant | undefined;
 
   constructor(
     record: EndpointRecord,
@@ -82,22 +87,25 @@
   ) {
     this.record = record;
     this.service = service;
-    this.prefixes = new PrefixMemory(service?.engine?.cacheTokens ?? 0);
+    this.prefixes = new PrefixCacheModel(service?.engine?.cacheTokens ?? 0);
     this.#coldUntil = after(now, record.coldFor);
   }
 
-  /** Takes a newer record. */
-  renew(record: EndpointRecord, now: Instant): void {
+  /** Replaces the record by a newer one of the same life. */
+  updateRecord(record: EndpointRecord, now: Instant): void {
     const newer = record.sequence > this.record.sequence;
     this.record = record;
-    if (newer && record.sequence > this.#doubtedSequence) {
+    if (newer && record.sequence > this.#lastUntrustedSequence) {
       this.#coldUntil = after(now, record.coldFor);
     }
   }
 
-  /** Its zone is taken back after an evacuation: it may have turned cold, whatever its last record said. */
+  /**
+   * Treats the endpoint as cold after the evacuation of its zone has ended: it may have become cold,
+   * whatever its last record said.
+   */
   markPossiblyCold(now: Instant): void {
-    this.#doubtedSequence = this.record.sequence + 1;
+    this.#lastUntrustedSequence = this.record.sequence + 1;
     const period = this.service?.coldPeriod ?? 0;
     this.#coldUntil = instant(
       Math.max(this.#coldUntil, after(now, period)),
@@ -112,7 +120,7 @@
     return this.service?.engine?.slots ?? this.record.slots;
   }
 
-  /** Requests there, by this entry's and its peers' count. */
+  /** Requests in flight at the endpoint, counted by this entry and its peers. */
   get requests(): number {
     return this.own.requests + this.peers.requests;
   }
@@ -125,108 +133,122 @@
     return this.own.tokens + this.peers.tokens;
   }
 
-  /** Whether its running streams have a moment without reading beside them. */
-  isResting(now: Instant): boolean {
-    return this.#restUntil !== undefined && now < this.#restUntil &&
+  /** Whether prefill is paused so that the running streams progress faster. */
+  isPrefillPaused(now: Instant): boolean {
+    return this.#prefillPausedUntil !== undefined &&
+      now < this.#prefillPausedUntil &&
       this.requests > 0;
   }
 
   /**
-   * Part of the last seconds in which prompts were read, 0 to 1. A step that reads takes ten times as
-   * long as one that does not, so this is what decides how fast the answers here go on.
+   * Share of the last seconds that the endpoint spent on prefill, from 0 to 1. A step with prefill takes
+   * much longer than one without (100 ms against 5 ms), so that this share decides how fast the endpoint's
+   * streams progress.
    */
-  readingPart(now: Instant): number {
-    const passed = now - (this.#readingPartAt ?? now);
-    const reading = this.#readingSince === undefined ? 0 : 1;
-    const kept = Math.exp(-passed / READING_MEMORY_MS);
-    return reading + (this.#readingPart - reading) * kept;
+  prefillShare(now: Instant): number {
+    const elapsed = now - (this.#prefillShareAt ?? now);
+    const current = this.#prefillSince === undefined ? 0 : 1;
+    const decay = Math.exp(-elapsed / PREFILL_SHARE_DECAY_MS);
+    return current + (this.#prefillShare - current) * decay;
   }
 
-  /** Milliseconds without reading until that part is down to `part`. */
-  timeToReadingPart(part: number, now: Instant): number {
-    const above = this.readingPart(now) / part;
-    return above <= 1 ? 0 : READING_MEMORY_MS * Math.log(above);
+  /** Milliseconds without prefill until the prefill share has fallen to `share`. */
+  timeUntilPrefillShare(share: number, now: Instant): number {
+    const ratio = this.prefillShare(now) / share;
+    return ratio <= 1 ? 0 : PREFILL_SHARE_DECAY_MS * Math.log(ratio);
   }
 
-  /** For how long it has been reading without a rest. */
-  readingFor(now: Instant): number {
-    return this.#readingSince === undefined ? 0 : now - this.#readingSince;
+  /** For how many milliseconds the endpoint has been prefilling without a pause. */
+  prefillDuration(now: Instant): number {
+    return this.#prefillSince === undefined ? 0 : now - this.#prefillSince;
   }
 
-  /** Counts a peer's work, or takes it off. */
-  countPeer(work: EndpointWork, sign: 1 | -1, now: Instant): void {
+  /** Adds (1) or subtracts (-1) the work that a peer reported. */
+  applyPeerWork(work: EndpointWork, sign: 1 | -1, now: Instant): void {
     this.peers.prefill += sign * work.prefill;
     this.peers.requests += sign * work.requests;
     this.peers.tokens += sign * work.tokens;
     if (sign > 0) {
-      this.#noteReading(now);
+      this.#updatePrefill(now);
     }
   }
 
-  /** An attempt goes there. */
+  /** Counts an attempt that is sent to the endpoint. */
   begin(
     attempt: AttemptId,
     { prefill, tokens }: { prefill: number; tokens: number },
     now: Instant,
   ): void {
     const alone = this.prefill === 0;
-    this.#shares.set(attempt, { prefill, tokens, sentAt: now, alone });
+    this.#attempts.set(attempt, { prefill, tokens, sentAt: now, alone });
     this.own.prefill += prefill;
     this.own.requests++;
     this.own.tokens += tokens;
-    this.#noteReading(now);
+    this.#updatePrefill(now);
   }
 
-  /** The attempt's first event came: its prompt has been read. */
+  /** Notes an attempt's first event, which shows that its prompt has been prefilled. */
   firstEvent(attempt: AttemptId, now: Instant): void {
-    const share = this.#shares.get(attempt);
-    if (share === undefined || share.prefill === 0) {
+    const attemptLoad = this.#attempts.get(attempt);
+    if (attemptLoad === undefined || attemptLoad.prefill === 0) {
       return;
     }
-    this.#measure(share, now);
-    this.own.prefill -= share.prefill;
-    share.prefill = 0;
-    this.#noteReading(now);
+    this.#measurePrefillRate(attemptLoad, now);
+    this.own.prefill -= attemptLoad.prefill;
+    attemptLoad.prefill = 0;
+    this.#updatePrefill(now);
   }
 
-  /** The attempt is over. */
+  /** Removes an attempt that has ended. */
   end(attempt: AttemptId, now: Instant): void {
-    const share = this.#shares.get(attempt);
-    if (share === undefined) {
+    const attemptLoad = this.#attempts.get(attempt);
+    if (attemptLoad === undefined) {
       return;
     }
-    this.#shares.delete(attempt);
-    this.own.prefill -= share.prefill;
+    this.#attempts.delete(attempt);
+    this.own.prefill -= attemptLoad.prefill;
     this.own.requests--;
-    this.own.tokens -= share.tokens;
-    this.#noteReading(now);
+    this.own.tokens -= attemptLoad.tokens;
+    this.#updatePrefill(now);
   }
 
-  /** This entry's work there, as told to peers. */
+  /** This entry's work at the endpoint, as reported to peers. */
   report(): EndpointWork {
     const { id, life } = this.record;
     return { endpoint: id, life, ...this.own };
   }
 
-  #noteReading(now: Instant): void {
-    this.#readingPart = this.readingPart(now);
-    this.#readingPartAt = now;
+  #updatePrefill(now: Instant): void {
+    this.#prefillShare = this.prefillShare(now);
+    this.#prefillShareAt = now;
     if (this.prefill > 0) {
-      this.#readingSince ??= now;
-    } else if (this.#readingSince !== undefined) {
-      const took = now - this.#readingSince;
-      this.#readingSince = undefined;
-      const rest = Math.max(LEAST_REST_MS, took * REST_PART);
-      this.#restUntil = after(now, Math.min(MOST_REST_MS, rest));
+      this.#prefillSince ??= now;
+    } else if (this.#prefillSince !== undefined) {
+      const elapsed = now - this.#prefillSince;
+      this.#prefillSince = undefined;
+      const pause = Math.max(
+        MIN_PREFILL_PAUSE_MS,
+        elapsed * PREFILL_PAUSE_FRACTION,
+      );
+      this.#prefillPausedUntil = after(
+        now,
+        Math.min(MAX_PREFILL_PAUSE_MS, pause),
+      );
     }
   }
 
-  #measure({ prefill, sentAt, alone }: Share, now: Instant): void {
-    const took = now - sentAt - FIRST_EVENT_OVERHEAD_MS;
-    if (!alone || prefill < MEASURABLE_TOKENS || took <= 0) {
+  #measurePrefillRate(
+    { prefill, sentAt, alone }: AttemptLoad,
+    now: Instant,
+  ): void {
+    const elapsed = now - sentAt - FIRST_EVENT_OVERHEAD_MS;
+    if (!alone || prefill < MIN_MEASURED_TOKENS || elapsed <= 0) {
       return;
     }
-    const rate = Math.min(MOST_RATE, Math.max(LEAST_RATE, prefill / took));
-    this.prefillRate += NEWEST_RATE_WEIGHT * (rate - this.prefillRate);
+    const rate = Math.min(
+      MAX_TOKENS_PER_MS,
+      Math.max(MIN_TOKENS_PER_MS, prefill / elapsed),
+    );
+    this.prefillRate += PREFILL_RATE_WEIGHT * (rate - this.prefillRate);
   }
 }
--- a/packages/core/src/gateway/endpoint_terms_link.ts
+++ b/packages/core/src/gateway/endpoint_terms_link.ts
@@ -1,5 +1,7 @@
 /**
- * What the terms of endpoints see of the entry: who issues permits, whom to tell.
+ * Connects the endpoint terms (limits, departures and rests that endpoints state in their answers) to this
+ * entry's view of the fleet and the catalogue: who coordinates an endpoint's terms, and which peers to
+ * tell.
  *
  * @module
  */
@@ -19,70 +21,70 @@
 } from "../ids/index.ts";
 import type { CatalogueView } from "./catalogue_view.ts";
 import type { GatewayEmit, GatewaySelf } from "./messages.ts";
-import { carriersOf } from "./serving_set.ts";
+import { minimumServingOf } from "./serving_set.ts";
 
-/** What the link is made of. */
-export interface EndpointTermsLink {
+/** The parts of the entry that the endpoint terms depend on. */
+export interface EndpointTermsSources {
   readonly self: GatewaySelf;
   readonly emit: GatewayEmit;
   readonly fleet: FleetController;
   readonly catalogue: CatalogueView;
 }
 
-/** Makes the terms of endpoints that an entry knows. */
+/** Creates the endpoint terms of an entry. */
 export function createEndpointTerms(
-  link: EndpointTermsLink,
+  sources: EndpointTermsSources,
   now: Instant,
 ): EndpointTerms {
   const log: TermsLog = (text, fields) =>
-    link.emit({ kind: "log", part: "endpoint", text, fields });
+    sources.emit({ kind: "log", part: "endpoint", text, fields });
   return {
-    limits: createLimits(link, log, now),
-    departures: createDepartures(link, log),
+    limits: createLimits(sources, log, now),
+    departures: createDepartures(sources, log),
     rests: new EndpointRests({ log }),
   };
 }
 
 function createLimits(
-  link: EndpointTermsLink,
+  sources: EndpointTermsSources,
   log: TermsLog,
   now: Instant,
 ): EndpointLimits {
-  const { self, fleet, catalogue } = link;
+  const { self, fleet, catalogue } = sources;
   return new EndpointLimits({
     incarnation: self.incarnation,
-    issuerOf: (endpoint) => coordinatorOf(endpoint, link),
-    peers: () => peersOf(link),
+    issuerOf: (endpoint) => coordinatorOf(endpoint, sources),
+    peers: () => peersOf(sources),
     heardPart: () => fleet.heardPartWithSelf(self.region),
     isPublished: (endpoint) => catalogue.endpoints.has(endpoint),
-    send: (to, message) => sendTo(link, to, { kind: "limits", message }),
+    send: (to, message) => sendTo(sources, to, { kind: "limits", message }),
     log,
   }, now);
 }
 
 function createDepartures(
-  link: EndpointTermsLink,
+  sources: EndpointTermsSources,
   log: TermsLog,
 ): EndpointDepartures {
-  const { self, catalogue } = link;
+  const { self, catalogue } = sources;
   return new EndpointDepartures({
     incarnation: self.incarnation,
-    announcerOf: (endpoint) => coordinatorOf(endpoint, link),
-    peers: () => peersOf(link),
+    announcerOf: (endpoint) => coordinatorOf(endpoint, sources),
+    peers: () => peersOf(sources),
     isPublished: (endpoint) => catalogue.endpoints.has(endpoint),
-    send: (to, message) => sendTo(link, to, { kind: "departures", message }),
+    send: (to, message) => sendTo(sources, to, { kind: "departures", message }),
     log,
   });
 }
 
 /** Other live entries of the region. */
-function peersOf({ self, fleet }: EndpointTermsLink): Incarnation[] {
+function peersOf({ self, fleet }: EndpointTermsSources): Incarnation[] {
   return fleet.live().filter(({ record }) => record.region === self.region)
     .map(({ record }) => record.incarnation);
 }
 
 function sendTo(
-  { fleet }: EndpointTermsLink,
+  { fleet }: EndpointTermsSources,
   to: Incarnation,
   message: Extract<FleetMessage, { kind: "limits" | "departures" }>,
 ): void {
@@ -92,17 +94,20 @@
   }
 }
 
-/** The entry that coordinates the terms of an endpoint, the same in all views that agree on who may be alive and stays. */
+/**
+ * The entry that coordinates the terms of an endpoint. Entries choose the same one if they agree on which
+ * entries may be alive and which of these are neither starting nor stopping.
+ */
 function coordinatorOf(
   endpoint: EndpointId,
-  { self, fleet }: EndpointTermsLink,
+  { self, fleet }: EndpointTermsSources,
 ): Incarnation {
-  const staying = carriersOf(self.region, fleet).filter(({ state }) =>
+  const candidates = minimumServingOf(self.region, fleet).filter(({ state }) =>
     state === "ready" || state === "outdated"
   );
   const [coordinator] = rendezvous(
     `terms ${endpoint}`,
-    staying,
+    candidates,
     ({ id }) => id,
   );
   return (coordinator ?? fleet.record).incarnation;
--- a/packages/core/src/gateway/entry_directory.ts
+++ b/packages/core/src/gateway/entry_directory.ts
@@ -1,5 +1,5 @@
 /**
- * The entries that a caller is told to use.
+ * Chooses the entries that a caller is told to use.
  *
  * @module
  */
@@ -19,36 +19,45 @@
 import type { RegionController } from "./region_controller.ts";
 import type { ServingSet } from "./serving_set.ts";
 
-/** Entries in one answer. A few serve a caller as well as all, and each may get a connection. */
-const MOST_ENTRIES = 4;
-/** Callers keep an answer so long, and some three times as long: short, since it steers. */
-const LIST_LIFETIME_MS = 1_000;
+/**
+ * Maximum number of entries in an answer. A few serve a caller as well as all, and each may get a
+ * connection.
+ */
+const MAX_ENTRIES = 4;
+/**
+ * Maximum time that callers keep an answer. Some keep it for three times as long, and steering only takes
+ * effect with new answers, so it is short.
+ */
+const MAX_LIST_LIFETIME_MS = 1_000;
 const UINT32_RANGE = 2 ** 32;
-/** The least that an entry counts for, whatever it says of itself. */
-const LEAST_WEIGHT = 0.01;
-/** Requests of a host, fading, from which on its present use is known. */
-const LEAST_TRAFFIC = 5;
-/** Part of a host's homed requests that may be named an entry outside of their homes. */
-const MOST_ASTRAY = 0.01;
-/** Part of a host's requests that its own region may pass on. */
-const MOST_PASSED_ON = 0.9;
+/** Minimum weight of an entry, whatever weight it states. */
+const MIN_WEIGHT = 0.01;
+/** Decaying count of a host's requests from which on its current traffic is considered known. */
+const MIN_TRAFFIC = 5;
+/**
+ * Maximum fraction of a host's requests on routes with home regions that may be sent to an entry outside
+ * of these regions.
+ */
+const MAX_MISDIRECTED_FRACTION = 0.01;
+/** Maximum fraction of a host's requests that the caller's own region may have to relay. */
+const MAX_RELAYED_FRACTION = 0.9;
 
-/** Who asks. */
+/** A caller's request for entries. */
 export interface DirectoryQuestion {
   readonly host: string;
   readonly region: RegionId;
   readonly zone: ZoneId;
-  /** Anything that stays the same for one caller. */
+  /** Any value that stays the same for one caller. */
   readonly caller: string;
 }
 
-/** What it is told. */
+/** The addresses that the caller is told to use. */
 export interface DirectoryAnswer {
   readonly addresses: readonly string[];
   readonly lifetime: Milliseconds;
 }
 
-/** What the directory reads. */
+/** What the directory depends on. */
 export interface DirectorySources {
   readonly self: GatewaySelf;
   readonly fleet: FleetController;
@@ -58,11 +67,11 @@
 }
 
 /**
- * Names entries to a caller, `undefined` where none is known to serve.
+ * Chooses entries for a caller, `undefined` if no entry is known to serve.
  *
- * Only entries that answer their peers are named. Callers are spread over regions by hash, so that a
- * caller stays where it is while the shares stay; and never outside of the homes of a host's routes
- * and the caller's own region.
+ * Only entries that answer their peers are chosen. Callers are spread over regions by hash, so that a
+ * caller stays in its region as long as the shares stay the same. A caller is sent only to its own region
+ * and to the home regions of the host's routes.
  */
 export function nameEntries(
   { self, fleet, catalogue, regions, serving }: DirectorySources,
@@ -80,24 +89,28 @@
   const shares = steered ? regions.shares : [];
   const region = pickRegion(question, { present, shares });
   const chosen = serving.of(region ?? question.region, now);
-  const near = chosen.filter(({ zone }) => zone === question.zone);
-  const named = pickEntries(near.length > 0 ? near : chosen, question.caller);
-  return named.length === 0 ? undefined : {
-    addresses: named.map(({ callerAddress }) => callerAddress),
+  const inZone = chosen.filter(({ zone }) => zone === question.zone);
+  const entries = pickEntries(
+    inZone.length > 0 ? inZone : chosen,
+    question.caller,
+  );
+  return entries.length === 0 ? undefined : {
+    addresses: entries.map(({ callerAddress }) => callerAddress),
     lifetime: milliseconds(
-      Math.min(LIST_LIFETIME_MS, self.bounds.listLifetime),
+      Math.min(MAX_LIST_LIFETIME_MS, self.bounds.listLifetime),
     ),
   };
 }
 
 /**
- * Regions whose entries may be named for a host.
+ * Regions whose entries a caller of a host may use.
  *
- * A host may carry routes with homes and routes without. A caller that is named an entry of a region
- * which is no home sends its homed requests there; only few may be. So a region counts by the part of
- * the host's present requests that have to stay elsewhere; before there are any, each route counts.
- * The caller's own region is always allowed, but for hosts whose requests nearly all belong elsewhere:
- * each would be passed on.
+ * A host may have routes with home regions and routes without. A caller that uses an entry outside of the
+ * home regions sends its requests on routes with home regions there too, and only few of these may be
+ * misdirected. So a region is judged by the part of the host's current requests that have to be served
+ * elsewhere; before there is traffic, each route counts the same. The caller's own region is always
+ * allowed, except for hosts whose requests nearly all belong elsewhere, since each of them would be
+ * relayed.
  */
 function allowedRegions(
   { catalogue, regions }: Pick<DirectorySources, "catalogue" | "regions">,
@@ -106,26 +119,26 @@
 ): (region: RegionId) => boolean {
   const routes = catalogue.table?.ofHost(host) ?? [];
   const weights = routes.map(({ name }) => regions.traffic.of(name, now));
-  const seen = weights.some((weight) => weight >= LEAST_TRAFFIC);
-  const weightOf = (index: number): number => seen ? weights[index]! : 1;
-  const sumOf = (counts: (route: Route) => boolean): number =>
+  const hasTraffic = weights.some((weight) => weight >= MIN_TRAFFIC);
+  const weightOf = (index: number): number => hasTraffic ? weights[index]! : 1;
+  const sumOf = (includes: (route: Route) => boolean): number =>
     routes.reduce(
-      (sum, route, index) => counts(route) ? sum + weightOf(index) : sum,
+      (sum, route, index) => includes(route) ? sum + weightOf(index) : sum,
       0,
     );
-  const all = sumOf(() => true);
-  const homed = sumOf(({ homes }) => homes.length > 0);
+  const total = sumOf(() => true);
+  const withHomes = sumOf(({ homes }) => homes.length > 0);
   return (region) => {
-    const astray = sumOf((route) => !mayServe(route, region));
+    const misdirected = sumOf((route) => !mayServe(route, region));
     return region === own
-      ? astray <= all * MOST_PASSED_ON
-      : astray <= homed * MOST_ASTRAY;
+      ? misdirected <= total * MAX_RELAYED_FRACTION
+      : misdirected <= withHomes * MAX_MISDIRECTED_FRACTION;
   };
 }
 
 /**
- * Whether a host's requests go to engines. What plain services do takes less time than the way to
- * another region and back, and they have room.
+ * Whether a host's requests go to engines. Requests to plain services take less time than the way to
+ * another region and back, and plain services have spare capacity.
  */
 function hasEngines(
   { table, document }: CatalogueView,
@@ -138,7 +151,10 @@
   );
 }
 
-/** The caller's place between 0 and 1 decides: the shares' regions first, then its own. */
+/**
+ * Picks a region by the caller's hash between 0 and 1: the steering shares take the first part of that
+ * range, the caller's own region the rest.
+ */
 function pickRegion(
   question: DirectoryQuestion,
   { present, shares }: {
@@ -146,16 +162,16 @@
     shares: readonly { readonly region: RegionId; readonly share: number }[];
   },
 ): RegionId | undefined {
-  let place = hash32(`region ${question.caller}`) / UINT32_RANGE;
+  let position = hash32(`region ${question.caller}`) / UINT32_RANGE;
   const sorted = [...shares].sort((left, right) =>
     left.region < right.region ? -1 : 1
   );
   for (const { region, share } of sorted) {
     if (present.includes(region)) {
-      if (place < share) {
+      if (position < share) {
         return region;
       }
-      place -= share;
+      position -= share;
     }
   }
   if (present.includes(question.region)) {
@@ -165,14 +181,14 @@
   return [...present].sort()[index];
 }
 
-/** A few entries for this caller, the stronger ones more often (weighted rendezvous hashing). */
+/** Picks a few entries for a caller, heavier ones more often (weighted rendezvous hashing). */
 function pickEntries(
   records: readonly FleetRecord[],
   caller: string,
 ): FleetRecord[] {
   const ordered = weightedRendezvous(caller, records, {
     nameOf: ({ incarnation }) => incarnation,
-    weightOf: ({ weight }) => Math.max(weight, LEAST_WEIGHT),
+    weightOf: ({ weight }) => Math.max(weight, MIN_WEIGHT),
   });
-  return ordered.slice(0, MOST_ENTRIES);
+  return ordered.slice(0, MAX_ENTRIES);
 }
--- a/packages/core/src/gateway/local_places.ts
+++ b/packages/core/src/gateway/local_places.ts
@@ -1,5 +1,5 @@
 /**
- * A place for a request among the endpoints of the own region.
+ * Finds a place for a request among the endpoints of this entry's region.
  *
  * @module
  */
@@ -17,30 +17,41 @@
 import type { EndpointRegistry } from "./endpoint_registry.ts";
 import type { EndpointState } from "./endpoint_state.ts";
 import type { GatewaySelf } from "./messages.ts";
-import { findHolder, place, type Placement, type Work } from "./placement.ts";
-import { carriersOf } from "./serving_set.ts";
+import {
+  chooseEndpoint,
+  findHolder,
+  type Placement,
+  type PlacementRequest,
+} from "./placement.ts";
+import { minimumServingOf } from "./serving_set.ts";
 
 const MS_PER_SECOND = 1_000;
-/** Entries that choose in the same moment see the same picture; this much sets them apart. */
-const BIAS_MS = 15;
+/**
+ * Maximum difference in cost between entries. Entries that choose at the same moment see the same state,
+ * and the bias makes them choose different endpoints.
+ */
+const MAX_BIAS_MS = 15;
 const UINT32_RANGE = 2 ** 32;
 
-/** A chosen endpoint. */
+/** A placement with a chosen endpoint. */
 export type Chosen = Extract<Placement, { kind: "chosen" }>;
 
 /** Why a request has to wait. */
 export type WaitReason =
   | "busy"
-  /** The region's endpoints take no more than the limits that they stated. */
+  /** The region's endpoints are at the limits that they stated. */
   | "limited"
-  /** The region's endpoints want nothing for a while. */
+  /** The region's endpoints have asked for a time without requests. */
   | "resting";
 
-/** What waits already where a request looks for a way. */
+/** What is queued ahead of a request. */
 export interface Ahead {
-  /** Milliseconds until what goes first will have been read. */
+  /** Milliseconds until the requests ahead will have been prefilled. */
   readonly wait: number;
-  /** Turns of the region's entries until a request's own, where endpoints take a limited rate. */
+  /**
+   * Turns until this request's own, which the region's entries take one by one at endpoints with a rate
+   * limit.
+   */
   readonly turns: number;
 }
 
@@ -53,7 +64,7 @@
     readonly reason: WaitReason;
   };
 
-/** What places are found by. */
+/** What `LocalPlaces` depends on. */
 export interface PlaceSources {
   readonly self: GatewaySelf;
   readonly fleet: FleetController;
@@ -62,7 +73,7 @@
   readonly terms: EndpointTerms;
 }
 
-/** Finds places. */
+/** Finds places for requests in this region. */
 export class LocalPlaces {
   readonly #sources: PlaceSources;
 
@@ -72,10 +83,10 @@
 
   readonly #biasOf = ({ record }: EndpointState): number => {
     const { incarnation } = this.#sources.self;
-    return BIAS_MS * hash32(`${incarnation} ${record.id}`) / UINT32_RANGE;
+    return MAX_BIAS_MS * hash32(`${incarnation} ${record.id}`) / UINT32_RANGE;
   };
 
-  /** The best place of a request, or why it has to wait for one. */
+  /** Finds the best place for a request, or the reason why it has to wait. */
   find(
     call: Call,
     { ahead, now }: { ahead: Ahead; now: Instant },
@@ -88,59 +99,66 @@
         endpoints.accepts(state, now) && this.coldAllows(state, now) &&
         !call.avoidedVersions.has(state.record.softwareVersion)
       );
-      const fresh = untried(call, usable);
+      const untriedStates = untried(call, usable);
       const holder = findHolder(prompt, usable);
       call.unread = (prompt?.promptTokens ?? 0) - (holder?.tokens ?? 0);
-      const work = {
+      const request = {
         prompt,
         holder,
         zone: self.zone,
         urgent: call.rank === 0,
         biasOf: this.#biasOf,
       };
-      const found = this.#placeWithin(work, fresh, { ahead, now });
+      const found = this.#placeWithinLimits(request, untriedStates, {
+        ahead,
+        now,
+      });
       if (found.kind === "chosen") {
         return found;
       }
       busy = busy.kind === "none" ? found : busy;
     }
-    return busy.kind === "none" ? this.#firstBack(call, now) : busy;
+    return busy.kind === "none" ? this.#earliestBackoffEnd(call, now) : busy;
   }
 
-  /** Where all endpoints of the region rest, the one that is the first to take requests again. */
-  #firstBack({ services }: Call, now: Instant): LocalPlace {
+  /**
+   * If all endpoints of the region have asked for a time without requests, waits for the first to accept
+   * them again.
+   */
+  #earliestBackoffEnd({ services }: Call, now: Instant): LocalPlace {
     const { endpoints } = this.#sources;
     const waits = services.flatMap((service) => endpoints.of(service))
       .filter((state) => endpoints.isOpen(state))
       .map((state) => endpoints.restOf(state, now));
-    const allRest = waits.length > 0 && waits.every((wait) => wait > 0);
-    return !allRest ? { kind: "none" } : {
+    const allBackedOff = waits.length > 0 && waits.every((wait) => wait > 0);
+    return !allBackedOff ? { kind: "none" } : {
       kind: "busy",
       wait: milliseconds(Math.min(...waits)),
       reason: "resting",
     };
   }
 
-  /** A place within the limits that endpoints stated. */
-  #placeWithin(
-    work: Work,
+  /** Finds a place within the limits that endpoints stated. */
+  #placeWithinLimits(
+    request: PlacementRequest,
     states: readonly EndpointState[],
     { ahead, now }: { ahead: Ahead; now: Instant },
   ): LocalPlace {
     const { limits } = this.#sources.terms;
-    const best = place(work, states, now);
+    const best = chooseEndpoint(request, states, now);
     if (
       best.kind !== "chosen" || limits.allows(best.state.record, now)
     ) {
       return best.kind === "busy" ? { ...best, reason: "busy" } : best;
     }
-    const free = states.filter(({ record }) => limits.isFree(record, now));
-    // Permits are asked for where they will be used; only where nothing else is left any will do.
-    const allowed = free.length > 0
-      ? free
+    const permitted = states.filter(({ record }) => limits.isFree(record, now));
+    // `allows` asks for a permit, which should only be done for the endpoint that will use it. The other
+    // endpoints are asked only if none is usable without a new permit.
+    const allowed = permitted.length > 0
+      ? permitted
       : states.filter(({ record }) => limits.allows(record, now));
     if (allowed.length > 0) {
-      const found = place(work, allowed, now);
+      const found = chooseEndpoint(request, allowed, now);
       return found.kind === "busy" ? { ...found, reason: "busy" } : found;
     }
     const perSecond = states.reduce(
@@ -151,7 +169,7 @@
     return { kind: "busy", wait: milliseconds(wait), reason: "limited" };
   }
 
-  /** Whether an endpoint, if it is cold, may get a request of this entry. */
+  /** Whether this entry may send a request to an endpoint, which is limited while the endpoint is cold. */
   coldAllows(state: EndpointState, now: Instant): boolean {
     if (!state.isCold(now)) {
       return true;
@@ -159,30 +177,33 @@
     const { self, cold } = this.#sources;
     return cold.allows(state, {
       self: self.incarnation,
-      region: this.#carriers(),
+      candidates: this.#minimumServing(),
     }, now);
   }
 
   /**
-   * Entries of the region that carry at any load, by all that may be alive: one that stands by has no
-   * requests for the endpoints it tends.
+   * Entries of the region that serve callers at any load, chosen from all that may be alive. A standby
+   * entry would have no requests for a cold endpoint that it is responsible for.
    */
-  #carriers(): Incarnation[] {
+  #minimumServing(): Incarnation[] {
     const { self, fleet } = this.#sources;
-    return carriersOf(self.region, fleet).map(({ incarnation }) => incarnation);
+    return minimumServingOf(self.region, fleet).map(({ incarnation }) =>
+      incarnation
+    );
   }
 }
 
 /**
- * Endpoints that a request was not at yet. Where there are none, those that could not be reached: one
- * that answers again takes it, and without this the request that tests it is refused for having tried.
+ * Endpoints that have not been tried for the request. If there are none, returns those that could not be
+ * reached: one that is back can take the request. Without this, the trial request of a suspected endpoint
+ * would be refused because it has tried that endpoint before.
  */
 function untried(
   { tried, unreached }: Call,
   states: readonly EndpointState[],
 ): readonly EndpointState[] {
-  const fresh = states.filter(({ record }) => !tried.has(record.id));
-  return fresh.length > 0
-    ? fresh
+  const untriedStates = states.filter(({ record }) => !tried.has(record.id));
+  return untriedStates.length > 0
+    ? untriedStates
     : states.filter(({ record }) => unreached.has(record.id));
 }
--- a/packages/core/src/gateway/placement.ts
+++ b/packages/core/src/gateway/placement.ts
@@ -1,5 +1,5 @@
 /**
- * Which endpoint of the region a request goes to, and whether it goes now.
+ * Chooses the endpoint of the region for a request, and whether the request is sent now.
  *
  * @module
  */
@@ -13,84 +13,90 @@
 import type { Prompt } from "./messages.ts";
 
 /**
- * Longest time that an engine may have to read prompts before it gets another one. Every step of an
- * engine that reads takes up to a hundred milliseconds, and an event of a stream is several steps: a
- * longer backlog would make each stream on the engine pause for longer than its objective.
+ * Maximum time of prefill that an engine has pending when it gets another prompt. A step with prefill
+ * takes up to 100 ms and a stream's event takes several steps: with a longer backlog every stream on the
+ * engine would pause for longer than its objective.
  */
-export const READ_AHEAD_MS = 260;
+export const MAX_PREFILL_BACKLOG_MS = 260;
 /**
- * Longest time that an engine may read without a rest. An event of a stream is several steps of its
- * engine: with a rest within each of them no pause exceeds half a second, without one it is as long as
- * the steps that read.
+ * Maximum time that an engine prefills without a pause. A stream's event takes several steps of its
+ * engine: with a pause within each event no gap exceeds half a second, without one the gap lasts as long
+ * as the prefill.
  */
-const READ_STRETCH_MS = 420;
+const MAX_PREFILL_STRETCH_MS = 420;
 /**
- * Part of its time that an engine may read long prompts of all but the first rank. Beyond it answers
- * come so slowly that they run out of time: on an engine that reads nine tenths of the time an event of
- * nine tokens takes a fifth of a second. One notices by callers who leave while events still come.
- * Seven tenths earned most in a modelled peak with the largest region evacuated: 0.851 of the worth and
- * 0.740 in the worst seconds, 0.836 and 0.691 without a limit.
+ * Maximum share of time that an engine may spend on prefill before long prompts of all ranks but the first
+ * have to wait. Beyond it answers come so slowly that they time out: on an engine that prefills nine
+ * tenths of the time, an event of nine tokens takes a fifth of a second. The symptom is callers that leave
+ * while events still arrive. In a simulated peak with the largest region evacuated 0.7 earned most: 0.851
+ * of the total request value and 0.740 in the worst seconds, against 0.836 and 0.691 without a limit.
  */
-const MOST_READING_PART = 0.7;
-/** Short prompts fit between the long ones. */
+const MAX_PREFILL_SHARE = 0.7;
+/** Prompts up to this length are short: they fit between the long ones. */
 const SHORT_PROMPT_TOKENS = 1_500;
-const SHORT_PROMPT_EXTRA_MS = 120;
-/** Part of an engine's memory that running requests may take: beyond it the engine preempts. */
-const MEMORY_PART = 0.9;
-/** Places of an engine left free for what other entries send at the same moment. */
+const SHORT_PROMPT_EXTRA_BACKLOG_MS = 120;
+/** Maximum fraction of an engine's memory for running requests. Beyond it the engine preempts. */
+const MAX_MEMORY_FRACTION = 0.9;
+/** Slots of an engine that are left free for requests that other entries send at the same moment. */
 const SPARE_SLOTS = 2;
-/** A plain endpoint queues this many times its slots at the most. */
-const PLAIN_QUEUE_FACTOR = 1.5;
-/** Reading a prompt costs the requests behind it too, so that a cached prefix counts more than a wait. */
-const READ_WEIGHT = 1.4;
-/** Cost of one more request in an engine's batch, in milliseconds. */
+/** Maximum number of requests at a plain endpoint, as a multiple of its slots. */
+const PLAIN_ENDPOINT_QUEUE_FACTOR = 1.5;
+/**
+ * Prefill also delays the requests behind it, so that a cached prefix counts more than a wait of the same
+ * length.
+ */
+const PREFILL_COST_WEIGHT = 1.4;
+/** Cost of one more request in an engine's batch. */
 const BATCH_COST_MS = 0.4;
-/** Cost of an endpoint all of whose last answers were failures, in milliseconds. */
+/** Cost of an endpoint whose recent answers were all failures. */
 const FAILURE_COST_MS = 1_500;
-/** Cost of another availability zone: bytes between zones are charged. */
-const OTHER_ZONE_COST_MS = 60;
+/** Cost of an endpoint in another availability zone: traffic between zones is charged. */
+const CROSS_ZONE_COST_MS = 60;
 
-/** A fetched prefix saves at least so much reading, or it is not worth its transfer. */
+/** Minimum number of tokens that fetching a prefix has to save to be worth the transfer. */
 export const LEAST_FETCH_TOKENS = 1_024;
-/** Time that a fetch takes before reading goes on. */
+/** Time that a fetch takes before prefill continues. */
 const FETCH_COST_MS = 12;
 
-/** What a request asks of an endpoint. */
-export interface Work {
+/** What a request needs from an endpoint. */
+export interface PlacementRequest {
   readonly prompt: Prompt | undefined;
   readonly zone: ZoneId;
-  /** Of the first rank: it goes before what is protected from reading. */
+  /** Whether the request has the first rank, which is exempt from `MAX_PREFILL_SHARE`. */
   readonly urgent: boolean;
-  /** A small cost of the entry's own, so that entries that choose at once choose differently. */
+  /**
+   * Small cost that differs by entry, so that entries that choose at the same moment choose different
+   * endpoints.
+   */
   readonly biasOf: (state: EndpointState) => number;
-  /** The endpoint that has most of the prompt's prefix, of those that others can fetch from. */
+  /** The endpoint with the longest cached prefix of the prompt, among those that others can fetch from. */
   readonly holder: PrefixHolder | undefined;
 }
 
-/** An endpoint with part of a prompt in its cache. */
+/** An endpoint that has part of a prompt cached. */
 export interface PrefixHolder {
   readonly state: EndpointState;
   readonly tokens: number;
 }
 
-/** The outcome of a choice. */
+/** The result of a choice. */
 export type Placement =
   | {
     readonly kind: "chosen";
     readonly state: EndpointState;
-    /** Prompt tokens that it will have to read. */
+    /** Prompt tokens that the endpoint will have to prefill. */
     readonly prefill: number;
     readonly tokens: number;
-    /** Where it fetches part of the prefix from. */
+    /** The endpoint to fetch part of the prefix from. */
     readonly fetchFrom: EndpointState | undefined;
   }
-  /** All are busy; a place may come free after this time. */
+  /** All endpoints are busy. A place may become free after `wait`. */
   | { readonly kind: "busy"; readonly wait: Milliseconds }
   | { readonly kind: "none" };
 
-/** Chooses among endpoints that accept new work. */
-export function place(
-  work: Work,
+/** Chooses the cheapest of the endpoints that accept new work. */
+export function chooseEndpoint(
+  request: PlacementRequest,
   candidates: readonly EndpointState[],
   now: Instant,
 ): Placement {
@@ -98,14 +104,14 @@
   let bestCost = Infinity;
   let wait = Infinity;
   for (const state of candidates) {
-    const { prefill, fetchFrom } = readingAt(work, state);
-    const tokens = memoryTokens(work.prompt);
-    const need = { prefill, tokens, urgent: work.urgent };
-    if (!fits(state, need, now)) {
+    const { prefill, fetchFrom } = prefillAt(request, state);
+    const tokens = memoryTokens(request.prompt);
+    const need = { prefill, tokens, urgent: request.urgent };
+    if (!hasCapacity(state, need, now)) {
       wait = Math.min(wait, waitAt(state, now));
       continue;
     }
-    const cost = costAt(state, prefill, work) + work.biasOf(state) +
+    const cost = costAt(state, prefill, request) + request.biasOf(state) +
       (fetchFrom === undefined ? 0 : FETCH_COST_MS);
     if (cost < bestCost) {
       bestCost = cost;
@@ -117,7 +123,9 @@
     : best;
 }
 
-/** The endpoint that has most of a prompt's shared parts. */
+/**
+ * Finds the endpoint with the longest cached prefix of a prompt, among those that others can fetch from.
+ */
 export function findHolder(
   prompt: Prompt | undefined,
   states: readonly EndpointState[],
@@ -129,7 +137,7 @@
   const parts = sharedParts(prompt);
   for (const state of states) {
     const tokens = state.service?.engine?.fetches === true
-      ? state.prefixes.cached(parts)
+      ? state.prefixes.cachedTokens(parts)
       : 0;
     if (tokens > (best?.tokens ?? 0)) {
       best = { state, tokens };
@@ -138,32 +146,35 @@
   return best;
 }
 
-/** What an endpoint would have to read of a prompt, and where it would fetch the rest from. */
-function readingAt(
-  { prompt, holder }: Work,
+/**
+ * The tokens of a prompt that an endpoint would have to prefill, and the endpoint it would fetch a prefix
+ * from.
+ */
+function prefillAt(
+  { prompt, holder }: PlacementRequest,
   state: EndpointState,
 ): { prefill: number; fetchFrom: EndpointState | undefined } {
   if (prompt === undefined || state.service?.engine === undefined) {
     return { prefill: 0, fetchFrom: undefined };
   }
-  const cached = state.prefixes.cached(sharedParts(prompt));
-  const fetched = holder === undefined || holder.state === state
+  const cached = state.prefixes.cachedTokens(sharedParts(prompt));
+  const saved = holder === undefined || holder.state === state
     ? 0
     : holder.tokens - cached;
-  const worth = fetched >= LEAST_FETCH_TOKENS;
-  const kept = worth ? holder!.tokens : cached;
+  const isWorthFetching = saved >= LEAST_FETCH_TOKENS;
+  const available = isWorthFetching ? holder!.tokens : cached;
   return {
-    prefill: Math.max(0, prompt.promptTokens - kept),
-    fetchFrom: worth ? holder!.state : undefined,
+    prefill: Math.max(0, prompt.promptTokens - available),
+    fetchFrom: isWorthFetching ? holder!.state : undefined,
   };
 }
 
-/** Parts of a prompt that other requests have too. */
+/** The leading parts of a prompt, which other requests may share. */
 export function sharedParts(prompt: Prompt): Prompt["parts"] {
   return prompt.parts.slice(0, -1);
 }
 
-/** Whether a prompt is read so fast that it fits between the long ones. */
+/** Whether a prompt is short enough to fit between the long ones. */
 export function isShort(prompt: Prompt | undefined): boolean {
   return prompt !== undefined && prompt.promptTokens <= SHORT_PROMPT_TOKENS;
 }
@@ -172,7 +183,7 @@
   return prompt === undefined ? 0 : prompt.promptTokens + prompt.outputTokens;
 }
 
-function fits(
+function hasCapacity(
   state: EndpointState,
   { prefill, tokens, urgent }: {
     prefill: number;
@@ -183,40 +194,56 @@
 ): boolean {
   const engine = state.service?.engine;
   if (engine === undefined) {
-    return state.requests < state.slots * PLAIN_QUEUE_FACTOR;
+    return state.requests < state.slots * PLAIN_ENDPOINT_QUEUE_FACTOR;
   }
   if (state.requests >= engine.slots - SPARE_SLOTS) {
     return false;
   }
-  const empty = state.requests === 0;
-  if (!empty && state.tokens + tokens > engine.cacheTokens * MEMORY_PART) {
+  const idle = state.requests === 0;
+  if (
+    !idle && state.tokens + tokens > engine.cacheTokens * MAX_MEMORY_FRACTION
+  ) {
     return false;
   }
   const short = prefill <= SHORT_PROMPT_TOKENS;
-  const stretch = state.readingFor(now) +
+  const stretch = state.prefillDuration(now) +
     (state.prefill + prefill) / state.prefillRate;
-  const disturbs = state.prefill > 0 && stretch > READ_STRETCH_MS;
-  const starves = !empty && !urgent &&
-    state.readingPart(now) > MOST_READING_PART;
-  if (!short && (disturbs || starves || state.isResting(now))) {
+  const exceedsStretch = state.prefill > 0 && stretch > MAX_PREFILL_STRETCH_MS;
+  const exceedsShare = !idle && !urgent &&
+    state.prefillShare(now) > MAX_PREFILL_SHARE;
+  if (
+    !short && (exceedsStretch || exceedsShare || state.isPrefillPaused(now))
+  ) {
     return false;
   }
-  const extra = short ? SHORT_PROMPT_EXTRA_MS : 0;
-  const limit = (READ_AHEAD_MS + extra) * state.prefillRate;
+  const extra = short ? SHORT_PROMPT_EXTRA_BACKLOG_MS : 0;
+  const limit = (MAX_PREFILL_BACKLOG_MS + extra) * state.prefillRate;
   return state.prefill === 0 || state.prefill + prefill <= limit;
 }
 
-function costAt(state: EndpointState, prefill: number, work: Work): number {
-  const reading = (state.prefill + prefill * READ_WEIGHT) / state.prefillRate;
-  const crowd = state.service?.engine === undefined
-    ? (state.requests / Math.max(1, state.slots)) * OTHER_ZONE_COST_MS
+function costAt(
+  state: EndpointState,
+  prefill: number,
+  request: PlacementRequest,
+): number {
+  const prefillCost = (state.prefill + prefill * PREFILL_COST_WEIGHT) /
+    state.prefillRate;
+  const concurrencyCost = state.service?.engine === undefined
+    ? (state.requests / Math.max(1, state.slots)) * CROSS_ZONE_COST_MS
     : state.requests * BATCH_COST_MS;
-  const away = state.record.zone === work.zone ? 0 : OTHER_ZONE_COST_MS;
-  return reading + crowd + away + state.health.failureRate * FAILURE_COST_MS;
+  const zoneCost = state.record.zone === request.zone ? 0 : CROSS_ZONE_COST_MS;
+  return prefillCost + concurrencyCost + zoneCost +
+    state.health.failureRate * FAILURE_COST_MS;
 }
 
-/** Until what is read there has been read, and it has read little enough of late to read on. */
+/**
+ * Time until the endpoint's pending prefill is done and its prefill share is low enough for more, at least
+ * one millisecond.
+ */
 function waitAt(state: EndpointState, now: Instant): number {
-  const reading = state.prefill / state.prefillRate;
-  return Math.max(1, reading + state.timeToReadingPart(MOST_READING_PART, now));
+  const prefillTime = state.prefill / state.prefillRate;
+  return Math.max(
+    1,
+    prefillTime + state.timeUntilPrefillShare(MAX_PREFILL_SHARE, now),
+  );
 }
--- a/packages/core/src/gateway/prefix_memory.ts
+++ b/packages/core/src/gateway/prefix_memory.ts
@@ -1,26 +1,29 @@
 /**
- * Which prompt prefixes an engine is thought to have in its cache.
+ * Models which prompt prefixes an engine has in its cache.
  *
  * @module
  */
 import type { PromptPart } from "../fleet/index.ts";
 
-/** Part of an engine's memory that prefixes are counted on to keep: running requests need the rest. */
-const KEPT_PART = 0.5;
+/** Fraction of an engine's memory that is assumed to hold prefixes, as running requests need the rest. */
+const CACHED_PREFIX_FRACTION = 0.5;
 
-/** Remembers shared parts, the least recently used ones leave first. */
-export class PrefixMemory {
+/** Remembers the shared prompt parts of an engine and evicts the least recently used ones first. */
+export class PrefixCacheModel {
   readonly #limit: number;
-  /** Tokens by part, in order of last use. */
+  /** Tokens by part, least recently used first. */
   readonly #parts = new Map<string, number>();
   #tokens = 0;
 
   constructor(cacheTokens: number) {
-    this.#limit = cacheTokens * KEPT_PART;
+    this.#limit = cacheTokens * CACHED_PREFIX_FRACTION;
   }
 
-  /** Tokens of the leading parts that are thought to be cached: a later part helps only after them. */
-  cached(parts: readonly PromptPart[]): number {
+  /**
+   * Tokens of the leading parts that are presumably cached. A part is only useful if all parts before it
+   * are cached.
+   */
+  cachedTokens(parts: readonly PromptPart[]): number {
     let tokens = 0;
     for (const part of parts) {
       if (!this.#parts.has(part.id)) {
@@ -31,7 +34,7 @@
     return tokens;
   }
 
-  /** Notes that the engine reads these parts. */
+  /** Records that the engine prefills these parts. */
   use(parts: readonly PromptPart[]): void {
     for (const { id, tokens } of parts) {
       this.#tokens += tokens - (this.#parts.get(id) ?? 0);
--- a/packages/core/src/gateway/prompt_cost.ts
+++ b/packages/core/src/gateway/prompt_cost.ts
@@ -1,48 +1,49 @@
 /**
- * What a request costs an engine, estimated from what its caller says of it.
+ * Estimates what a request costs an engine, from the lengths that its caller states.
  *
  * @module
  */
 import type { Prompt } from "./messages.ts";
 
-/** Prompt tokens that an engine reads in a millisecond, until it was measured. */
+/** Prompt tokens that an engine prefills per millisecond, assumed until the rate is measured. */
 export const DEFAULT_PREFILL_RATE = 35;
 /**
- * Time that one more token of an answer adds to its engine's steps, in milliseconds: one more slot and
- * its context in each step. From the engines' sheets.
+ * Time that one more answer token adds to its engine's steps, in milliseconds: one more slot and its
+ * context in each step. Taken from the engines' data sheets.
  */
 const OUTPUT_TOKEN_MS = 0.15;
 /**
- * Part of the longest answer that a caller allows for, where it does not say what it expects. The limit
- * is one figure for a kind of request, and answers are a third of it in the middle.
+ * Typical answer length as a fraction of the caller's limit, for callers that state no expected length.
+ * The limit is one figure for a whole kind of request, and answers have about a third of it in the median.
  */
-const TYPICAL_OUTPUT_PART = 0.35;
+const TYPICAL_OUTPUT_FRACTION = 0.35;
 
-/** Tokens that the answer will probably have. */
-export function expectedOutput(
+/** The number of tokens that the answer will probably have. */
+export function expectedOutputTokens(
   { outputTokens, outputHint }: Pick<Prompt, "outputTokens" | "outputHint">,
 ): number {
   return Math.min(
     outputTokens,
-    outputHint ?? outputTokens * TYPICAL_OUTPUT_PART,
+    outputHint ?? outputTokens * TYPICAL_OUTPUT_FRACTION,
   );
 }
 
 /**
- * Time of one engine that a request takes, in milliseconds, where `readPart` of a prompt has to be read.
+ * Engine time that a request takes, in milliseconds, if `prefillFraction` of its prompt has to be
+ * prefilled.
  *
- * Counted with the longest answer allowed in place of the expected one, work came out three times too
- * high: every region looked too busy to take another's requests while its engines were idle.
+ * Estimated with the longest allowed answer instead of the expected one, work was three times too high:
+ * every region looked too busy to take another region's requests while its engines were idle.
  */
-export function engineWork(prompt: Prompt, readPart: number): number {
-  return readingTime(prompt, readPart) +
-    expectedOutput(prompt) * OUTPUT_TOKEN_MS;
+export function engineWorkMs(prompt: Prompt, prefillFraction: number): number {
+  return readingTime(prompt, prefillFraction) +
+    expectedOutputTokens(prompt) * OUTPUT_TOKEN_MS;
 }
 
-/** Time that an engine reads for a prompt, in milliseconds, where `readPart` of it has to be read. */
+/** Time to prefill `prefillFraction` of a prompt, in milliseconds. */
 export function readingTime(
   { promptTokens }: Pick<Prompt, "promptTokens">,
-  readPart: number,
+  prefillFraction: number,
 ): number {
-  return promptTokens * readPart / DEFAULT_PREFILL_RATE;
+  return promptTokens * prefillFraction / DEFAULT_PREFILL_RATE;
 }
--- a/packages/core/src/gateway/region_controller.ts
+++ b/packages/core/src/gateway/region_controller.ts
@@ -1,5 +1,5 @@
 /**
- * The load of this region as it is told to others, and where this region's callers are sent.
+ * Summarizes this region's load for other regions, and decides where this region's callers are sent.
  *
  * @module
  */
@@ -23,32 +23,32 @@
 import type { EndpointRegistry } from "./endpoint_registry.ts";
 import type { EndpointState } from "./endpoint_state.ts";
 import type { Prompt } from "./messages.ts";
-import { engineWork } from "./prompt_cost.ts";
+import { engineWorkMs } from "./prompt_cost.ts";
 import { RouteTraffic } from "./route_traffic.ts";
 import { chooseShares, type RegionLoad, smoothShares } from "./steering.ts";
 
-/** Between two decisions where callers are sent: twice as often as figures from other regions come. */
-const DECIDE_PERIOD_MS = 250;
+/** Time between two steering decisions: half of the time between the summaries of other regions. */
+const STEERING_PERIOD_MS = 250;
 const MS_PER_SECOND = 1_000;
-/** Work of a call to a plain service, in endpoint milliseconds. */
-const PLAIN_WORK_MS = 50;
-/** Part of a prompt that is read, until it was measured, and the weight of the newest measurement. */
-const FIRST_READ_PART = 0.6;
-const NEWEST_READ_WEIGHT = 0.02;
+/** Work of a request to a plain service, in endpoint milliseconds. */
+const PLAIN_REQUEST_WORK_MS = 50;
+/** Initial fraction of a prompt that has to be prefilled, and the weight of the newest measurement. */
+const INITIAL_PREFILL_FRACTION = 0.6;
+const PREFILL_FRACTION_WEIGHT = 0.02;
 
 /**
- * Part of the highest rate of requests that is still counted on after a decision's period: half is
- * forgotten in five seconds. A rate that falls for a moment must not send callers elsewhere and back.
+ * Fraction of the highest request rate that is retained after each steering period, so that it halves in
+ * five seconds. A rate that drops for a moment must not send callers elsewhere and back.
  */
-const RATE_KEPT = 0.966;
+const PEAK_RATE_RETENTION = 0.966;
 
-/** What is known of one other region. */
+/** What is known about one other region. */
 export interface RegionView {
   readonly region: RegionId;
   readonly load: ServiceLoad | undefined;
 }
 
-/** Writes the region's summary and shares. */
+/** Maintains the region's load summary and its steering shares. */
 export class RegionController {
   readonly arrivals = new ArrivalMeter();
   readonly #requests = new ArrivalMeter();
@@ -57,7 +57,7 @@
   readonly #catalogue: CatalogueView;
   readonly #endpoints: EndpointRegistry;
   readonly #limitOf: (record: EndpointRecord) => number | undefined;
-  #readPart = FIRST_READ_PART;
+  #prefillFraction = INITIAL_PREFILL_FRACTION;
   #shares: RegionShare[] = [];
   #requestRate = 0;
   #nextDecisionAt: Instant;
@@ -67,7 +67,7 @@
       region: RegionId;
       catalogue: CatalogueView;
       endpoints: EndpointRegistry;
-      /** Requests a second that an endpoint takes, `undefined` where it states no limit. */
+      /** Requests per second that an endpoint accepts, `undefined` if it states no limit. */
       limitOf: (record: EndpointRecord) => number | undefined;
       now: Instant;
     },
@@ -79,7 +79,7 @@
     this.#nextDecisionAt = now;
   }
 
-  /** Where this region's callers are sent. */
+  /** The shares of this region's callers that are sent to other regions. */
   get shares(): readonly RegionShare[] {
     return this.#shares;
   }
@@ -88,10 +88,10 @@
     if (now < this.#nextDecisionAt) {
       return;
     }
-    this.#nextDecisionAt = after(now, DECIDE_PERIOD_MS);
+    this.#nextDecisionAt = after(now, STEERING_PERIOD_MS);
     this.#requestRate = Math.max(
       sumRequests(this.summary(now)),
-      this.#requestRate * RATE_KEPT,
+      this.#requestRate * PEAK_RATE_RETENTION,
     );
     const regions = this.#engineLoads(fleet, now);
     this.#shares = smoothShares(
@@ -100,7 +100,7 @@
     );
   }
 
-  /** A request arrived here. */
+  /** Counts a request that arrived at this entry. */
   noteArrival(
     service: ServiceId,
     prompt: Prompt | undefined,
@@ -110,7 +110,10 @@
     this.#requests.add(service, 1, now);
   }
 
-  /** A request that arrived at `arrivedAt` was passed on to another region: its work is that region's. */
+  /**
+   * Removes the work of a request that arrived at `arrivedAt` and was relayed: it counts for the other
+   * region.
+   */
   noteRelayed(
     service: ServiceId,
     prompt: Prompt | undefined,
@@ -119,7 +122,7 @@
     this.arrivals.takeOff(service, this.#workOf(prompt), arrivedAt, now);
   }
 
-  /** The other region turned it away: its work is this region's again. */
+  /** Counts the work of a relayed request here again, because the other region declined it. */
   noteDeclined(
     service: ServiceId,
     prompt: Prompt | undefined,
@@ -128,18 +131,19 @@
     this.arrivals.add(service, this.#workOf(prompt), now);
   }
 
-  /** Part of a prompt that engines have to read: the rest is cached. */
+  /** Average fraction of a prompt that engines have to prefill, as the rest is cached. */
   get readPart(): number {
-    return this.#readPart;
+    return this.#prefillFraction;
   }
 
-  /** Notes what an engine had to read of a prompt. */
+  /** Records how much of a prompt an engine had to prefill. */
   noteReading(prefill: number, promptTokens: number): void {
     const part = prefill / Math.max(1, promptTokens);
-    this.#readPart += NEWEST_READ_WEIGHT * (part - this.#readPart);
+    this.#prefillFraction += PREFILL_FRACTION_WEIGHT *
+      (part - this.#prefillFraction);
   }
 
-  /** The own region, as told to others. */
+  /** The summary of this region that is sent to other regions. */
   summary(now: Instant): RegionSummary {
     const services = this.#catalogue.document?.services.keys() ?? [];
     return {
@@ -150,7 +154,7 @@
     };
   }
 
-  /** The own region's load for one service: this entry's part and what its peers told. */
+  /** This region's load for one service, from this entry's own figures and its peers' reports. */
   load(service: ServiceId, now: Instant): ServiceLoad {
     const usable = this.#endpoints.of(service).filter((state) =>
       this.#endpoints.accepts(state, now)
@@ -158,23 +162,26 @@
     let work = this.arrivals.lastSecond(service, now);
     let requests = this.#requests.lastSecond(service, now);
     for (const { report } of this.#endpoints.reports()) {
-      const told = report.arrivals.find((item) => item.service === service);
-      work += told?.work ?? 0;
-      requests += told?.requests ?? 0;
+      const reported = report.arrivals.find((item) => item.service === service);
+      work += reported?.work ?? 0;
+      requests += reported?.requests ?? 0;
     }
     const backlog = usable.reduce(
       (sum, state) => sum + state.prefill / state.prefillRate,
       0,
     );
-    const mean = requests === 0 ? 0 : work / requests;
-    const inUse = usable.reduce(
-      (sum, state) => sum + this.#partInUse(state, mean),
+    const meanWork = requests === 0 ? 0 : work / requests;
+    const usableEndpoints = usable.reduce(
+      (sum, state) => sum + this.#usableFraction(state, meanWork),
       0,
     );
     return {
       service,
-      // None at all would keep other regions from what limits leave.
-      endpoints: Math.min(usable.length, Math.max(1, Math.round(inUse))),
+      // With 0 endpoints, other regions could not use the capacity that the limits leave.
+      endpoints: Math.min(
+        usable.length,
+        Math.max(1, Math.round(usableEndpoints)),
+      ),
       work: Math.round(work),
       requests,
       backlog: milliseconds(
@@ -183,13 +190,15 @@
     };
   }
 
-  /** Part of an endpoint that its stated limit leaves, for requests of so many milliseconds of work. */
-  #partInUse({ record }: EndpointState, work: number): number {
+  /**
+   * Fraction of an endpoint that its stated limit makes usable, for requests of `work` milliseconds each.
+   */
+  #usableFraction({ record }: EndpointState, work: number): number {
     const limit = this.#limitOf(record);
     return limit === undefined ? 1 : Math.min(1, limit * work / MS_PER_SECOND);
   }
 
-  /** Requests a second that the entries of a region get together, as far as is known. */
+  /** Requests per second that all entries of a region receive together, as far as is known. */
   requestRate(region: RegionId, fleet: FleetController, now: Instant): number {
     if (region === this.#region) {
       return this.#requestRate;
@@ -200,7 +209,7 @@
     return summary === undefined ? 0 : sumRequests(summary);
   }
 
-  /** This entry's arrivals, as told to its region. */
+  /** This entry's arrivals, as reported to its peers in the region. */
   report(now: Instant): ServiceArrivals[] {
     return [...this.arrivals.services()].map((service) => ({
       service,
@@ -209,7 +218,7 @@
     })).filter(({ work }) => work > 0);
   }
 
-  /** Other regions that can be reached and have endpoints for a service. */
+  /** Reachable other regions, with their load for a service. */
   others(
     service: ServiceId,
     fleet: FleetController,
@@ -229,11 +238,11 @@
 
   #workOf(prompt: Prompt | undefined): number {
     return prompt === undefined
-      ? PLAIN_WORK_MS
-      : engineWork(prompt, this.#readPart);
+      ? PLAIN_REQUEST_WORK_MS
+      : engineWorkMs(prompt, this.#prefillFraction);
   }
 
-  /** Regions by the load of their engines: these are what is scarce. */
+  /** Load of the regions' engines only, since engines are the scarce capacity. */
   #engineLoads(fleet: FleetController, now: Instant): RegionLoad[] {
     const services = [...this.#catalogue.document?.services.values() ?? []]
       .filter(({ engine }) => engine !== undefined)
--- a/packages/core/src/gateway/serving_set.ts
+++ b/packages/core/src/gateway/serving_set.ts
@@ -1,14 +1,14 @@
 /**
- * Which entries of a zone carry its callers, and which stand by.
+ * Chooses which entries of a zone serve its callers and which stand by.
  *
- * Each entry that carries sends to every engine of its region and hears of the others' work late. Where
- * 65 entries of a region carry two requests a second each, none knows its engines: short answers pause
- * beside prompts that several entries gave one engine at once, and a connection or a prefix is seldom
- * used again. A few entries carry the same load with knowledge as exact as that of a small fleet, and the
- * others cost next to nothing until they are needed.
+ * Each serving entry sends to every engine of its region and hears of the other entries' work with a
+ * delay. If 65 entries of a region handle two requests per second each, none of them knows the state of
+ * its engines: short answers pause beside prompts that several entries gave one engine at once, and a
+ * connection or a prefix is seldom reused. A few entries carry the same load with the accurate knowledge
+ * of a small fleet, and the others cost next to nothing until they are needed.
  *
- * Nobody appoints them. Every entry orders the ready ones of a zone in the same way, by strength and then
- * by a hash of their name, and takes as many from the top as the zone's requests need. An entry that
+ * There is no coordinator. Every entry orders the ready entries of a zone in the same way, by weight and
+ * then by a hash of their id, and takes as many from the top as the zone's requests need. An entry that
  * falls silent drops out of all views and the next one moves up.
  *
  * @module
@@ -25,58 +25,59 @@
 import type { RegionController } from "./region_controller.ts";
 
 /**
- * Entries of a zone that carry at any load: callers go on with the others when one ends, and what is lost
- * with it is a small part. Modelled before sixty entries of a region, 0.818 of the worth was earned with
- * all named and 0.860 with six a zone; four a zone earned as much as six, 0.856 and 0.845.
+ * Minimum number of serving entries in a zone, at any load: if one ends, its callers continue with the
+ * others and only a small part of the requests is lost. In a simulation with sixty entries per region,
+ * 0.818 of the total request value was earned if all served and 0.860 with six per zone; four per zone
+ * earned as much as six (0.856 and 0.845).
  */
-export const LEAST_SERVING = 4;
+export const MIN_SERVING_PER_ZONE = 4;
 /**
- * Requests a second that an entry carries for each processor core it has: half a core, at the 8 ms that a
- * streamed request of forty events took on one, so that a burst or the loss of a zone finds room until
- * others are named. Other values were not tried.
+ * Requests per second that a serving entry is planned to handle per processor core. This is half a core,
+ * at the 8 ms of one core that a streamed request with forty events took, so that a burst or the loss of a
+ * zone fits until more entries serve. No other values were tried.
  */
 const REQUESTS_PER_CORE = 60;
-/** A zone's callers may be more than its part of the region's. */
-const ZONE_PART = 1.5;
-/** The choice is made again this often: whom callers are named may lag by as much. */
-const CHOICE_LIFETIME_MS = 100;
+/** Margin for a zone that has more than its equal share of the region's callers. */
+const ZONE_LOAD_MARGIN = 1.5;
+/** The selection is renewed this often, so that the list of entries given to callers may lag by as much. */
+const SELECTION_LIFETIME_MS = 100;
 
-/** What the choice is made from. */
+/** What `ServingSet` depends on. */
 export interface ServingSources {
   readonly self: Pick<GatewaySelf, "region">;
   readonly fleet: FleetController;
   readonly regions: RegionController;
 }
 
-interface Choice {
+interface Selection {
   readonly at: Instant;
   readonly records: readonly FleetRecord[];
   readonly incarnations: ReadonlySet<Incarnation>;
 }
 
-/** The entries that carry, by region. */
+/** Selects and caches the serving entries of each region. */
 export class ServingSet {
   readonly #sources: ServingSources;
-  readonly #choices = new Map<RegionId, Choice>();
+  readonly #selections = new Map<RegionId, Selection>();
 
   constructor(sources: ServingSources) {
     this.#sources = sources;
   }
 
-  /** Those of a region, this one included where it is one of them. */
+  /** The serving entries of a region, which may include this one. */
   of(region: RegionId, now: Instant): readonly FleetRecord[] {
-    return this.#choice(region, now).records;
+    return this.#select(region, now).records;
   }
 
-  /** Whether an entry of a region is one of them. */
+  /** Whether an entry is one of its region's serving entries. */
   has({ region, incarnation }: FleetRecord, now: Instant): boolean {
-    return this.#choice(region, now).incarnations.has(incarnation);
+    return this.#select(region, now).incarnations.has(incarnation);
   }
 
-  #choice(region: RegionId, now: Instant): Choice {
-    const known = this.#choices.get(region);
-    if (known !== undefined && now - known.at < CHOICE_LIFETIME_MS) {
-      return known;
+  #select(region: RegionId, now: Instant): Selection {
+    const cached = this.#selections.get(region);
+    if (cached !== undefined && now - cached.at < SELECTION_LIFETIME_MS) {
+      return cached;
     }
     const { fleet, regions } = this.#sources;
     const ready = takersOf(region, fleet);
@@ -87,13 +88,16 @@
     const incarnations = new Set(
       records.map(({ incarnation }) => incarnation),
     );
-    const choice = { at: now, records, incarnations };
-    this.#choices.set(region, choice);
-    return choice;
+    const selection = { at: now, records, incarnations };
+    this.#selections.set(region, selection);
+    return selection;
   }
 }
 
-/** The entries that carry in each zone, of a region's ready ones that get `requests` a second together. */
+/**
+ * The serving entries of each zone, out of a region's ready entries that receive `requests` per second
+ * together.
+ */
 export function servingByZone(
   ready: readonly FleetRecord[],
   requests: number,
@@ -105,37 +109,38 @@
     zones.set(record.zone, list);
   }
   return [...zones.values()].flatMap((records) =>
-    servingOf(records, ZONE_PART * requests / zones.size)
+    servingInZone(records, ZONE_LOAD_MARGIN * requests / zones.size)
   );
 }
 
-/** Those of one zone that get `requests` a second, in order of rank. */
-export function servingOf(
+/** The serving entries of one zone that receives `requests` per second, in order of rank. */
+export function servingInZone(
   ready: readonly FleetRecord[],
   requests: number,
 ): FleetRecord[] {
-  const wanted = requests / REQUESTS_PER_CORE;
-  let strength = 0;
+  const requiredWeight = requests / REQUESTS_PER_CORE;
+  let selectedWeight = 0;
   return ranked(ready).filter(({ weight }, index) => {
-    const needed = index < LEAST_SERVING || strength < wanted;
-    strength += weight;
+    const needed = index < MIN_SERVING_PER_ZONE ||
+      selectedWeight < requiredWeight;
+    selectedWeight += weight;
     return needed;
   });
 }
 
-/** Entries of the own region that carry at any load, by all that may be alive. */
-export function carriersOf(
+/** Entries of a region that serve callers at any load, chosen from all that may be alive. */
+export function minimumServingOf(
   region: RegionId,
   fleet: FleetController,
 ): FleetRecord[] {
-  const possible = [
+  const candidates = [
     fleet.record,
     ...fleet.possible().map(({ record }) => record),
   ].filter((record) => record.region === region);
-  return servingByZone(possible, 0);
+  return servingByZone(candidates, 0);
 }
 
-/** Entries of a region that take requests: those that hold what is current, or else those that do not. */
+/** Entries of a region that accept requests: the ready ones, or the outdated ones if none is ready. */
 export function takersOf(
   region: RegionId,
   fleet: FleetController,
@@ -148,12 +153,15 @@
     : present.filter(({ state }) => state === "outdated");
 }
 
-/** The strong first; a name keeps its place over restarts. */
+/**
+ * Orders entries by weight, heaviest first, and then by a hash of the id, so that a restart does not move
+ * an entry.
+ */
 export function ranked(records: readonly FleetRecord[]): FleetRecord[] {
   return records
-    .map((record) => ({ record, place: hash32(`serving ${record.id}`) }))
+    .map((record) => ({ record, tieBreak: hash32(`serving ${record.id}`) }))
     .sort((left, right) =>
-      right.record.weight - left.record.weight || left.place - right.place
+      right.record.weight - left.record.weight || left.tieBreak - right.tieBreak
     )
     .map(({ record }) => record);
 }
--- a/packages/core/src/gateway/steering.ts
+++ b/packages/core/src/gateway/steering.ts
@@ -1,39 +1,41 @@
 /**
- * To which regions' entries callers are sent, so that no region drowns while others rest.
+ * Decides which share of a region's callers is sent to other regions, so that no region is overloaded
+ * while others idle.
  *
  * @module
  */
 import type { RegionShare } from "../fleet/index.ts";
 import type { RegionId } from "../ids/index.ts";
 
-/** Below this part of its capacity a region keeps all of its callers: the way is longer elsewhere. */
-export const KEEP_UTILIZATION = 0.35;
-/** Rounds of the estimate of demand; it converges within a few. */
-const ESTIMATE_ROUNDS = 12;
+/** Below this utilization a region keeps all of its callers, because other regions are farther away. */
+export const MIN_STEERING_UTILIZATION = 0.35;
+/** Iterations of the demand estimate, which converges within a few. */
+const DEMAND_ITERATIONS = 12;
 /**
- * Weight of the newest shares. Demand is solved for with the shares in force, so that little damping
- * keeps them from swinging; with 0.5 a region that was back kept sending its callers away for seconds.
+ * Weight of the newest shares. Demand is solved for with the shares in force, so that little damping is
+ * enough to prevent oscillation. With 0.5 a recovered region kept sending its callers away for seconds.
  */
-const NEWEST_SHARE_WEIGHT = 0.9;
-/** Smaller shares are not worth a caller's new connections. */
-const LEAST_SHARE = 0.02;
+const SHARE_SMOOTHING_WEIGHT = 0.9;
+/** Smaller shares are not worth the new connections of the callers. */
+const MIN_SHARE = 0.02;
 
-/** One region's capacity and load, in endpoint milliseconds a second. */
+/** Capacity and load of one region, in endpoint milliseconds per second. */
 export interface RegionLoad {
   readonly region: RegionId;
   readonly capacity: number;
-  /** Work that arrived there, of its own callers and of those sent there. */
+  /** Work that arrived in the region, from its own callers and from those sent there. */
   readonly arrivals: number;
-  /** Where its own callers are sent at present. */
+  /** Where the region's own callers are sent at present. */
   readonly shares: readonly RegionShare[];
 }
 
 /**
- * Work that the callers of each region ask for, wherever they were sent.
+ * Estimates the work that the callers of each region demand, wherever they were sent.
  *
- * What arrives in a region depends on where all regions send their callers. Acting on arrivals alone
- * swings: a region that sends half of its callers away looks idle and calls them back. So the demand is
- * solved for: arrivals = sum over regions of their demand times the share sent there.
+ * What arrives in a region depends on where all regions send their callers, and acting on arrivals alone
+ * oscillates: a region that sends half of its callers away looks idle and calls them back. So the demand
+ * is solved for: a region's arrivals are the sum of all regions' demand times the share that each sends
+ * there.
  */
 export function estimateDemand(
   regions: readonly RegionLoad[],
@@ -41,57 +43,63 @@
   const demand = new Map(
     regions.map(({ region, arrivals }) => [region, arrivals]),
   );
-  for (let round = 0; round < ESTIMATE_ROUNDS; round++) {
+  for (let round = 0; round < DEMAND_ITERATIONS; round++) {
     for (const { region, arrivals, shares } of regions) {
-      const foreign = regions.reduce(
+      const steeredHere = regions.reduce(
         (sum, other) =>
           other.region === region
             ? sum
             : sum + demand.get(other.region)! * shareOf(other.shares, region),
         0,
       );
-      const kept = Math.max(0.1, 1 - total(shares));
-      demand.set(region, Math.max(0, arrivals - foreign) / kept);
+      const keptShare = Math.max(0.1, 1 - total(shares));
+      demand.set(region, Math.max(0, arrivals - steeredHere) / keptShare);
     }
   }
   return demand;
 }
 
-/** Shares of a region's callers that should go to each other region. */
+/** The shares of a region's callers that should be sent to each other region. */
 export function chooseShares(
   own: RegionId,
   regions: readonly RegionLoad[],
 ): RegionShare[] {
   const demand = estimateDemand(regions);
   const capacity = regions.reduce((sum, region) => sum + region.capacity, 0);
-  const wanted = [...demand.values()].reduce((sum, work) => sum + work, 0);
+  const totalDemand = [...demand.values()].reduce((sum, work) => sum + work, 0);
   if (capacity === 0) {
     return [];
   }
-  const level = Math.max(KEEP_UTILIZATION, wanted / capacity);
+  const targetUtilization = Math.max(
+    MIN_STEERING_UTILIZATION,
+    totalDemand / capacity,
+  );
   const self = regions.find(({ region }) => region === own);
   const ownDemand = demand.get(own) ?? 0;
-  const excess = ownDemand - level * (self?.capacity ?? 0);
+  const excess = ownDemand - targetUtilization * (self?.capacity ?? 0);
   const cannotServe = (self?.capacity ?? 0) === 0;
   if (excess <= 0 && !cannotServe) {
     return [];
   }
-  const away = cannotServe ? 1 : excess / ownDemand;
+  const awayShare = cannotServe ? 1 : excess / ownDemand;
   const spare = regions.filter(({ region }) => region !== own).map((
     { region, capacity },
   ) => ({
     region,
-    room: Math.max(0, level * capacity - demand.get(region)!),
+    spareCapacity: Math.max(
+      0,
+      targetUtilization * capacity - demand.get(region)!,
+    ),
   }));
-  const room = spare.reduce((sum, item) => sum + item.room, 0);
-  return room === 0 ? [] : spare
+  const totalSpare = spare.reduce((sum, item) => sum + item.spareCapacity, 0);
+  return totalSpare === 0 ? [] : spare
     .map((item) => ({
       region: item.region,
-      share: away * item.room / room,
+      share: awayShare * item.spareCapacity / totalSpare,
     }));
 }
 
-/** Moves from the shares in force towards the wanted ones. */
+/** Moves from the current shares towards the wanted ones, and drops shares that are too small. */
 export function smoothShares(
   current: readonly RegionShare[],
   wanted: readonly RegionShare[],
@@ -102,16 +110,16 @@
   return [...regions]
     .map((region) => {
       const before = shareOf(current, region);
-      const goal = shareOf(wanted, region);
+      const target = shareOf(wanted, region);
       return {
         region,
-        share: before + NEWEST_SHARE_WEIGHT * (goal - before),
+        share: before + SHARE_SMOOTHING_WEIGHT * (target - before),
       };
     })
-    .filter(({ share }) => share >= LEAST_SHARE);
+    .filter(({ share }) => share >= MIN_SHARE);
 }
 
-/** Share sent to a region. */
+/** The share sent to a region, 0 if there is none. */
 export function shareOf(
   shares: readonly RegionShare[],
   region: RegionId,
--- a/packages/core/src/gateway/subject_region.ts
+++ b/packages/core/src/gateway/subject_region.ts
@@ -1,32 +1,34 @@
 /**
- * Which region reads a prompt's subject for all.
+ * Chooses the region that prefills a prompt's subject, the last part of the prompt that other requests
+ * share, for all regions.
  *
- * Callers are spread over regions by who they are, so each region came to read the shared part of every
- * subject: a fifth of all shared tokens were read again within seconds of another region's reading. One
- * notices by prompt tokens read that far exceed what is new. So a subject that the own region does not
- * keep is read in one region, the same in all entries' views, by the engines that each region has. In a
- * modelled moving peak engines read 8% less and found a third more kept (0.985 and 0.989 of the worth), in
- * an evacuated one reviews earned 0.738 in place of 0.715.
+ * Callers are spread over regions by identity, so that each region used to prefill the shared part of
+ * every subject: a fifth of all shared tokens were prefilled again within seconds of another region's
+ * prefill. The symptom is a number of prefilled tokens far above that of new tokens. So a subject that is
+ * not cached in the entry's own region is prefilled in one region, which is the same in the views of all
+ * entries, with subjects distributed by each region's number of engines. In a simulated moving peak
+ * engines prefilled 8% less and found a third more cached, earning 0.989 of the total request value in
+ * place of 0.985; in a simulated evacuation reviews earned 0.738 in place of 0.715.
  *
  * @module
  */
 import { type RegionId, weightedRendezvous } from "../ids/index.ts";
 
-/** A region that may read it. */
+/** A region that could prefill a subject. */
 export interface SubjectRegion {
   readonly region: RegionId;
-  /** Engines that take new work. */
+  /** Engines that accept new work. */
   readonly engines: number;
-  /** Part of its capacity that is asked for. */
+  /** Demand as a fraction of the region's capacity. */
   readonly utilization: number;
 }
 
-/** Below this a region takes a subject's requests whatever the own one has to do. */
-const CALM_UTILIZATION = 0.5;
-/** It may be so much busier than the own one: a read that is saved is worth some wait. */
-const MOST_BUSIER = 0.15;
+/** Below this utilization a region takes a subject's requests, however busy the requests' own region is. */
+const LOW_UTILIZATION = 0.5;
+/** How much busier than the requests' own region it may be: a saved prefill is worth some wait. */
+const MAX_UTILIZATION_EXCESS = 0.15;
 
-/** The region to pass a request on to, `undefined` where it stays. */
+/** The region to relay a request to, `undefined` if it stays in its own region. */
 export function subjectRegion(
   subject: string,
   own: SubjectRegion,
@@ -40,6 +42,9 @@
   if (best === undefined || best.region === own.region) {
     return undefined;
   }
-  const most = Math.max(CALM_UTILIZATION, own.utilization + MOST_BUSIER);
-  return best.utilization < most ? best.region : undefined;
+  const maxUtilization = Math.max(
+    LOW_UTILIZATION,
+    own.utilization + MAX_UTILIZATION_EXCESS,
+  );
+  return best.utilization < maxUtilization ? best.region : undefined;
 }
--- a/packages/core/src/gateway/work_reporter.ts
+++ b/packages/core/src/gateway/work_reporter.ts
@@ -1,6 +1,6 @@
 /**
- * Tells the region's other entries what this one has in flight, so that their choices of an engine are
- * made from one picture.
+ * Reports this entry's work in flight to the region's other entries, so that all choose engines based on
+ * the same state.
  *
  * @module
  */
@@ -18,22 +18,25 @@
 import type { ServingSet } from "./serving_set.ts";
 
 /**
- * Between two reports of what changed. Entries that hear of each other's prompts only after a while
- * send theirs to the same engine, and every stream on it pauses for all of them.
+ * Time between two reports of changes. Entries that hear of each other's prompts too late send theirs to
+ * the same engine, and every stream on it pauses for all of these prompts.
  */
 const CHANGE_INTERVAL_MS = 20;
-/** Between two whole reports to the own zone: repairs what a lost datagram left wrong. */
-const WHOLE_INTERVAL_MS = 500;
-/** Every so many whole reports one goes to the region's other zones too. */
-const WHOLES_TO_REGION = 2;
-/** Prefixes in one report: keeps a datagram small. */
-const MOST_PREFIXES = 8;
-/** Empty whole reports after the last work: one reaches each zone, and what is lost runs out by itself. */
-const EMPTY_WHOLES = 2;
-/** Prefixes that other zones were not told yet, in one report. */
-const MOST_FAR_PREFIXES = 24;
-/** Fewer prompt tokens than this make no stream pause. */
-const LEAST_CHANGE_TOKENS = 1_000;
+/** Time between two full reports to the own zone, which repair what a lost datagram left wrong. */
+const FULL_REPORT_INTERVAL_MS = 500;
+/** One of this many full reports also goes to the region's other zones. */
+const FULL_REPORTS_PER_REGION_REPORT = 2;
+/** Maximum number of prefixes in one report, to keep the datagram small. */
+const MAX_PREFIXES = 8;
+/**
+ * Empty full reports after the last work: one of them reaches every zone, and if it is lost the work
+ * expires by itself.
+ */
+const MAX_EMPTY_REPORTS = 2;
+/** Maximum number of deferred prefixes in one report to other zones. */
+const MAX_DEFERRED_PREFIXES = 24;
+/** Smaller changes of prefill tokens are not reported at once, since they make no stream pause. */
+const MIN_CHANGE_TOKENS = 1_000;
 
 /** What reports are made from. */
 export interface ReporterSources {
@@ -42,36 +45,38 @@
   readonly endpoints: EndpointRegistry;
   readonly regions: RegionController;
   readonly serving: ServingSet;
-  /** Of the published picture. */
+  /** Hash of the published catalogue as this entry holds it. */
   readonly picture: () => number;
 }
 
 /**
  * Sends work reports.
  *
- * Entries choose engines of their own zone as long as it has any, so the other zones hardly ever act on
- * what happens here. While they were told of each prompt, reports were 418,000 of the 436,000 datagrams
- * of 91 entries in 40 s, and bytes between zones over twice as many. They are told what concerns their
- * own engines, and the rest once a second.
+ * Entries choose engines in their own zone as long as it has any, so that other zones rarely act on what
+ * happens here. When other zones were told of each prompt, reports were 418,000 of the 436,000 datagrams
+ * that 91 entries sent in 40 s, and traffic between zones was more than doubled. Now other zones are told
+ * at once only of changes at their own engines, and of the rest once a second.
  */
 export class WorkReporter {
   readonly #sources: ReporterSources;
   readonly #zones: ReadonlySet<ZoneId>;
-  readonly #told = new Map<EndpointId, EndpointWork>();
-  #wholeAt: Instant | undefined;
-  #changeAt: Instant | undefined;
-  #wholes = 0;
-  /** Whole reports in a row that told of no work. */
-  #emptyWholes = 0;
+  readonly #lastReported = new Map<EndpointId, EndpointWork>();
+  #fullReportAt: Instant | undefined;
+  #changeReportAt: Instant | undefined;
+  #fullReports = 0;
+  /** Consecutive full reports without any work. */
+  #emptyReports = 0;
   #prefixes: PrefixNews[] = [];
-  /** Told to the own zone, and not yet to the others. */
-  #farPrefixes: PrefixNews[] = [];
+  /** Prefixes that were reported to the own zone but not yet to the others. */
+  #deferredPrefixes: PrefixNews[] = [];
 
   constructor(sources: ReporterSources) {
     const { region, regionByZone } = sources.self;
     this.#sources = sources;
     this.#zones = new Set(
-      [...regionByZone].filter(([, of]) => of === region).map(([zone]) => zone),
+      [...regionByZone].filter(([, zoneRegion]) => zoneRegion === region).map((
+        [zone],
+      ) => zone),
     );
   }
 
@@ -80,33 +85,39 @@
     this.#prefixes.push(...prefixes);
     if (!fleet.live().some(({ record }) => record.region === self.region)) {
       this.#prefixes = [];
-      this.#farPrefixes = [];
+      this.#deferredPrefixes = [];
       return;
     }
-    if (now - (this.#wholeAt ?? -Infinity) >= WHOLE_INTERVAL_MS) {
-      this.#wholeAt = now;
-      this.#tellAll(now);
-    } else if (now - (this.#changeAt ?? -Infinity) >= CHANGE_INTERVAL_MS) {
-      this.#tellChanges(now);
+    if (now - (this.#fullReportAt ?? -Infinity) >= FULL_REPORT_INTERVAL_MS) {
+      this.#fullReportAt = now;
+      this.#reportAll(now);
+    } else if (
+      now - (this.#changeReportAt ?? -Infinity) >= CHANGE_INTERVAL_MS
+    ) {
+      this.#reportChanges(now);
     }
   }
 
   /**
-   * Tells all, unless there has been nothing to tell for a while: no report means the same. 89 entries
-   * that rest sent 4,000 datagrams a second to say so, half of all processor time until the first request.
+   * Sends a full report, unless there has been nothing to report for a while: no report means the same. 89
+   * idle entries used to send 4,000 empty reports per second, half of all processor time before the first
+   * request.
    */
-  #tellAll(now: Instant): void {
-    this.#emptyWholes = this.#hasWork(now) ? 0 : this.#emptyWholes + 1;
-    if (this.#emptyWholes > EMPTY_WHOLES) {
+  #reportAll(now: Instant): void {
+    this.#emptyReports = this.#hasWork(now) ? 0 : this.#emptyReports + 1;
+    if (this.#emptyReports > MAX_EMPTY_REPORTS) {
       return;
     }
-    this.#told.clear();
+    this.#lastReported.clear();
     const endpoints = [...this.#sources.endpoints.all()]
       .filter(({ own }) => own.requests > 0)
       .map((state) => state.report());
-    const everywhere = this.#wholes++ % WHOLES_TO_REGION === 0;
-    const zones = everywhere ? this.#zones : this.#concerned([]);
-    this.#tell({ partial: false, endpoints, zones, everyone: everywhere }, now);
+    const toRegion = this.#fullReports++ % FULL_REPORTS_PER_REGION_REPORT === 0;
+    const zones = toRegion ? this.#zones : this.#affectedZones([]);
+    this.#send(
+      { partial: false, endpoints, zones, includeStandby: toRegion },
+      now,
+    );
   }
 
   #hasWork(now: Instant): boolean {
@@ -115,82 +126,95 @@
     return busy || this.#prefixes.length > 0 || regions.report(now).length > 0;
   }
 
-  #tellChanges(now: Instant): void {
+  #reportChanges(now: Instant): void {
     const changed = [...this.#sources.endpoints.all()].filter((state) =>
-      this.#isNews(state.report())
+      this.#hasPrefillChanged(state.report())
     );
     if (changed.length > 0) {
-      this.#changeAt = now;
-      this.#emptyWholes = 0;
-      const zones = this.#concerned(changed.map(({ record }) => record.zone));
+      this.#changeReportAt = now;
+      this.#emptyReports = 0;
+      const zones = this.#affectedZones(
+        changed.map(({ record }) => record.zone),
+      );
       const endpoints = changed.map((state) => state.report());
-      this.#tell({ partial: true, endpoints, zones, everyone: false }, now);
+      this.#send(
+        { partial: true, endpoints, zones, includeStandby: false },
+        now,
+      );
     }
   }
 
-  /** Prompts that are read matter at once; the rest is told with the next whole report. */
-  #isNews({ endpoint, prefill }: EndpointWork): boolean {
-    const told = this.#told.get(endpoint)?.prefill ?? 0;
-    return Math.abs(prefill - told) >= LEAST_CHANGE_TOKENS ||
-      (prefill === 0) !== (told === 0) && told >= LEAST_CHANGE_TOKENS;
+  /** Only changes of prefill are urgent; the rest follows with the next full report. */
+  #hasPrefillChanged({ endpoint, prefill }: EndpointWork): boolean {
+    const lastPrefill = this.#lastReported.get(endpoint)?.prefill ?? 0;
+    return Math.abs(prefill - lastPrefill) >= MIN_CHANGE_TOKENS ||
+      (prefill === 0) !== (lastPrefill === 0) &&
+        lastPrefill >= MIN_CHANGE_TOKENS;
   }
 
   /**
-   * Zones that act on news of engines in the given ones: these, and the own one. Where a zone has no
-   * engine that takes work, its entries choose among those of the others, and all are told.
+   * Zones that act on changes at engines in the given zones: these and the own zone. If a zone has no
+   * engine that takes work, its entries choose among the engines of other zones, so that all zones have to
+   * be told.
    */
-  #concerned(zones: readonly ZoneId[]): ReadonlySet<ZoneId> {
+  #affectedZones(zones: readonly ZoneId[]): ReadonlySet<ZoneId> {
     const { endpoints, self } = this.#sources;
-    const serving = new Set<ZoneId>();
+    const zonesWithEngine = new Set<ZoneId>();
     for (const state of endpoints.all()) {
       if (state.service?.engine !== undefined && endpoints.isOpen(state)) {
-        serving.add(state.record.zone);
+        zonesWithEngine.add(state.record.zone);
       }
     }
-    const shared = [...this.#zones].some((zone) => !serving.has(zone));
-    return shared ? this.#zones : new Set([self.zone, ...zones]);
+    const anyZoneWithoutEngine = [...this.#zones].some((zone) =>
+      !zonesWithEngine.has(zone)
+    );
+    return anyZoneWithoutEngine ? this.#zones : new Set([self.zone, ...zones]);
   }
 
-  #tell(
-    { partial, endpoints, zones, everyone }: {
+  #send(
+    { partial, endpoints, zones, includeStandby }: {
       partial: boolean;
       endpoints: readonly EndpointWork[];
       zones: ReadonlySet<ZoneId>;
-      /** Also those that stand by: they have to know how many are needed. */
-      everyone: boolean;
+      /** Whether to tell standby entries too, which have to know how many serving entries are needed. */
+      includeStandby: boolean;
     },
     now: Instant,
   ): void {
     const { fleet, regions, serving } = this.#sources;
-    endpoints.forEach((work) => this.#told.set(work.endpoint, work));
-    const far = zones.size === this.#zones.size;
+    endpoints.forEach((work) => this.#lastReported.set(work.endpoint, work));
+    const toAllZones = zones.size === this.#zones.size;
     const report = {
       partial,
       endpoints,
-      prefixes: this.#nextPrefixes(far),
+      prefixes: this.#nextPrefixes(toAllZones),
       arrivals: regions.report(now),
       picture: this.#sources.picture(),
     };
-    const carries = (record: FleetRecord): boolean =>
+    const servesCallers = (record: FleetRecord): boolean =>
       serving.has(record, now) ||
       this.#sources.endpoints.hasReport(record.incarnation);
     fleet.mail.sendWork(
       report,
-      (record) => zones.has(record.zone) && (everyone || carries(record)),
+      (record) =>
+        zones.has(record.zone) && (includeStandby || servesCallers(record)),
     );
   }
 
-  #nextPrefixes(far: boolean): PrefixNews[] {
-    const next = this.#prefixes.splice(0, MOST_PREFIXES);
-    if (far) {
-      return [...this.#farPrefixes.splice(0, MOST_FAR_PREFIXES), ...next];
+  #nextPrefixes(toAllZones: boolean): PrefixNews[] {
+    const next = this.#prefixes.splice(0, MAX_PREFIXES);
+    if (toAllZones) {
+      return [
+        ...this.#deferredPrefixes.splice(0, MAX_DEFERRED_PREFIXES),
+        ...next,
+      ];
     }
-    this.#farPrefixes.push(...next.filter(isWorthFetching));
+    this.#deferredPrefixes.push(...next.filter(isWorthFetching));
     return next;
   }
 }
 
-/** Other zones need a prefix only to have it fetched. */
+/** Whether a prefix is long enough to be fetched, which is all that other zones need it for. */
 function isWorthFetching({ parts }: PrefixNews): boolean {
   const tokens = parts.reduce((sum, part) => sum + part.tokens, 0);
   return tokens >= LEAST_FETCH_TOKENS;
--- a/playground/src/guards/stall_guards.ts
+++ b/playground/src/guards/stall_guards.ts
@@ -27,8 +27,8 @@
     point: POINT,
     name: "a peer's work counts on",
     file: `${CORE}/gateway/endpoint_registry.ts`,
-    find: "this.#listened.since(at, now)",
-    replace: "now - at",
+    find: "this.#listened.since(receivedAt, now)",
+    replace: "now - receivedAt",
   },
   {
     point: POINT,
