--- a/packages/core/src/quarantine/__tests__/crash_evidence.test.ts
+++ b/packages/core/src/quarantine/__tests__/crash_evidence.test.ts
@@ -6,115 +6,115 @@
   type ServiceId,
   type ZoneId,
 } from "../../index.ts";
-import { findCulprits, type KnownEnd } from "../crash_evidence.ts";
+import { findCrashingRequests, type ObservedCrash } from "../crash_evidence.ts";
 
-interface Sketch {
+interface CrashSketch {
   readonly at: number;
-  /** Milliseconds from each request's sending to the end; after a slash its caller. */
-  readonly there: Readonly<Record<string, number>>;
+  /** Exposure in milliseconds of each request. Names may have the form `content/caller`. */
+  readonly requests: Readonly<Record<string, number>>;
   readonly zone?: string;
-  readonly others?: number;
+  readonly otherEndpoints?: number;
   readonly trials?: readonly string[];
 }
 
-function end(
-  { at, there, zone = "z", others = 5, trials = [] }: Sketch,
-): KnownEnd {
-  const victims: KnownEnd["victims"] = new Map();
-  for (const [name, exposure] of Object.entries(there)) {
+function crash(
+  { at, requests, zone = "z", otherEndpoints = 5, trials = [] }: CrashSketch,
+): ObservedCrash {
+  const byContent: ObservedCrash["requests"] = new Map();
+  for (const [name, exposure] of Object.entries(requests)) {
     const [content, caller = "c"] = name.split("/") as [
       ContentDigest,
       CallerDigest?,
     ];
-    const callers = victims.get(content) ?? new Map();
-    victims.set(content, callers.set(caller as CallerDigest, exposure));
+    const callers = byContent.get(content) ?? new Map();
+    byContent.set(content, callers.set(caller as CallerDigest, exposure));
   }
   return {
     service: "pool" as ServiceId,
     zone: zone as ZoneId,
     softwareVersion: "v1",
     at: instant(at),
-    others,
-    victims,
+    otherEndpoints,
+    requests: byContent,
     trials: new Set(trials as ContentDigest[]),
   };
 }
 
-const found = (...ends: Sketch[]): string[] =>
-  findCulprits(ends.map(end)).map(({ content, caller }) =>
+const find = (...crashes: CrashSketch[]): string[] =>
+  findCrashingRequests(crashes.map(crash)).map(({ content, caller }) =>
     caller === undefined ? content : `${content}/${caller}`
   );
 
-describe("the request that ended endpoints", () => {
-  it("is the one at every end, the last time by itself", () => {
-    expect(found(
-      { at: 0, there: { bad: 100, a: 900, b: 300 } },
-      { at: 400, there: { bad: 120, a: 120, c: 50 } },
-      { at: 900, there: { bad: 90, d: 4_000 } },
-      { at: 2_500, there: { bad: 110, e: 800 }, trials: ["bad"] },
+describe("the request that crashes endpoints", () => {
+  it("is the one present at every crash, the last time as a trial", () => {
+    expect(find(
+      { at: 0, requests: { bad: 100, a: 900, b: 300 } },
+      { at: 400, requests: { bad: 120, a: 120, c: 50 } },
+      { at: 900, requests: { bad: 90, d: 4_000 } },
+      { at: 2_500, requests: { bad: 110, e: 800 }, trials: ["bad"] },
     )).toEqual(["bad/c"]);
   });
 
-  it("is known by what it asks for where several callers send it", () => {
-    expect(found(
-      { at: 0, there: { "bad/one": 100 } },
-      { at: 4_000, there: { "bad/two": 100 } },
-      { at: 8_000, there: { "bad/three": 100 }, trials: ["bad"] },
+  it("is identified by its content if several callers send it", () => {
+    expect(find(
+      { at: 0, requests: { "bad/one": 100 } },
+      { at: 4_000, requests: { "bad/two": 100 } },
+      { at: 8_000, requests: { "bad/three": 100 }, trials: ["bad"] },
     )).toEqual(["bad"]);
   });
 
-  it("is found beside another that ends endpoints too", () => {
+  it("is found even if another request crashes endpoints too", () => {
     expect(
-      found(
-        { at: 0, there: { bad: 100, a: 500 } },
-        { at: 300, there: { worse: 60, a: 300 }, zone: "y" },
-        { at: 3_000, there: { bad: 100, b: 50 } },
-        { at: 3_300, there: { worse: 60, b: 200 }, zone: "y" },
-        { at: 9_000, there: { bad: 100 }, trials: ["bad"] },
-        { at: 9_300, there: { worse: 60 }, zone: "y", trials: ["worse"] },
+      find(
+        { at: 0, requests: { bad: 100, a: 500 } },
+        { at: 300, requests: { worse: 60, a: 300 }, zone: "y" },
+        { at: 3_000, requests: { bad: 100, b: 50 } },
+        { at: 3_300, requests: { worse: 60, b: 200 }, zone: "y" },
+        { at: 9_000, requests: { bad: 100 }, trials: ["bad"] },
+        { at: 9_300, requests: { worse: 60 }, zone: "y", trials: ["worse"] },
       ).sort(),
     ).toEqual(["bad/c", "worse/c"]);
   });
 
-  describe("is none that", () => {
-    it("was at two ends, however quick", () => {
-      expect(found(
-        { at: 0, there: { a: 1 } },
-        { at: 9_000, there: { a: 1 }, trials: ["a"] },
+  describe("is not one that", () => {
+    it("was present at two crashes only, however short its exposure", () => {
+      expect(find(
+        { at: 0, requests: { a: 1 } },
+        { at: 9_000, requests: { a: 1 }, trials: ["a"] },
       )).toEqual([]);
     });
 
-    it("was at three of a series, as it was sent on from one to the next", () => {
-      expect(found(
-        { at: 0, there: { a: 300 } },
-        { at: 300, there: { a: 300 } },
-        { at: 600, there: { a: 300 } },
+    it("was present at three crashes in a series because it was sent on each time", () => {
+      expect(find(
+        { at: 0, requests: { a: 300 } },
+        { at: 300, requests: { a: 300 } },
+        { at: 600, requests: { a: 300 } },
       )).toEqual([]);
     });
 
-    it("was at the same ends as another: each of the two may be it", () => {
-      expect(found(
-        { at: 0, there: { a: 100, b: 100 } },
-        { at: 3_000, there: { a: 100, b: 100 } },
-        { at: 6_000, there: { a: 100, b: 100 }, trials: ["a", "b"] },
-        { at: 9_000, there: { a: 100, b: 100 }, trials: ["a", "b"] },
+    it("was present at the same crashes as another request, since either may be the cause", () => {
+      expect(find(
+        { at: 0, requests: { a: 100, b: 100 } },
+        { at: 3_000, requests: { a: 100, b: 100 } },
+        { at: 6_000, requests: { a: 100, b: 100 }, trials: ["a", "b"] },
+        { at: 9_000, requests: { a: 100, b: 100 }, trials: ["a", "b"] },
       )).toEqual([]);
     });
 
-    it("was at endpoints of a zone that ended in one moment", () => {
-      expect(found(
-        { at: 0, there: { a: 100 }, others: 2 },
-        { at: 50, there: { a: 100 }, others: 1 },
-        { at: 90, there: { a: 100 }, others: 0 },
-        { at: 120, there: { a: 100 }, others: 0, trials: ["a"] },
+    it("was present at endpoints of a zone that crashed simultaneously", () => {
+      expect(find(
+        { at: 0, requests: { a: 100 }, otherEndpoints: 2 },
+        { at: 50, requests: { a: 100 }, otherEndpoints: 1 },
+        { at: 90, requests: { a: 100 }, otherEndpoints: 0 },
+        { at: 120, requests: { a: 100 }, otherEndpoints: 0, trials: ["a"] },
       )).toEqual([]);
     });
 
-    it("ran for seconds at each while others ended around it", () => {
-      expect(found(
+    it("ran for seconds at each endpoint while otherEndpoints crashed", () => {
+      expect(find(
         ...[0, 1, 2, 3, 4, 5].map((index) => ({
           at: index * 1_500,
-          there: index % 2 === 0 ? { a: 2_500 } : { b: 2_500 },
+          requests: index % 2 === 0 ? { a: 2_500 } : { b: 2_500 },
           trials: ["a"],
         })),
       )).toEqual([]);
--- a/packages/core/src/quarantine/__tests__/crash_ledger.test.ts
+++ b/packages/core/src/quarantine/__tests__/crash_ledger.test.ts
@@ -8,13 +8,13 @@
   type ServiceId,
   type ZoneId,
 } from "../../index.ts";
-import { CrashLedger } from "../crash_ledger.ts";
+import { CrashHistory } from "../crash_ledger.ts";
 import type { CrashReport } from "../quarantine_messages.ts";
-import { ServedMemory } from "../served_memory.ts";
+import { AnswerHistory } from "../served_memory.ts";
 
 const BAD = "bad" as ContentDigest;
 
-const QUICK_MS = 100;
+const SHORT_EXPOSURE_MS = 100;
 
 function report(endpoint: string, ...contents: string[]): CrashReport {
   return {
@@ -28,106 +28,108 @@
     victims: contents.map((content) => ({
       content: content as ContentDigest,
       caller: "c" as CallerDigest,
-      exposure: milliseconds(QUICK_MS),
+      exposure: milliseconds(SHORT_EXPOSURE_MS),
       trial: false,
     })),
   };
 }
 
-describe("ends of endpoints", () => {
-  it("count once, however many entries saw them", () => {
-    const ledger = new CrashLedger();
-    ledger.add(report("e1", "bad"), instant(0));
-    ledger.add(report("e1", "bad", "a"), instant(10));
-    expect(ledger.endsOf(BAD)).toBe(1);
+describe("crashes of endpoints", () => {
+  it("count once, however many entries report them", () => {
+    const history = new CrashHistory();
+    history.add(report("e1", "bad"), instant(0));
+    history.add(report("e1", "bad", "a"), instant(10));
+    expect(history.crashCount(BAD)).toBe(1);
   });
 
-  it("count each where an endpoint ends again under its id", () => {
-    const ledger = new CrashLedger();
-    ledger.add(report("e1", "bad"), instant(0));
-    ledger.add(report("e1", "bad"), instant(7_000));
-    ledger.add(report("e1", "a"), instant(7_500));
-    expect(ledger.endsOf(BAD)).toBe(2);
+  it("count separately if an endpoint crashes again under the same id", () => {
+    const history = new CrashHistory();
+    history.add(report("e1", "bad"), instant(0));
+    history.add(report("e1", "bad"), instant(7_000));
+    history.add(report("e1", "a"), instant(7_500));
+    expect(history.crashCount(BAD)).toBe(2);
   });
 
-  it("do not speak against a request that was answered after them", () => {
-    const ledger = new CrashLedger();
-    ledger.add(report("e1", "bad"), instant(0));
-    ledger.add(report("e2", "bad"), instant(10));
-    ledger.answered(BAD, instant(20));
-    ledger.add(report("e3", "bad"), instant(30));
-    expect(ledger.endsOf(BAD)).toBe(1);
+  it("are no evidence against a request that was answered later", () => {
+    const history = new CrashHistory();
+    history.add(report("e1", "bad"), instant(0));
+    history.add(report("e2", "bad"), instant(10));
+    history.noteAnswered(BAD, instant(20));
+    history.add(report("e3", "bad"), instant(30));
+    expect(history.crashCount(BAD)).toBe(1);
   });
 
-  describe("under a request with a copy from each of two entries", () => {
-    const TIMES = [0, 30_000, 60_000];
-    const culprits = (exposure: number): ContentDigest[] => {
-      const ledger = new CrashLedger();
-      TIMES.forEach((at, index) => {
-        const seen = report(`e${index}`, "bad");
-        const [victim] = seen.victims;
-        const other = { ...victim!, exposure: milliseconds(exposure) };
-        const trial = { ...seen, victims: [{ ...victim!, trial: true }] };
-        ledger.add(trial, instant(at));
-        ledger.add({ ...seen, victims: [other] }, instant(at));
+  describe("with copies of a request from two entries", () => {
+    const TIMES_MS = [0, 30_000, 60_000];
+    const findRequests = (exposure: number): ContentDigest[] => {
+      const history = new CrashHistory();
+      TIMES_MS.forEach((at, index) => {
+        const crash = report(`e${index}`, "bad");
+        const [request] = crash.victims;
+        const otherCopy = { ...request!, exposure: milliseconds(exposure) };
+        const trial = { ...crash, victims: [{ ...request!, trial: true }] };
+        history.add(trial, instant(at));
+        history.add({ ...crash, victims: [otherCopy] }, instant(at));
       });
-      return ledger.culprits(() => false).map(({ content }) => content);
+      return history.findCrashingRequests(() => false).map(({ content }) =>
+        content
+      );
     };
 
-    it("speak against it where both had just come", () => {
-      expect(culprits(QUICK_MS)).toEqual([BAD]);
+    it("are evidence against it if both copies had just been sent", () => {
+      expect(findRequests(SHORT_EXPOSURE_MS)).toEqual([BAD]);
     });
 
-    it("do not where one had run there for long", () => {
-      expect(culprits(20_000)).toEqual([]);
+    it("are no evidence if one copy had run there for a long time", () => {
+      expect(findRequests(20_000)).toEqual([]);
     });
   });
 
-  it("speak against it for minutes and no longer", () => {
-    const ledger = new CrashLedger();
-    ledger.add(report("e1", "bad"), instant(0));
-    ledger.add(report("e2", "bad"), instant(200_000));
-    expect(ledger.endsOf(BAD)).toBe(2);
-    ledger.add(report("e3", "other"), instant(301_000));
-    expect(ledger.endsOf(BAD)).toBe(1);
+  it("are evidence for some minutes only", () => {
+    const history = new CrashHistory();
+    history.add(report("e1", "bad"), instant(0));
+    history.add(report("e2", "bad"), instant(200_000));
+    expect(history.crashCount(BAD)).toBe(2);
+    history.add(report("e3", "other"), instant(301_000));
+    expect(history.crashCount(BAD)).toBe(1);
   });
 
-  it("are bounded, and what is at one end is", () => {
-    const ledger = new CrashLedger();
+  it("are bounded in number, and so are the requests of each", () => {
+    const history = new CrashHistory();
     const many = Array.from({ length: 10_000 }, (_, index) => `x${index}`);
-    ledger.add(report("e1", ...many), instant(0));
-    const known = many.filter((name) => ledger.knows(name as ContentDigest));
+    history.add(report("e1", ...many), instant(0));
+    const known = many.filter((name) => history.has(name as ContentDigest));
     expect(known.length).toBe(256);
     for (let index = 0; index < 10_000; index++) {
-      ledger.add(report(`e${index}`, `y${index}`), instant(1));
+      history.add(report(`e${index}`, `y${index}`), instant(1));
     }
-    const later = Array.from(
+    const knownLater = Array.from(
       { length: 10_000 },
-      (_, index) => ledger.knows(`y${index}` as ContentDigest),
+      (_, index) => history.has(`y${index}` as ContentDigest),
     );
-    expect(later.filter(Boolean).length).toBe(128);
+    expect(knownLater.filter(Boolean).length).toBe(128);
   });
 });
 
-describe("requests that were answered lately", () => {
+describe("recently answered requests", () => {
   const POPULAR = "popular" as ContentDigest;
 
   it("are remembered for half a minute to a minute", () => {
-    const memory = new ServedMemory();
-    memory.add(POPULAR, instant(0));
-    expect(memory.has(POPULAR, instant(29_000))).toBe(true);
-    expect(memory.has(POPULAR, instant(61_000))).toBe(false);
+    const answers = new AnswerHistory();
+    answers.add(POPULAR, instant(0));
+    expect(answers.has(POPULAR, instant(29_000))).toBe(true);
+    expect(answers.has(POPULAR, instant(61_000))).toBe(false);
   });
 
-  it("are remembered through a flood of others, as long as they come", () => {
-    const memory = new ServedMemory();
+  it("are remembered during a flood of others as long as they keep being answered", () => {
+    const answers = new AnswerHistory();
     for (let index = 0; index < 20_000; index++) {
-      memory.add(`x${index}` as ContentDigest, instant(index));
+      answers.add(`x${index}` as ContentDigest, instant(index));
       if (index % 1_000 === 0) {
-        memory.add(POPULAR, instant(index));
+        answers.add(POPULAR, instant(index));
       }
     }
-    expect(memory.has(POPULAR, instant(20_000))).toBe(true);
-    expect(memory.has("x10" as ContentDigest, instant(20_000))).toBe(false);
+    expect(answers.has(POPULAR, instant(20_000))).toBe(true);
+    expect(answers.has("x10" as ContentDigest, instant(20_000))).toBe(false);
   });
 });
--- a/packages/core/src/quarantine/__tests__/crash_watch.test.ts
+++ b/packages/core/src/quarantine/__tests__/crash_watch.test.ts
@@ -12,7 +12,7 @@
   type ServiceId,
   type ZoneId,
 } from "../../index.ts";
-import { CrashWatch, type WatchedEndpoint } from "../crash_watch.ts";
+import { CrashDetector, type WatchedEndpoint } from "../crash_watch.ts";
 
 const RECORD: EndpointRecord = {
   id: "e" as EndpointId,
@@ -29,15 +29,15 @@
 };
 
 /**
- * Requests are held for the endpoints that end under them, so that a connection that breaks while its
- * endpoint lives, or an end that was announced, must not count.
+ * Crashes are evidence for holding a request. A connection that breaks while its endpoint is alive, or a
+ * shutdown that was announced, must therefore not count as a crash.
  */
-describe("the end of an endpoint", () => {
-  let gone: boolean;
+describe("the crash of an endpoint", () => {
+  let recordGone: boolean;
   let endpoint: { record: EndpointRecord; heardAt: WatchedEndpoint["heardAt"] };
-  let watch: CrashWatch;
+  let detector: CrashDetector;
   const begin = (name: string, at: number): void =>
-    watch.began(endpoint, {
+    detector.noteSent(endpoint, {
       attempt: name as AttemptId,
       fingerprint: {
         content: name as ContentDigest,
@@ -48,126 +48,129 @@
       trial: false,
     });
   const lose = (name: string, at: number): void =>
-    watch.lost(endpoint, name as AttemptId, instant(at));
-  const ended = (at: number): string[] =>
-    watch.takeEnded(instant(at)).flatMap(({ runs }) =>
-      runs.map(({ attempt }) => attempt)
+    detector.noteLost(endpoint, name as AttemptId, instant(at));
+  const takeCrashed = (at: number): string[] =>
+    detector.takeCrashed(instant(at)).flatMap(({ attempts }) =>
+      attempts.map(({ attempt }) => attempt)
     );
 
   beforeEach(() => {
-    gone = false;
+    recordGone = false;
     endpoint = { record: RECORD, heardAt: undefined };
-    watch = new CrashWatch(() => gone, new ListenedTime(instant(0)));
+    detector = new CrashDetector(
+      () => recordGone,
+      new ListenedTime(instant(0)),
+    );
     begin("a", 0);
     begin("b", 100);
   });
 
-  describe("is seen", () => {
-    it("where its connections break and its port is closed", () => {
+  describe("is detected", () => {
+    it("if its connections break and its port is closed", () => {
       lose("a", 200);
       lose("b", 201);
-      expect(ended(205)).toEqual([]);
-      watch.refused(RECORD);
-      expect(ended(210)).toEqual([]);
-      expect(ended(350)).toEqual(["a", "b"]);
+      expect(takeCrashed(205)).toEqual([]);
+      detector.notePortClosed(RECORD);
+      expect(takeCrashed(210)).toEqual([]);
+      expect(takeCrashed(350)).toEqual(["a", "b"]);
     });
 
-    it("where its connections break and its record is taken away", () => {
+    it("if its connections break and its record is removed", () => {
       lose("a", 200);
-      gone = true;
-      expect(ended(3_400)).toEqual(["a", "b"]);
+      recordGone = true;
+      expect(takeCrashed(3_400)).toEqual(["a", "b"]);
     });
 
-    it("where it falls silent and its record is taken away", () => {
+    it("if it falls silent and its record is removed", () => {
       endpoint.heardAt = instant(150);
-      gone = true;
-      expect(ended(3_400)).toEqual(["a", "b"]);
+      recordGone = true;
+      expect(takeCrashed(3_400)).toEqual(["a", "b"]);
     });
 
-    it("where a peer says so", () => {
+    it("if a peer reports it", () => {
       lose("a", 200);
-      watch.told(RECORD, instant(300));
-      expect(ended(310)).toEqual(["a"]);
+      detector.noteReported(RECORD, instant(300));
+      expect(takeCrashed(310)).toEqual(["a"]);
     });
 
-    it("with what is lost there a moment later", () => {
+    it("with the attempts that are lost there a moment later", () => {
       lose("a", 200);
-      watch.refused(RECORD);
-      expect(ended(360)).toEqual(["a"]);
+      detector.notePortClosed(RECORD);
+      expect(takeCrashed(360)).toEqual(["a"]);
       lose("b", 380);
-      expect(ended(385)).toEqual(["b"]);
+      expect(takeCrashed(385)).toEqual(["b"]);
     });
 
-    it("once a life", () => {
+    it("once per life", () => {
       lose("a", 200);
-      watch.refused(RECORD);
-      expect(ended(360)).toEqual(["a"]);
-      expect(ended(400)).toEqual([]);
+      detector.notePortClosed(RECORD);
+      expect(takeCrashed(360)).toEqual(["a"]);
+      expect(takeCrashed(400)).toEqual([]);
     });
   });
 
-  describe("is not seen", () => {
-    it("where something is heard from it after the loss", () => {
+  describe("is not detected", () => {
+    it("if data is received from it after the loss", () => {
       lose("a", 200);
       endpoint.heardAt = instant(400);
-      gone = true;
-      expect(ended(401)).toEqual([]);
+      recordGone = true;
+      expect(takeCrashed(401)).toEqual([]);
     });
 
-    it("where a connection breaks and the endpoint stays", () => {
+    it("if a connection breaks and the endpoint stays", () => {
       lose("a", 200);
-      expect(ended(1_000)).toEqual([]);
-      gone = true;
+      expect(takeCrashed(1_000)).toEqual([]);
+      recordGone = true;
       endpoint.heardAt = instant(7_900);
-      expect(ended(8_000)).toEqual([]);
+      expect(takeCrashed(8_000)).toEqual([]);
     });
 
-    it("where it had told that it leaves", () => {
+    it("if it had announced its shutdown", () => {
       endpoint.record = { ...RECORD, state: "draining" };
       lose("a", 200);
-      watch.refused(RECORD);
-      gone = true;
-      expect(ended(4_000)).toEqual([]);
+      detector.notePortClosed(RECORD);
+      recordGone = true;
+      expect(takeCrashed(4_000)).toEqual([]);
     });
 
-    it("where its record was taken away while it went on answering", () => {
-      gone = true;
+    it("if its record was removed while it continued to answer", () => {
+      recordGone = true;
       endpoint.heardAt = instant(3_000);
-      expect(ended(3_100)).toEqual([]);
+      expect(takeCrashed(3_100)).toEqual([]);
       lose("a", 3_200);
-      watch.refused(RECORD);
-      expect(ended(3_400)).toEqual([]);
+      detector.notePortClosed(RECORD);
+      expect(takeCrashed(3_400)).toEqual([]);
     });
 
-    it("where its port takes no more connections and it answers others", () => {
+    it("if its port accepts no more connections but it answers others", () => {
       lose("a", 200);
-      watch.refused(RECORD);
+      detector.notePortClosed(RECORD);
       endpoint.heardAt = instant(310);
-      expect(ended(360)).toEqual([]);
+      expect(takeCrashed(360)).toEqual([]);
     });
 
-    it("where it has started again and a connection breaks", () => {
+    it("if it has restarted and a connection breaks", () => {
       lose("a", 200);
-      watch.refused(RECORD);
-      expect(ended(360)).toEqual(["a"]);
+      detector.notePortClosed(RECORD);
+      expect(takeCrashed(360)).toEqual(["a"]);
       endpoint.heardAt = instant(1_000);
       lose("b", 1_200);
-      expect(ended(1_400)).toEqual([]);
+      expect(takeCrashed(1_400)).toEqual([]);
     });
 
-    it("where requests were answered before", () => {
-      watch.ended(endpoint, "a" as AttemptId);
+    it("for attempts that were answered before", () => {
+      detector.noteEnded(endpoint, "a" as AttemptId);
       lose("b", 200);
-      watch.refused(RECORD);
-      expect(ended(360)).toEqual(["b"]);
+      detector.notePortClosed(RECORD);
+      expect(takeCrashed(360)).toEqual(["b"]);
     });
   });
 
-  it("is looked for once for all connections that break together", () => {
+  it("is probed for once for all connections that break together", () => {
     lose("a", 200);
-    expect(watch.isToKnock(endpoint, instant(200))).toBe(true);
+    expect(detector.shouldProbe(endpoint, instant(200))).toBe(true);
     lose("b", 201);
-    expect(watch.isToKnock(endpoint, instant(201))).toBe(false);
-    expect(watch.isToKnock(endpoint, instant(800))).toBe(true);
+    expect(detector.shouldProbe(endpoint, instant(201))).toBe(false);
+    expect(detector.shouldProbe(endpoint, instant(800))).toBe(true);
   });
 });
--- a/packages/core/src/quarantine/__tests__/hold_list.test.ts
+++ b/packages/core/src/quarantine/__tests__/hold_list.test.ts
@@ -6,21 +6,22 @@
   type ServiceId,
 } from "../../index.ts";
 import type { HoldNotice } from "../quarantine_messages.ts";
-import { HoldList, type MayTry } from "../hold_list.ts";
+import { HoldList, type TrialPermission } from "../hold_list.ts";
 
 const BAD = "bad" as ContentDigest;
 const CALLER = "c" as CallerDigest;
 const SERVICE = "pool" as ServiceId;
-const MINUTE = 60_000;
+const MINUTE_MS = 60_000;
 
 describe("held requests", () => {
   let holds: HoldList;
-  let published: string[];
-  let owner: boolean;
-  const mayTry: MayTry = (tested) =>
-    owner && published.some((version) => !tested.has(version));
-  const judge = (at: number, caller: string = CALLER): string =>
-    holds.judge(
+  let publishedVersions: string[];
+  let ownsTrial: boolean;
+  const mayTry: TrialPermission = (excludedVersions) =>
+    ownsTrial &&
+    publishedVersions.some((version) => !excludedVersions.has(version));
+  const decide = (at: number, caller: string = CALLER): string =>
+    holds.check(
       { content: BAD, caller: caller as CallerDigest },
       mayTry,
       instant(at),
@@ -37,104 +38,108 @@
 
   beforeEach(() => {
     holds = new HoldList();
-    owner = true;
-    published = ["v1"];
+    ownsTrial = true;
+    publishedVersions = ["v1"];
     hold(0);
   });
 
-  it("go to no endpoint, and say for how long", () => {
-    expect(holds.judge({ content: BAD, caller: CALLER }, mayTry, instant(0)))
-      .toEqual({ kind: "held", wait: 2 * MINUTE });
+  it("go to no endpoint and have a time to wait", () => {
+    expect(holds.check({ content: BAD, caller: CALLER }, mayTry, instant(0)))
+      .toEqual({ kind: "held", wait: 2 * MINUTE_MS });
   });
 
-  it("are those of the caller alone who sent them", () => {
-    expect(judge(0, "another")).toBe("free");
+  it("are held for the caller that sent them only", () => {
+    expect(decide(0, "another")).toBe("free");
     hold(1, { caller: undefined });
-    expect(judge(1, "another")).toBe("held");
+    expect(decide(1, "another")).toBe("held");
   });
 
   describe("are tried again", () => {
-    it("after their time, by one entry, one at a time", () => {
-      owner = false;
-      expect(judge(2 * MINUTE)).toBe("held");
-      owner = true;
-      expect(judge(2 * MINUTE)).toBe("limited");
-      holds.noteTrial(BAD, instant(2 * MINUTE));
-      expect(judge(2 * MINUTE + 1)).toBe("held");
+    it("after the hold, by one entry, one at a time", () => {
+      ownsTrial = false;
+      expect(decide(2 * MINUTE_MS)).toBe("held");
+      ownsTrial = true;
+      expect(decide(2 * MINUTE_MS)).toBe("limited");
+      holds.noteTrial(BAD, instant(2 * MINUTE_MS));
+      expect(decide(2 * MINUTE_MS + 1)).toBe("held");
     });
 
-    it("at once on software that they have not ended, and on nothing else", () => {
-      published = ["v1", "v2"];
-      expect(holds.judge({ content: BAD, caller: CALLER }, mayTry, instant(5)))
+    it("at once on software versions that they have not crashed, and on no others", () => {
+      publishedVersions = ["v1", "v2"];
+      expect(holds.check({ content: BAD, caller: CALLER }, mayTry, instant(5)))
         .toEqual({ kind: "limited", except: new Set(["v1"]) });
       hold(6, { versions: ["v2"] });
-      expect(judge(7)).toBe("held");
+      expect(decide(7)).toBe("held");
     });
 
-    it("later each time that they end an endpoint again", () => {
-      hold(2 * MINUTE);
-      expect(judge(5 * MINUTE)).toBe("held");
-      expect(judge(6 * MINUTE)).toBe("limited");
+    it("later each time that they crash another endpoint", () => {
+      hold(2 * MINUTE_MS);
+      expect(decide(5 * MINUTE_MS)).toBe("held");
+      expect(decide(6 * MINUTE_MS)).toBe("limited");
     });
   });
 
-  it("go on to software that has answered one, and not to what has not", () => {
-    published = ["v1", "v2"];
+  it("are sent to software versions that answered one, and to no others", () => {
+    publishedVersions = ["v1", "v2"];
     expect(holds.noteAnswered(BAD, "v2")).toBe(false);
-    owner = false;
-    expect(holds.judge({ content: BAD, caller: CALLER }, mayTry, instant(5)))
+    ownsTrial = false;
+    expect(holds.check({ content: BAD, caller: CALLER }, mayTry, instant(5)))
       .toEqual({ kind: "limited", except: new Set(["v1"]) });
   });
 
-  it("are free once an endpoint of the software that they ended answers one", () => {
+  it("are released once the software version that they crashed answers one", () => {
     expect(holds.noteAnswered(BAD, "v1")).toBe(true);
-    expect(judge(1)).toBe("free");
+    expect(decide(1)).toBe("free");
     expect(holds.size).toBe(0);
   });
 
-  it("are forgotten when nobody sends them long after their time", () => {
-    expect(holds.forget(instant(3 * MINUTE))).toEqual([]);
-    expect(holds.forget(instant(4 * MINUTE))).toEqual([BAD]);
-    expect(judge(4 * MINUTE)).toBe("free");
+  it("are removed long after the hold if nobody sends them", () => {
+    expect(holds.removeExpired(instant(3 * MINUTE_MS))).toEqual([]);
+    expect(holds.removeExpired(instant(4 * MINUTE_MS))).toEqual([BAD]);
+    expect(decide(4 * MINUTE_MS)).toBe("free");
   });
 
-  describe("as entries tell each other", () => {
-    it("are held for the time that is left, by one that starts anew", () => {
-      const anew = new HoldList();
-      expect(anew.learn(notice(MINUTE), instant(0))).toBe(true);
+  describe("exchanged between entries", () => {
+    it("are held for the remaining time by an entry that just started", () => {
+      const newEntryHolds = new HoldList();
+      expect(newEntryHolds.merge(notice(MINUTE_MS), instant(0))).toBe(true);
       expect(
-        anew.judge({ content: BAD, caller: CALLER }, mayTry, instant(0)),
-      ).toEqual({ kind: "held", wait: MINUTE });
+        newEntryHolds.check(
+          { content: BAD, caller: CALLER },
+          mayTry,
+          instant(0),
+        ),
+      ).toEqual({ kind: "held", wait: MINUTE_MS });
     });
 
-    it("are not prolonged by late word of the same hold", () => {
-      const early = notice(0);
-      holds.learn(early, instant(MINUTE));
-      expect(judge(2 * MINUTE)).toBe("limited");
+    it("are not extended by a delayed message about the same hold", () => {
+      const delayed = notice(0);
+      holds.merge(delayed, instant(MINUTE_MS));
+      expect(decide(2 * MINUTE_MS)).toBe("limited");
     });
 
-    it("do not come back with one that was cut off when they were released", () => {
-      const cutOff = notice(1);
+    it("are not held again after a message from an entry that missed their release", () => {
+      const beforeRelease = notice(1);
       holds.release(BAD);
-      expect(holds.learn(cutOff, instant(2))).toBe(false);
-      expect(judge(2)).toBe("free");
+      expect(holds.merge(beforeRelease, instant(2))).toBe(false);
+      expect(decide(2)).toBe("free");
     });
 
-    it("are released where word of that arrives", () => {
-      const other = new HoldList();
-      other.learn(notice(1), instant(1));
+    it("are released at an entry that receives the release", () => {
+      const otherHolds = new HoldList();
+      otherHolds.merge(notice(1), instant(1));
       holds.release(BAD);
-      expect(other.learn(notice(2), instant(2))).toBe(true);
-      expect(other.size).toBe(0);
+      expect(otherHolds.merge(notice(2), instant(2))).toBe(true);
+      expect(otherHolds.size).toBe(0);
     });
 
-    it("are held from all callers where two entries saw different ones", () => {
-      holds.learn({ ...notice(0), caller: "d" as CallerDigest }, instant(0));
-      expect(judge(0, "e")).toBe("held");
+    it("are held for all callers if two entries saw different ones", () => {
+      holds.merge({ ...notice(0), caller: "d" as CallerDigest }, instant(0));
+      expect(decide(0, "e")).toBe("held");
     });
   });
 
-  it("are bounded, whoever brings about how many", () => {
+  it("are bounded in number", () => {
     for (let index = 0; index < 10_000; index++) {
       hold(index, { content: `x${index}` as ContentDigest });
     }
--- a/packages/core/src/quarantine/crash_evidence.ts
+++ b/packages/core/src/quarantine/crash_evidence.ts
@@ -1,5 +1,6 @@
 /**
- * Which request ended the endpoints that ended. No state: the same ends give the same answer everywhere.
+ * Finds the requests that crash endpoints. The analysis has no state: the same crashes give the same result
+ * at every entry.
  *
  * @module
  */
@@ -11,151 +12,183 @@
   ZoneId,
 } from "../ids/index.ts";
 
-/** The end of an endpoint, as all entries together saw it. */
-export interface KnownEnd {
+/** A crash of an endpoint, merged from the reports of all entries. */
+export interface ObservedCrash {
   readonly service: ServiceId;
   readonly zone: ZoneId;
   readonly softwareVersion: string;
   readonly at: Instant;
-  /** Other endpoints of the service in its zone that took work then. */
-  readonly others: number;
-  /** For each request there, by caller: milliseconds from the sending of its first copy to the end. */
-  readonly victims: Map<ContentDigest, Map<CallerDigest, number>>;
-  /** Those of them that were sent by themselves, as they had been at several ends. */
+  /** Number of other endpoints of the same service and zone that accepted requests at that time. */
+  readonly otherEndpoints: number;
+  /**
+   * The requests in progress at the endpoint, by content and caller, with their exposure: the milliseconds
+   * from sending the first copy to the crash.
+   */
+  readonly requests: Map<ContentDigest, Map<CallerDigest, number>>;
+  /**
+   * Those of the requests that were sent as a trial: suspects of earlier crashes, of which one copy at a time
+   * is sent.
+   */
   readonly trials: Set<ContentDigest>;
 }
 
-/** A request that ends endpoints. */
-export interface Culprit {
+/** A request that crashes endpoints. */
+export interface CrashingRequest {
   readonly content: ContentDigest;
-  /** Its only caller so far; `undefined` where several send it. */
+  /** The only caller that sent it so far, `undefined` if several callers did. */
   readonly caller: CallerDigest | undefined;
   readonly score: number;
-  readonly ends: readonly KnownEnd[];
+  readonly crashes: readonly ObservedCrash[];
 }
 
-/** Ends that one request must have been at. Two are chance too often: what one loses is sent to the next. */
-const LEAST_ENDS = 3;
 /**
- * Natural logarithm of how much likelier a request must be to end what runs it than to have been there by
- * chance: one in 400,000, as a service of today's size loses up to some hundred requests with an endpoint.
+ * Number of crashes at which a request must have been in progress. Two happen by chance too often, because a
+ * request that is lost in one crash is sent to the next endpoint.
  */
-const LEAST_SCORE = 13;
+const MIN_CRASHES = 3;
 /**
- * What must remain of that without the ends that some other request was at too: one end in calm, or two in
- * a row of them. Requests that are lost together are sent on to the same few endpoints and lost together
- * again; of these the one that goes on ending endpoints when the others are gone is the cause.
+ * Natural logarithm of how much more likely it must be that the request causes the crashes than that it was
+ * present by chance. 13 corresponds to 1 in 400,000, since a service of today's size loses up to some hundred
+ * requests with an endpoint.
  */
-const LEAST_ALONE = 3.5;
-/** Spans, in milliseconds, over which ends are counted: a burst, a rack in series, an unlucky minute. */
-const SPANS_MS = [2_000, 10_000, 30_000] as const;
-/** Ends in a zone without any cause that is known: no more than one in so many milliseconds. */
-const CALM_MS = 20_000;
-/** Ends so close to each other have one cause, such as a switch or a power line, and count once. */
-const SIMULTANEOUS_MS = 300;
-/** No single end proves more, however quick. */
-const LEAST_CHANCE = 0.005;
+const MIN_SCORE = 13;
 /**
- * An end that one in seven bystanders would have met says nothing: where all endpoints of a zone end again
- * and again, what is sent to each of them would be held for many such ends together.
+ * Score that must remain without the crashes at which some other request was present as well: that of one
+ * crash in a quiet period, or of two within a series. Requests that are lost together are sent on to the same
+ * few endpoints and lost together again. The one whose endpoints continue to crash without the others is the
+ * cause.
  */
-const LEAST_WEIGHT = 2;
-/** Requests are told apart by no less than this: delays of connections and of notice. */
-const LEAST_EXPOSURE_MS = 50;
+const MIN_INDEPENDENT_SCORE = 3.5;
+/**
+ * Periods over which the crash rate is measured: for a burst, for a rack whose hosts fail one after another,
+ * and for a bad minute.
+ */
+const RATE_WINDOWS_MS = [2_000, 10_000, 30_000] as const;
+/** Assumed crash rate of a zone without a known cause: at most one crash in this time. */
+const BASELINE_CRASH_INTERVAL_MS = 20_000;
+/** Crashes this close together have a common cause, such as a switch or a power line, and count once. */
+const COMMON_CAUSE_WINDOW_MS = 300;
+/**
+ * Lower limit for the probability of a chance meeting, so that no single crash is stronger evidence than
+ * this, however soon it came after the request.
+ */
+const MIN_PROBABILITY = 0.005;
+/**
+ * A crash that one in seven uninvolved requests would have met by chance is ignored. Without this limit, when
+ * all endpoints of a zone crash repeatedly, requests sent to each of them would be held because many weak
+ * crashes add up.
+ */
+const MIN_WEIGHT = 2;
+/**
+ * Shorter exposures are treated as this one, since connection and detection delays make them
+ * indistinguishable.
+ */
+const MIN_EXPOSURE_MS = 50;
 
 /**
- * The requests that ended endpoints, the surest first; each end has one cause, so that those who were there
- * with a culprit are not held for it.
+ * Returns the requests that crash endpoints, strongest evidence first. Each crash is attributed to one
+ * request, so requests that were present together with a crashing one are not held because of it.
  *
- * A crash of an endpoint's own, a lost zone or a killed rack ends endpoints under good requests as well. A
- * request is told from its neighbours by three things: how likely it was that its endpoint would end in
- * the time that it was there, by the ends around it in the zone; that this happened three times and more,
- * the last time when it was tried by itself, and it was never answered; and that no other request was at
- * the same ends. See the tests of the quarantine's trials for how often that is wrong.
+ * Software faults of the endpoint, a lost zone or a failed rack also crash endpoints that run harmless
+ * requests. A crashing request differs from those around it in three ways: its endpoints crashed within its
+ * exposure although this was unlikely by the crash rate in the zone; this happened at least three times, the
+ * last time in a trial, and no endpoint answered the request; and no other request was present at the same
+ * crashes. The tests of the quarantine's trials measure how often this is wrong.
  */
-export function findCulprits(ends: readonly KnownEnd[]): Culprit[] {
-  const culprits: Culprit[] = [];
-  let left = ends;
+export function findCrashingRequests(
+  crashes: readonly ObservedCrash[],
+): CrashingRequest[] {
+  const crashingRequests: CrashingRequest[] = [];
+  let remaining = crashes;
   for (;;) {
-    const [surest] = suspectsOf(left)
+    const [strongest] = findSuspects(remaining)
       .filter(wasTried)
-      .filter((suspect) => suspect.score >= LEAST_SCORE && isUnique(suspect))
-      .sort((one, other) => other.score - one.score);
-    if (surest === undefined) {
-      return culprits;
+      .filter((suspect) =>
+        suspect.score >= MIN_SCORE && isOnlyExplanation(suspect)
+      )
+      .sort((a, b) => b.score - a.score);
+    if (strongest === undefined) {
+      return crashingRequests;
     }
-    const { content, score } = surest;
-    const own = surest.ends.map(({ end }) => end);
-    culprits.push({
+    const { content, score } = strongest;
+    const explained = strongest.crashes.map(({ crash }) => crash);
+    crashingRequests.push({
       content,
       score,
-      caller: onlyCaller(content, own),
-      ends: own,
+      caller: findOnlyCaller(content, explained),
+      crashes: explained,
     });
-    left = left.filter(({ victims }) => !victims.has(content));
+    remaining = remaining.filter(({ requests }) => !requests.has(content));
   }
 }
 
-/** An end with what it says against each request that was there, nothing left out but nothings. */
-interface WeighedEnd {
-  readonly end: KnownEnd;
+/** A crash and the weight of its evidence against each request. Weights below `MIN_WEIGHT` are left out. */
+interface WeightedCrash {
+  readonly crash: ObservedCrash;
   readonly weights: ReadonlyMap<ContentDigest, number>;
 }
 
 interface Suspect {
   readonly content: ContentDigest;
-  /** Those that speak against it, in order of time. */
-  readonly ends: readonly WeighedEnd[];
+  /** The crashes that are evidence against the request, in order of time. */
+  readonly crashes: readonly WeightedCrash[];
   readonly score: number;
 }
 
-function suspectsOf(ends: readonly KnownEnd[]): Suspect[] {
-  const counts = new Map<ContentDigest, WeighedEnd[]>();
-  for (const end of [...ends].sort((left, right) => left.at - right.at)) {
-    const weights = weightsOf(end, rateAround(end, ends));
+function findSuspects(crashes: readonly ObservedCrash[]): Suspect[] {
+  const crashesByContent = new Map<ContentDigest, WeightedCrash[]>();
+  for (const crash of [...crashes].sort((left, right) => left.at - right.at)) {
+    const weights = weighRequests(crash, estimateCrashRate(crash, crashes));
     for (const content of weights.keys()) {
-      const list = counts.get(content) ?? [];
-      list.push({ end, weights });
-      counts.set(content, list);
+      const known = crashesByContent.get(content) ?? [];
+      known.push({ crash, weights });
+      crashesByContent.set(content, known);
     }
   }
-  return [...counts].filter(([, own]) => own.length >= LEAST_ENDS).map((
-    [content, own],
-  ) => ({ content, ends: own, score: scoreOf(content, own) }));
+  return [...crashesByContent].filter(([, weighted]) =>
+    weighted.length >= MIN_CRASHES
+  ).map(([content, weighted]) => ({
+    content,
+    crashes: weighted,
+    score: sumWeights(content, weighted),
+  }));
 }
 
-/** Ends of a burst may be chance; one under a trial that came after them is not. */
-function wasTried({ content, ends }: Suspect): boolean {
-  return ends.some(({ end }) => end.trials.has(content));
+/**
+ * Whether a request was present at a crash as a trial. Crashes of a burst may be chance, a crash during a
+ * later trial is not.
+ */
+function wasTried({ content, crashes }: Suspect): boolean {
+  return crashes.some(({ crash }) => crash.trials.has(content));
 }
 
-/** What ends say against a request; those in the same moment say it once. */
-function scoreOf(
+/** Adds up the evidence of crashes against a request. Of simultaneous crashes only the strongest counts. */
+function sumWeights(
   content: ContentDigest,
-  ends: readonly WeighedEnd[],
+  crashes: readonly WeightedCrash[],
 ): number {
   let score = 0;
-  let groupAt = -Infinity;
-  let best = 0;
-  for (const { end: { at }, weights } of ends) {
-    if (at - groupAt > SIMULTANEOUS_MS) {
-      score += best;
-      best = 0;
-      groupAt = at;
+  let groupStartedAt = -Infinity;
+  let groupWeight = 0;
+  for (const { crash: { at }, weights } of crashes) {
+    if (at - groupStartedAt > COMMON_CAUSE_WINDOW_MS) {
+      score += groupWeight;
+      groupWeight = 0;
+      groupStartedAt = at;
     }
-    best = Math.max(best, weights.get(content) ?? 0);
+    groupWeight = Math.max(groupWeight, weights.get(content) ?? 0);
   }
-  return score + best;
+  return score + groupWeight;
 }
 
-function weightsOf(
-  { victims }: KnownEnd,
+function weighRequests(
+  { requests }: ObservedCrash,
   rate: number,
 ): Map<ContentDigest, number> {
   const weights = new Map<ContentDigest, number>();
-  for (const [content, exposures] of victims) {
-    const weight = weightOf(exposures, rate);
-    if (weight >= LEAST_WEIGHT) {
+  for (const [content, exposures] of requests) {
+    const weight = weighExposure(exposures, rate);
+    if (weight >= MIN_WEIGHT) {
       weights.set(content, weight);
     }
   }
@@ -163,46 +196,58 @@
 }
 
 /**
- * Natural logarithm of one over the chance that an end met a request that has nothing to do with it. Of
- * several copies the one counts that was there for longest: it ran for so long and ended nothing.
+ * Returns the negative logarithm of the probability that a crash met an uninvolved request by chance. If
+ * several copies of the request were present, the longest exposure counts, because that copy ran for so long
+ * without a crash.
  */
-function weightOf(
+function weighExposure(
   exposures: ReadonlyMap<CallerDigest, number>,
   rate: number,
 ): number {
-  const exposure = Math.max(LEAST_EXPOSURE_MS, ...exposures.values());
-  return -Math.log(Math.max(LEAST_CHANCE, exposure * rate));
+  const exposure = Math.max(MIN_EXPOSURE_MS, ...exposures.values());
+  return -Math.log(Math.max(MIN_PROBABILITY, exposure * rate));
 }
 
-/** Ends of one endpoint in a millisecond, by the other ends in its zone around this one. */
-function rateAround(end: KnownEnd, all: readonly KnownEnd[]): number {
-  const around = all.filter((other) =>
-    other !== end && other.service === end.service && other.zone === end.zone
+/**
+ * Returns the crashes per endpoint and millisecond around a crash, from the other crashes of the same service
+ * and zone.
+ */
+function estimateCrashRate(
+  crash: ObservedCrash,
+  allCrashes: readonly ObservedCrash[],
+): number {
+  const nearby = allCrashes.filter((other) =>
+    other !== crash && other.service === crash.service &&
+    other.zone === crash.zone
   );
-  const rates = SPANS_MS.map((span) =>
-    around.filter(({ at }) =>
-      at > end.at - span && at <= end.at + SIMULTANEOUS_MS
-    ).length / span
+  const rates = RATE_WINDOWS_MS.map((window) =>
+    nearby.filter(({ at }) =>
+      at > crash.at - window && at <= crash.at + COMMON_CAUSE_WINDOW_MS
+    ).length / window
   );
-  return Math.max(1 / CALM_MS, ...rates) / (end.others + 1);
+  return Math.max(1 / BASELINE_CRASH_INTERVAL_MS, ...rates) /
+    (crash.otherEndpoints + 1);
 }
 
-/** Whether no other request explains a suspect's ends: one against which they speak too. */
-function isUnique({ content, ends }: Suspect): boolean {
-  const rivals = new Set(ends.flatMap(({ weights }) => [...weights.keys()]));
+/**
+ * Whether no other request explains the suspect's crashes: for each other request, enough evidence remains
+ * from crashes at which that request was not present.
+ */
+function isOnlyExplanation({ content, crashes }: Suspect): boolean {
+  const rivals = new Set(crashes.flatMap(({ weights }) => [...weights.keys()]));
   rivals.delete(content);
   return [...rivals].every((rival) =>
-    scoreOf(content, ends.filter(({ weights }) => !weights.has(rival))) >=
-      LEAST_ALONE
+    sumWeights(content, crashes.filter(({ weights }) => !weights.has(rival))) >=
+      MIN_INDEPENDENT_SCORE
   );
 }
 
-function onlyCaller(
+function findOnlyCaller(
   content: ContentDigest,
-  ends: readonly KnownEnd[],
+  crashes: readonly ObservedCrash[],
 ): CallerDigest | undefined {
   const callers = new Set(
-    ends.flatMap(({ victims }) => [...victims.get(content)!.keys()]),
+    crashes.flatMap(({ requests }) => [...requests.get(content)!.keys()]),
   );
   return callers.size === 1 ? [...callers][0] : undefined;
 }
--- a/packages/core/src/quarantine/crash_ledger.ts
+++ b/packages/core/src/quarantine/crash_ledger.ts
@@ -1,141 +1,157 @@
 /**
- * The endpoints that ended lately and what was there, from all entries' reports.
+ * Keeps the recent crashes of endpoints and the requests lost in them, from the reports of all entries.
  *
  * @module
  */
 import { after, type ContentDigest, type Instant } from "../ids/index.ts";
-import { type Culprit, findCulprits, type KnownEnd } from "./crash_evidence.ts";
-import type { CrashReport, CrashVictim } from "./quarantine_messages.ts";
+import {
+  type CrashingRequest,
+  findCrashingRequests,
+  type ObservedCrash,
+} from "./crash_evidence.ts";
+import type { CrashReport, RequestAtCrash } from "./quarantine_messages.ts";
 
 /**
- * Requests that crash endpoints may come minutes apart. An end that is older says little: whoever sends
- * the same for so long and is answered by nobody meets the next three.
+ * Requests that crash endpoints may arrive minutes apart. An older crash is weak evidence, and a caller that
+ * continues to send the request without an answer will be present at the next three crashes.
  */
-const END_LIFETIME_MS = 300_000;
-/** Entries see one end within this time of each other: those of a dark endpoint count from their last word. */
-const SAME_END_MS = 3_000;
-/** Ends that are kept, and requests of each: some two megabytes when both are full. */
-const MOST_ENDS = 128;
-const MOST_VICTIMS = 256;
+const CRASH_RETENTION_MS = 300_000;
 /**
- * A request that was lost with so many endpoints is tried by itself, and not sent on at once when it is
- * lost again: the next end may be the one that tells.
+ * Reports within this time of each other describe the same crash. Entries differ because the crash of an
+ * endpoint that fell silent is dated from its last sign of life.
  */
-const ENDS_OF_SUSPECT = 2;
+const SAME_CRASH_WINDOW_MS = 3_000;
+/**
+ * Limits for the number of crashes and of requests in each. Both limits together take about two megabytes.
+ */
+const MAX_CRASHES = 128;
+const MAX_REQUESTS_PER_CRASH = 256;
+/**
+ * After this many crashes a request is sent as a trial only, and not sent to another endpoint at once when it
+ * is lost again, because the next crash may identify the cause.
+ */
+const SUSPECT_CRASHES = 2;
 
-/** Adds up ends. */
-export class CrashLedger {
-  readonly #ends = new Map<string, KnownEnd>();
-  /** Ends by request: it is asked for with each send. */
-  readonly #counts = new Map<ContentDigest, number>();
+/** Collects crash reports and counts crashes per request. */
+export class CrashHistory {
+  readonly #crashes = new Map<string, ObservedCrash>();
+  /** Number of crashes by request. Kept separately because it is read each time a request is sent. */
+  readonly #crashCounts = new Map<ContentDigest, number>();
 
-  /** Takes what an entry saw; several entries see the same end. */
+  /** Adds an entry's report. Several entries report the same crash. */
   add(report: CrashReport, now: Instant): void {
-    const end = this.#find(report, now);
-    for (const victim of report.victims) {
-      this.#addVictim(end, victim);
+    const crash = this.#findOrAdd(report, now);
+    for (const request of report.victims) {
+      this.#addRequest(crash, request);
     }
-    this.#forget(now);
+    this.#removeOld(now);
   }
 
-  /** An endpoint has answered a request: what ended before did not end of it. */
-  answered(content: ContentDigest, now: Instant): void {
-    if (!this.knows(content)) {
+  /** Records that an endpoint answered a request. The request did not cause the crashes before. */
+  noteAnswered(content: ContentDigest, now: Instant): void {
+    if (!this.has(content)) {
       return;
     }
-    for (const { at, victims } of this.#ends.values()) {
-      if (at <= now && victims.delete(content)) {
-        this.#count(content, -1);
+    for (const { at, requests } of this.#crashes.values()) {
+      if (at <= now && requests.delete(content)) {
+        this.#changeCrashCount(content, -1);
       }
     }
   }
 
-  /** Whether an endpoint ended under a request that no endpoint has answered since. */
-  knows(content: ContentDigest): boolean {
-    return this.#counts.has(content);
+  /** Whether an endpoint crashed while the request was in progress, and none answered it since. */
+  has(content: ContentDigest): boolean {
+    return this.#crashCounts.has(content);
   }
 
-  /** Whether a request was at so many ends that it is tried by itself. */
-  suspects(content: ContentDigest): boolean {
-    return this.endsOf(content) >= ENDS_OF_SUSPECT;
+  /** Whether the request was present at enough crashes to be sent as a trial only. */
+  isSuspect(content: ContentDigest): boolean {
+    return this.crashCount(content) >= SUSPECT_CRASHES;
   }
 
-  /** Endpoints that ended under a request since one answered it. */
-  endsOf(content: ContentDigest): number {
-    return this.#counts.get(content) ?? 0;
+  /** Returns the number of crashes at which the request was present since an endpoint last answered it. */
+  crashCount(content: ContentDigest): number {
+    return this.#crashCounts.get(content) ?? 0;
   }
 
-  /** Who ended what is not explained by a request that is held already. */
-  culprits(isHeld: (content: ContentDigest) => boolean): Culprit[] {
-    const open = [...this.#ends.values()].filter(({ victims }) =>
-      ![...victims.keys()].some(isHeld)
+  /** Returns the requests that caused those crashes that no held request explains. */
+  findCrashingRequests(
+    isHeld: (content: ContentDigest) => boolean,
+  ): CrashingRequest[] {
+    const unexplained = [...this.#crashes.values()].filter(({ requests }) =>
+      ![...requests.keys()].some(isHeld)
     );
-    return findCulprits(open);
+    return findCrashingRequests(unexplained);
   }
 
-  /** The end that others told of, or a new one: an endpoint that tells no life may end again under its id. */
-  #find(report: CrashReport, now: Instant): KnownEnd {
-    const found = endOf(report, now);
+  /**
+   * Returns the crash that other entries already reported, or adds a new one. An endpoint that does not
+   * announce its restarts may crash again under the same id.
+   */
+  #findOrAdd(report: CrashReport, now: Instant): ObservedCrash {
+    const reported = crashFromReport(report, now);
     for (let number = 0;; number++) {
       const key = `${report.endpoint} ${report.life ?? ""} ${number}`;
-      const known = this.#ends.get(key);
+      const known = this.#crashes.get(key);
       if (known === undefined) {
-        this.#ends.set(key, found);
-        return found;
+        this.#crashes.set(key, reported);
+        return reported;
       }
-      if (Math.abs(known.at - found.at) < SAME_END_MS) {
+      if (Math.abs(known.at - reported.at) < SAME_CRASH_WINDOW_MS) {
         return known;
       }
     }
   }
 
-  #addVictim(
-    { victims, trials }: KnownEnd,
-    { content, caller, exposure, trial }: CrashVictim,
+  #addRequest(
+    { requests, trials }: ObservedCrash,
+    { content, caller, exposure, trial }: RequestAtCrash,
   ): void {
-    const known = victims.get(content);
-    if (known === undefined && victims.size >= MOST_VICTIMS) {
+    const known = requests.get(content);
+    if (known === undefined && requests.size >= MAX_REQUESTS_PER_CRASH) {
       return;
     }
     if (known === undefined) {
-      this.#count(content, 1);
+      this.#changeCrashCount(content, 1);
     }
     const callers = known ?? new Map();
     callers.set(caller, Math.max(exposure, callers.get(caller) ?? 0));
-    victims.set(content, callers);
+    requests.set(content, callers);
     if (trial) {
       trials.add(content);
     }
   }
 
-  #count(content: ContentDigest, change: 1 | -1): void {
-    const count = this.endsOf(content) + change;
+  #changeCrashCount(content: ContentDigest, change: 1 | -1): void {
+    const count = this.crashCount(content) + change;
     if (count > 0) {
-      this.#counts.set(content, count);
+      this.#crashCounts.set(content, count);
     } else {
-      this.#counts.delete(content);
+      this.#crashCounts.delete(content);
     }
   }
 
-  #forget(now: Instant): void {
-    for (const [key, { at, victims }] of this.#ends) {
-      if (now - at > END_LIFETIME_MS || this.#ends.size > MOST_ENDS) {
-        this.#ends.delete(key);
-        [...victims.keys()].forEach((content) => this.#count(content, -1));
+  #removeOld(now: Instant): void {
+    for (const [key, { at, requests }] of this.#crashes) {
+      if (now - at > CRASH_RETENTION_MS || this.#crashes.size > MAX_CRASHES) {
+        this.#crashes.delete(key);
+        [...requests.keys()].forEach((content) =>
+          this.#changeCrashCount(content, -1)
+        );
       }
     }
   }
 }
 
-function endOf(report: CrashReport, now: Instant): KnownEnd {
+function crashFromReport(report: CrashReport, now: Instant): ObservedCrash {
   const { service, zone, softwareVersion, others, age } = report;
   return {
     service,
     zone,
     softwareVersion,
-    others,
+    otherEndpoints: others,
     at: after(now, -age),
-    victims: new Map(),
+    requests: new Map(),
     trials: new Set(),
   };
 }
--- a/packages/core/src/quarantine/crash_watch.ts
+++ b/packages/core/src/quarantine/crash_watch.ts
@@ -1,5 +1,5 @@
 /**
- * Tells the end of an endpoint from a connection that broke.
+ * Distinguishes crashed endpoints from broken connections.
  *
  * @module
  */
@@ -14,308 +14,345 @@
 import type { RequestFingerprint } from "./fingerprint.ts";
 
 /**
- * A lost attempt waits this long for word that its endpoint ended: the platform takes a record away after
- * three beats without one, and entries read it within two seconds.
+ * A lost attempt waits this long for a sign that its endpoint crashed. The platform removes a record after
+ * three missed heartbeats, and entries read the removal within two seconds.
  */
-const PENDING_MS = 7_000;
-/** Bytes that were under way when an attempt was lost are no sign of life. */
-const STRAGGLER_MS = 100;
+const PENDING_LOSS_TIMEOUT_MS = 7_000;
 /**
- * A closed port may be an endpoint that takes no more connections at present: one that lives is heard from,
- * by the other requests there, before so much time has passed since the loss.
+ * Bytes that arrive this soon after an attempt was lost were already in transit and do not show that the
+ * endpoint is alive.
  */
-const LIFE_WAIT_MS = 150;
-/** An attempt from whose endpoint nothing was heard for so long is lost with it, closed or not. */
-const SILENT_MS = 1_000;
-/** Taken for the time from a request to the end of its endpoint where nothing was heard in between. */
-const UNHEARD_MS = 400;
-/** All connections to an endpoint that ended break at once: one look at its port is enough for them. */
-const KNOCK_PAUSE_MS = 500;
-/** Endpoints that ended, remembered so that what is lost there a moment later counts with them. */
-const ENDED_MEMORY_MS = 10_000;
+const LATE_BYTES_MS = 100;
+/**
+ * A closed port may belong to an endpoint that accepts no more connections for now. If it is alive, its other
+ * requests receive data within this time after the loss.
+ */
+const CLOSED_PORT_WAIT_MS = 150;
+/**
+ * An attempt counts as lost with its endpoint if nothing was received from there for this long, even if the
+ * connection was not closed.
+ */
+const SILENCE_TIMEOUT_MS = 1_000;
+/** Assumed time from the sending of a request to the crash if nothing was received in between. */
+const ASSUMED_TIME_TO_CRASH_MS = 400;
+/** All connections to a crashed endpoint break at once, and one probe of its port is enough for them. */
+const PROBE_INTERVAL_MS = 500;
+/** A crash is remembered this long, so that attempts lost shortly afterwards are added to it. */
+const CRASH_MEMORY_MS = 10_000;
 
-/** An endpoint as its attempts see it. */
+/** The part of an endpoint's state that its attempts see. */
 export interface WatchedEndpoint {
   readonly record: EndpointRecord;
-  /** When bytes last came from it. */
+  /** When bytes were last received from the endpoint. */
   readonly heardAt: Instant | undefined;
 }
 
-/** A request at an endpoint. */
-export interface WatchedRun {
+/** An attempt in progress at an endpoint. */
+export interface TrackedAttempt {
   readonly attempt: AttemptId;
   readonly fingerprint: RequestFingerprint;
   /** Path without its query, for operators. */
   readonly path: string;
   readonly sentAt: Instant;
-  /** Whether it was sent by itself, as it had been at several ends. */
+  /** Whether it was sent as a trial, because the request was present at several crashes. */
   readonly trial: boolean;
-  /** Whether its answer is not read, because its caller has no room. */
-  readonly held?: boolean;
-  /** When it was read again after that. */
-  readonly readAgainAt?: Instant;
+  /** Whether the answer is not being read because the caller's connection is full. */
+  readonly readingPaused?: boolean;
+  /** When reading resumed after that. */
+  readonly readingResumedAt?: Instant;
 }
 
-/** A request that was at an endpoint when that ended. */
-export interface LostRun extends WatchedRun {
+/** An attempt that was lost with its endpoint, or may have been. */
+export interface LostAttempt extends TrackedAttempt {
   readonly lostAt: Instant;
 }
 
-/** An endpoint that has ended, with what this entry had there. */
-export interface EndedEndpoint {
+/** A crashed endpoint and the attempts that this entry lost there. */
+export interface CrashedEndpoint {
   readonly record: EndpointRecord;
   readonly at: Instant;
-  readonly runs: readonly LostRun[];
+  readonly attempts: readonly LostAttempt[];
 }
 
-interface Watched {
+interface EndpointAttempts {
   readonly endpoint: WatchedEndpoint;
-  readonly open: Map<AttemptId, WatchedRun>;
-  lost: LostRun[];
-  /** Nothing listens at its address any more. */
-  refused: boolean;
-  endedAt: Instant | undefined;
-  knockedAt: Instant | undefined;
+  readonly open: Map<AttemptId, TrackedAttempt>;
+  lost: LostAttempt[];
+  /** Whether nothing listens at the endpoint's address any more. */
+  portClosed: boolean;
+  crashedAt: Instant | undefined;
+  probedAt: Instant | undefined;
 }
 
 /**
- * Collects what was lost at each life of an endpoint until it is known whether the endpoint ended.
+ * Collects the attempts lost at each life of an endpoint until it is known whether the endpoint crashed.
  *
- * A connection that breaks may be the network's doing, or the endpoint's way of refusing. Taken for a
- * crash, a reset of some connections would speak against every request on them. So a loss counts only
- * once the endpoint is gone: nothing listens at its address, its record is taken away or tells another
- * life, or a peer says so; and only where nothing was heard from it since. An endpoint that had told that
- * it leaves, or whose record was gone before, has ended as planned.
+ * A connection may also break because of the network, or because the endpoint rejects requests that way. If
+ * that counted as a crash, a few reset connections would be evidence against every request on them. A loss
+ * therefore counts only once the endpoint is gone and if nothing was received from it since. An endpoint is
+ * gone if its port is closed, its record was removed or names another life, or a peer reports the crash. An
+ * endpoint that announced its shutdown, or whose record was removed before, ended as planned.
  */
-export class CrashWatch {
-  readonly #isGone: (record: EndpointRecord) => boolean;
-  readonly #listened: ListenedTimeView;
-  readonly #watched = new Map<string, Watched>();
+export class CrashDetector {
+  readonly #isRecordGone: (record: EndpointRecord) => boolean;
+  readonly #listenedTime: ListenedTimeView;
+  readonly #endpoints = new Map<string, EndpointAttempts>();
 
   constructor(
-    isGone: (record: EndpointRecord) => boolean,
-    listened: ListenedTimeView,
+    isRecordGone: (record: EndpointRecord) => boolean,
+    listenedTime: ListenedTimeView,
   ) {
-    this.#isGone = isGone;
-    this.#listened = listened;
+    this.#isRecordGone = isRecordGone;
+    this.#listenedTime = listenedTime;
   }
 
-  /** A request was sent. */
-  began(endpoint: WatchedEndpoint, run: WatchedRun): void {
-    this.#of(endpoint).open.set(run.attempt, run);
+  /** Records that a request was sent. */
+  noteSent(endpoint: WatchedEndpoint, attempt: TrackedAttempt): void {
+    this.#findOrAdd(endpoint).open.set(attempt.attempt, attempt);
   }
 
-  /** An answer is not read because its caller has no room, or is read again. */
-  held(
+  /**
+   * Records that an answer is not being read because the caller's connection is full, or that reading
+   * resumed.
+   */
+  noteBackpressure(
     endpoint: WatchedEndpoint,
-    attempt: AttemptId,
+    id: AttemptId,
     { held, now }: { held: boolean; now: Instant },
   ): void {
-    const { open } = this.#of(endpoint);
-    const run = open.get(attempt);
-    if (run !== undefined) {
-      const readAgain = held ? {} : { readAgainAt: now };
-      open.set(attempt, { ...run, held, ...readAgain });
+    const { open } = this.#findOrAdd(endpoint);
+    const attempt = open.get(id);
+    if (attempt !== undefined) {
+      const resumed = held ? {} : { readingResumedAt: now };
+      open.set(id, { ...attempt, readingPaused: held, ...resumed });
     }
   }
 
-  /** A request was answered, or left while its endpoint answers others. */
-  ended(endpoint: WatchedEndpoint, attempt: AttemptId): void {
-    this.#of(endpoint).open.delete(attempt);
+  /** Records that a request was answered, or abandoned while its endpoint answers others. */
+  noteEnded(endpoint: WatchedEndpoint, id: AttemptId): void {
+    this.#findOrAdd(endpoint).open.delete(id);
   }
 
-  /** A request's answer broke off, failed, or was not waited for any longer. */
-  lost(endpoint: WatchedEndpoint, attempt: AttemptId, now: Instant): void {
-    const watched = this.#of(endpoint);
-    const run = watched.open.get(attempt);
-    watched.open.delete(attempt);
+  /** Records that an answer broke off, failed, or was no longer waited for. */
+  noteLost(endpoint: WatchedEndpoint, id: AttemptId, now: Instant): void {
+    const tracked = this.#findOrAdd(endpoint);
+    const attempt = tracked.open.get(id);
+    tracked.open.delete(id);
     const planned = endpoint.record.state === "draining" ||
-      (watched.endedAt === undefined && this.#isGone(endpoint.record));
-    if (run !== undefined && !planned) {
-      const lostAt = this.#isSilent(endpoint, run, now)
-        ? silentSince(endpoint, run)
+      (tracked.crashedAt === undefined && this.#isRecordGone(endpoint.record));
+    if (attempt !== undefined && !planned) {
+      const lostAt = this.#isSilent(endpoint, attempt, now)
+        ? estimateCrashTime(endpoint, attempt)
         : now;
-      watched.lost.push({ ...run, lostAt });
+      tracked.lost.push({ ...attempt, lostAt });
     }
   }
 
-  /** Whether to see, after a loss, if something still listens at an endpoint's address. */
-  isToKnock(endpoint: WatchedEndpoint, now: Instant): boolean {
-    const watched = this.#watched.get(keyOf(endpoint.record));
-    const due = watched !== undefined && watched.lost.length > 0 &&
-      watched.endedAt === undefined &&
-      now - (watched.knockedAt ?? -Infinity) >= KNOCK_PAUSE_MS;
+  /** Whether to probe the port of an endpoint after a loss. */
+  shouldProbe(endpoint: WatchedEndpoint, now: Instant): boolean {
+    const tracked = this.#endpoints.get(keyOf(endpoint.record));
+    const due = tracked !== undefined && tracked.lost.length > 0 &&
+      tracked.crashedAt === undefined &&
+      now - (tracked.probedAt ?? -Infinity) >= PROBE_INTERVAL_MS;
     if (due) {
-      watched.knockedAt = now;
+      tracked.probedAt = now;
     }
     return due;
   }
 
-  /** Nothing listens at an endpoint's address. */
-  refused(endpoint: Pick<EndpointRecord, "id" | "life">): void {
-    const watched = this.#watched.get(keyOf(endpoint));
-    if (watched !== undefined) {
-      watched.refused = true;
+  /** Records that nothing listens at an endpoint's address. */
+  notePortClosed(endpoint: Pick<EndpointRecord, "id" | "life">): void {
+    const tracked = this.#endpoints.get(keyOf(endpoint));
+    if (tracked !== undefined) {
+      tracked.portClosed = true;
     }
   }
 
-  /** A peer saw an endpoint's end. */
-  told(
+  /** Records that a peer reported the crash of an endpoint. */
+  noteReported(
     { id, life }: Pick<EndpointRecord, "id" | "life">,
     now: Instant,
   ): void {
-    const watched = this.#watched.get(keyOf({ id, life }));
-    if (watched !== undefined) {
-      watched.endedAt ??= now;
+    const tracked = this.#endpoints.get(keyOf({ id, life }));
+    if (tracked !== undefined) {
+      tracked.crashedAt ??= now;
     }
   }
 
-  /** Endpoints of which it is known by now that they ended, each with what was lost there since the last call. */
-  takeEnded(now: Instant): EndedEndpoint[] {
-    const ended: EndedEndpoint[] = [];
-    for (const [key, watched] of this.#watched) {
-      this.#dropLiving(watched, now);
-      noteReturn(watched);
-      if (this.#hasEnded(watched, now)) {
-        watched.endedAt ??= now;
-        this.#loseSilent(watched, now);
-        ended.push(...takeLost(watched));
+  /**
+   * Returns the endpoints that are known to have crashed, each with the attempts lost there since the last
+   * call.
+   */
+  takeCrashed(now: Instant): CrashedEndpoint[] {
+    const crashed: CrashedEndpoint[] = [];
+    for (const [key, tracked] of this.#endpoints) {
+      this.#dropUnrelatedLosses(tracked, now);
+      resetIfRestarted(tracked);
+      if (this.#hasCrashed(tracked, now)) {
+        tracked.crashedAt ??= now;
+        this.#moveSilentToLost(tracked, now);
+        crashed.push(...takeLost(tracked));
       }
-      if (isIdle(watched, now)) {
-        this.#watched.delete(key);
+      if (isIdle(tracked, now)) {
+        this.#endpoints.delete(key);
       }
     }
-    return ended;
+    return crashed;
   }
 
-  #of(endpoint: WatchedEndpoint): Watched {
+  #findOrAdd(endpoint: WatchedEndpoint): EndpointAttempts {
     const key = keyOf(endpoint.record);
-    const known = this.#watched.get(key);
-    if (known !== undefined) {
-      return known;
+    const existing = this.#endpoints.get(key);
+    if (existing !== undefined) {
+      return existing;
     }
-    const watched: Watched = {
+    const tracked: EndpointAttempts = {
       endpoint,
       open: new Map(),
       lost: [],
-      refused: false,
-      endedAt: undefined,
-      knockedAt: undefined,
+      portClosed: false,
+      crashedAt: undefined,
+      probedAt: undefined,
     };
-    this.#watched.set(key, watched);
-    return watched;
+    this.#endpoints.set(key, tracked);
+    return tracked;
   }
 
-  /** What was lost before the endpoint gave a sign of life, or too long ago, has another cause. */
-  #dropLiving(watched: Watched, now: Instant): void {
-    const { heardAt } = watched.endpoint;
-    const before = watched.lost.length;
-    watched.lost = watched.lost.filter(({ lostAt }) =>
-      (heardAt ?? -Infinity) <= lostAt + STRAGGLER_MS &&
-      now - lostAt < PENDING_MS
+  /**
+   * Drops losses with another cause: those after which the endpoint gave a sign of life, and those too long
+   * ago.
+   */
+  #dropUnrelatedLosses(tracked: EndpointAttempts, now: Instant): void {
+    const { heardAt } = tracked.endpoint;
+    const lossesBefore = tracked.lost.length;
+    tracked.lost = tracked.lost.filter(({ lostAt }) =>
+      (heardAt ?? -Infinity) <= lostAt + LATE_BYTES_MS &&
+      now - lostAt < PENDING_LOSS_TIMEOUT_MS
     );
-    if (before > 0 && watched.lost.length === 0) {
-      watched.refused = false;
+    if (lossesBefore > 0 && tracked.lost.length === 0) {
+      tracked.portClosed = false;
     }
   }
 
-  #hasEnded(
-    { endpoint, lost, refused, endedAt, open }: Watched,
+  #hasCrashed(
+    { endpoint, lost, portClosed, crashedAt, open }: EndpointAttempts,
     now: Instant,
   ): boolean {
-    if (endedAt !== undefined) {
+    if (crashedAt !== undefined) {
       return true;
     }
     if (endpoint.record.state === "draining") {
       return false;
     }
-    const closed = refused &&
+    const confirmedClosed = portClosed &&
       lost.some(({ lostAt }) =>
-        this.#listened.since(lostAt, now) >= LIFE_WAIT_MS
+        this.#listenedTime.since(lostAt, now) >= CLOSED_PORT_WAIT_MS
       );
-    return closed ||
-      this.#isGone(endpoint.record) &&
-        (lost.length > 0 || this.#hasSilent(endpoint, open, now));
+    return confirmedClosed ||
+      this.#isRecordGone(endpoint.record) &&
+        (lost.length > 0 || this.#hasSilentAttempt(endpoint, open, now));
   }
 
-  /** An endpoint that went dark closes nothing. */
-  #loseSilent({ endpoint, open, lost }: Watched, now: Instant): void {
-    for (const [attempt, run] of open) {
-      if (this.#isSilent(endpoint, run, now)) {
-        open.delete(attempt);
-        lost.push({ ...run, lostAt: silentSince(endpoint, run) });
+  /**
+   * Counts silent attempts as lost. The host of the endpoint may have failed without closing its connections.
+   */
+  #moveSilentToLost(
+    { endpoint, open, lost }: EndpointAttempts,
+    now: Instant,
+  ): void {
+    for (const [id, attempt] of open) {
+      if (this.#isSilent(endpoint, attempt, now)) {
+        open.delete(id);
+        lost.push({ ...attempt, lostAt: estimateCrashTime(endpoint, attempt) });
       }
     }
   }
 
-  #hasSilent(
+  #hasSilentAttempt(
     endpoint: WatchedEndpoint,
-    open: ReadonlyMap<AttemptId, WatchedRun>,
+    open: ReadonlyMap<AttemptId, TrackedAttempt>,
     now: Instant,
   ): boolean {
-    return [...open.values()].some((run) => this.#isSilent(endpoint, run, now));
+    return [...open.values()].some((attempt) =>
+      this.#isSilent(endpoint, attempt, now)
+    );
   }
 
   /**
-   * What came during a pause, or is held back for its caller, is yet to be read: an endpoint that answers
-   * would count as ended.
+   * Whether no data was received for an attempt for too long. Time during which this process was paused, or
+   * did not read the answer because the caller's connection was full, does not count: an endpoint that
+   * answers would be taken for a crashed one.
    */
   #isSilent(
     endpoint: WatchedEndpoint,
-    run: WatchedRun,
+    attempt: TrackedAttempt,
     now: Instant,
   ): boolean {
-    return run.held !== true &&
-      this.#listened.since(lastHeard(endpoint, run), now) >= SILENT_MS;
+    return attempt.readingPaused !== true &&
+      this.#listenedTime.since(lastHeardAt(endpoint, attempt), now) >=
+        SILENCE_TIMEOUT_MS;
   }
 }
 
-/** When an attempt, or another one at its endpoint, last heard from there. */
-function lastHeard(
+/**
+ * Returns the time from which the silence of an attempt counts: the last data from the endpoint, the sending
+ * of the request or the resumption of reading, whichever came last.
+ */
+function lastHeardAt(
   { heardAt }: WatchedEndpoint,
-  { sentAt, readAgainAt }: WatchedRun,
+  { sentAt, readingResumedAt }: TrackedAttempt,
 ): Instant {
   return Math.max(
     heardAt ?? -Infinity,
     sentAt,
-    readAgainAt ?? -Infinity,
+    readingResumedAt ?? -Infinity,
   ) as Instant;
 }
 
-/** When an endpoint ended that closed nothing: after its last word, or some time after the request. */
-function silentSince(
+/**
+ * Estimates when an endpoint crashed that closed no connection: at its last sign of life, or some time after
+ * the request was sent.
+ */
+function estimateCrashTime(
   { heardAt }: WatchedEndpoint,
-  { sentAt }: WatchedRun,
+  { sentAt }: TrackedAttempt,
 ): Instant {
   return heardAt !== undefined && heardAt > sentAt
     ? heardAt
-    : after(sentAt, UNHEARD_MS);
+    : after(sentAt, ASSUMED_TIME_TO_CRASH_MS);
 }
 
-/** An endpoint that is heard from after its end has started again without telling a new life. */
-function noteReturn(watched: Watched): void {
-  const { endpoint: { heardAt }, endedAt } = watched;
-  const returned = endedAt !== undefined && heardAt !== undefined &&
-    heardAt > endedAt + STRAGGLER_MS;
-  if (returned) {
-    watched.endedAt = undefined;
-    watched.refused = false;
+/**
+ * Resets the state of an endpoint that sends data after its crash: it restarted without announcing a new
+ * life.
+ */
+function resetIfRestarted(tracked: EndpointAttempts): void {
+  const { endpoint: { heardAt }, crashedAt } = tracked;
+  const restarted = crashedAt !== undefined && heardAt !== undefined &&
+    heardAt > crashedAt + LATE_BYTES_MS;
+  if (restarted) {
+    tracked.crashedAt = undefined;
+    tracked.portClosed = false;
   }
 }
 
-function takeLost(watched: Watched): EndedEndpoint[] {
-  const { endpoint: { record }, lost } = watched;
+function takeLost(tracked: EndpointAttempts): CrashedEndpoint[] {
+  const { endpoint: { record }, lost } = tracked;
   if (lost.length === 0) {
     return [];
   }
-  watched.lost = [];
+  tracked.lost = [];
   const at = Math.min(...lost.map(({ lostAt }) => lostAt)) as Instant;
-  return [{ record, at, runs: lost }];
+  return [{ record, at, attempts: lost }];
 }
 
-function isIdle({ open, lost, endedAt }: Watched, now: Instant): boolean {
-  const remembered = endedAt !== undefined && now - endedAt < ENDED_MEMORY_MS;
-  return open.size === 0 && lost.length === 0 && !remembered;
+function isIdle(
+  { open, lost, crashedAt }: EndpointAttempts,
+  now: Instant,
+): boolean {
+  const recentlyCrashed = crashedAt !== undefined &&
+    now - crashedAt < CRASH_MEMORY_MS;
+  return open.size === 0 && lost.length === 0 && !recentlyCrashed;
 }
 
 function keyOf(
--- a/packages/core/src/quarantine/fingerprint.ts
+++ b/packages/core/src/quarantine/fingerprint.ts
@@ -1,11 +1,11 @@
 /**
- * What a request is known by when it comes again: under another id, at another entry.
+ * Identifies repetitions of a request, which may have another id and arrive at another entry.
  *
  * @module
  */
 import type { CallerDigest, ContentDigest } from "../ids/index.ts";
 
-/** Two requests are repeats of each other where both are equal. */
+/** Two requests are repetitions of each other if both digests are equal. */
 export interface RequestFingerprint {
   readonly content: ContentDigest;
   readonly caller: CallerDigest;
--- a/packages/core/src/quarantine/hold_keeper.ts
+++ b/packages/core/src/quarantine/hold_keeper.ts
@@ -1,10 +1,10 @@
 /**
- * Begins, prolongs and ends holds, tells other entries and writes the operators' lines.
+ * Starts, extends and ends holds, announces them to other entries and logs them for operators.
  *
  * @module
  */
 import type { ContentDigest, Instant } from "../ids/index.ts";
-import type { Culprit } from "./crash_evidence.ts";
+import type { CrashingRequest } from "./crash_evidence.ts";
 import {
   type AnsweredRequest,
   type CrashReport,
@@ -13,17 +13,17 @@
   type QuarantineNews,
 } from "./quarantine_messages.ts";
 import { type HeldRequest, HoldList } from "./hold_list.ts";
-import { holdLine } from "./quarantine_lines.ts";
+import { holdLogEntry } from "./quarantine_lines.ts";
 
-/** Who is told. */
+/** The peers that receive a message. */
 export type NewsRecipients =
-  /** Entries that carry requests: they add up. */
+  /** The serving entries, which all collect crash reports. */
   | "carriers"
-  /** Some entries, that pass it on. */
+  /** Some peers, which forward the message. */
   | "spread";
 
-/** What the keeper works with. */
-export interface HoldKeeperSources {
+/** Dependencies of `HoldController`. */
+export interface HoldControllerDependencies {
   readonly tell: (news: QuarantineNews, to: NewsRecipients) => void;
   readonly log: (
     part: "quarantine",
@@ -32,100 +32,112 @@
   ) => void;
 }
 
-/** Keeps the holds that all entries share. */
-export class HoldKeeper {
+/** Manages the holds, which are shared by all entries. */
+export class HoldController {
   readonly holds = new HoldList();
-  readonly #sources: HoldKeeperSources;
+  readonly #deps: HoldControllerDependencies;
 
-  constructor(sources: HoldKeeperSources) {
-    this.#sources = sources;
+  constructor(deps: HoldControllerDependencies) {
+    this.#deps = deps;
   }
 
-  /** A request ends what runs it. */
-  hold({ content, caller, ends, score }: Culprit, now: Instant): void {
-    const { service } = ends[0]!;
-    const versions = ends.map(({ softwareVersion }) => softwareVersion);
-    const fields = { ends: ends.length, score: Number(score.toFixed(1)) };
-    this.#put({ content, caller, service, versions }, fields, now);
+  /** Holds a request that crashes endpoints. */
+  hold(
+    { content, caller, crashes, score }: CrashingRequest,
+    now: Instant,
+  ): void {
+    const { service } = crashes[0]!;
+    const versions = crashes.map(({ softwareVersion }) => softwareVersion);
+    const fields = { ends: crashes.length, score: Number(score.toFixed(1)) };
+    this.#holdAndAnnounce({ content, caller, service, versions }, fields, now);
   }
 
-  /** An end under a held request: a trial has failed, or other software or callers are no better. */
-  noteEnd(
+  /**
+   * Extends holds after a crash at which a held request was present: a trial failed, or the request also
+   * crashes other software versions or comes from other callers.
+   */
+  noteCrash(
     { service, softwareVersion, age, victims }: CrashReport,
     now: Instant,
   ): void {
     const at = (now - age) as Instant;
     for (const { content, caller } of victims) {
-      const end = { at, version: softwareVersion, caller };
-      if (this.holds.isNewEnd(content, end)) {
-        const held = this.holds.notice(content, now)!;
-        const one = held.caller === caller ? caller : undefined;
+      const crash = { at, version: softwareVersion, caller };
+      if (this.holds.isNewCrash(content, crash)) {
+        const current = this.holds.notice(content, now)!;
+        const onlyCaller = current.caller === caller ? caller : undefined;
         const versions = [softwareVersion];
-        this.#put({ content, caller: one, service, versions }, {}, now);
+        this.#holdAndAnnounce(
+          { content, caller: onlyCaller, service, versions },
+          {},
+          now,
+        );
       }
     }
   }
 
-  /** An endpoint has answered a request. */
+  /** Records that an endpoint answered a request. */
   noteAnswered(
     { content, softwareVersion }: AnsweredRequest,
     now: Instant,
   ): void {
     if (this.holds.noteAnswered(content, softwareVersion)) {
-      this.#noteOver(content, "answered", now);
+      this.#announceEnd(content, "answered", now);
     }
   }
 
-  /** An operator ends a hold; `false` where there is none. */
+  /** Ends a hold at an operator's command. Returns `false` if the request is not held. */
   release(content: ContentDigest, now: Instant): boolean {
     const released = this.holds.release(content);
     if (released) {
-      this.#noteOver(content, "operator", now);
+      this.#announceEnd(content, "operator", now);
     }
     return released;
   }
 
-  /** Takes what a peer holds back, and passes news on. */
-  learn(notice: HoldNotice, now: Instant): void {
-    if (this.holds.learn(notice, now)) {
+  /** Merges a hold received from a peer and forwards it if it was new. */
+  merge(notice: HoldNotice, now: Instant): void {
+    if (this.holds.merge(notice, now)) {
       this.#logHold(notice.content, { told: true }, now);
-      this.#spread(notice.content, now);
+      this.#announce(notice.content, now);
     }
   }
 
-  /** Ends what is over by time. */
+  /** Ends holds whose time is over. */
   tick(now: Instant): void {
-    this.holds.forget(now).forEach((content) => this.#logOver(content, "time"));
+    this.holds.removeExpired(now).forEach((content) =>
+      this.#logEnd(content, "time")
+    );
   }
 
-  #put(
+  #holdAndAnnounce(
     held: HeldRequest,
     fields: Readonly<Record<string, unknown>>,
     now: Instant,
   ): void {
     this.holds.hold(held, now);
-    this.#spread(held.content, now);
+    this.#announce(held.content, now);
     this.#logHold(held.content, fields, now);
   }
 
-  #noteOver(
+  #announceEnd(
     content: ContentDigest,
     reason: "answered" | "operator",
     now: Instant,
   ): void {
-    this.#logOver(content, reason);
-    this.#spread(content, now);
+    this.#logEnd(content, reason);
+    this.#announce(content, now);
   }
 
-  #spread(content: ContentDigest, now: Instant): void {
+  #announce(content: ContentDigest, now: Instant): void {
     const notice = this.holds.notice(content, now);
     if (notice !== undefined) {
-      this.#sources.tell({ ...NOTHING_NEW, holds: [notice] }, "spread");
+      this.#deps.tell({ ...NOTHING_NEW, holds: [notice] }, "spread");
     }
   }
 
-  #logOver(content: ContentDigest, reason: string): void {
-    this.#sources.log("quarantine", "Request is no longer held back.", {
+  #logEnd(content: ContentDigest, reason: string): void {
+    this.#deps.log("quarantine", "Request is no longer held back.", {
       digest: content,
       reason,
     });
@@ -137,7 +149,7 @@
     now: Instant,
   ): void {
     const notice = this.holds.notice(content, now)!;
-    const { text, fields: known } = holdLine(notice);
-    this.#sources.log("quarantine", text, { ...known, ...fields });
+    const { text, fields: holdFields } = holdLogEntry(notice);
+    this.#deps.log("quarantine", text, { ...holdFields, ...fields });
   }
 }
--- a/packages/core/src/quarantine/hold_list.ts
+++ b/packages/core/src/quarantine/hold_list.ts
@@ -1,5 +1,5 @@
 /**
- * Requests that are sent to no endpoint, for how long, and what ends that.
+ * Requests that are held, which means sent to no endpoint, and the rules for how long.
  *
  * @module
  */
@@ -14,62 +14,73 @@
 import type { RequestFingerprint } from "./fingerprint.ts";
 
 /**
- * First time that a request is held, doubled with each end that it brings after that, up to the most. A
- * good request that was held by mistake is back after two minutes; a bad one has ended three endpoints more
- * after a quarter of an hour, and then one in each half hour, hour and so on.
+ * Duration of the first hold of a request. It doubles with each further crash up to the maximum. A harmless
+ * request that was held by mistake is released after two minutes. A harmful one has crashed three more
+ * endpoints after a quarter of an hour, and then one in the next half hour, hour and so on.
  */
 const FIRST_HOLD_MS = 120_000;
-const MOST_HOLD_MS = 14_400_000;
-/** A trial has an outcome by then: its endpoint has answered, or its end is known everywhere. */
-const TRIAL_MS = 12_000;
-/** Each took three endpoints at least, so that many mean many ends; the one that ends first yields. */
-const MOST_HOLDS = 256;
-/** Holds told in one message: a ping to a newcomer has little room left. */
+const MAX_HOLD_MS = 14_400_000;
+/** A trial has a result within this time: the endpoint answered, or its crash is known to all entries. */
+const TRIAL_TIMEOUT_MS = 12_000;
+/**
+ * Limit for the number of holds. Each hold stands for at least three crashed endpoints, so this many mean
+ * many crashes. If the limit is exceeded, the hold that expires first is dropped.
+ */
+const MAX_HOLDS = 256;
+/** Number of holds in one message. A ping that brings a new entry up to date has little space left. */
 const HOLDS_PER_MESSAGE = 2;
 
-/** One hold. */
+/** A hold on a request. */
 interface Hold {
   readonly content: ContentDigest;
   caller: HoldNotice["caller"];
   readonly service: HoldNotice["service"];
   readonly versions: Set<string>;
-  /** Software that has answered it since. */
-  readonly mended: Set<string>;
+  /** Software versions that answered the request since the hold began. */
+  readonly answeredVersions: Set<string>;
   term: number;
-  /** Until then nothing is tried but software that it has not ended yet. */
-  until: Instant;
-  /** Remembered so long, so that no late notice brings it back. */
-  forgetAt: Instant;
+  /** Until then the request is tried only on software versions that it has not crashed. */
+  heldUntil: Instant;
+  /** The hold is kept until then, so that no delayed message brings it back. */
+  removeAt: Instant;
   released: boolean;
-  triedAt: Instant | undefined;
+  lastTrialAt: Instant | undefined;
 }
 
-/** What is held, and why. */
+/** A request to hold and the software versions that it crashed. */
 export type HeldRequest = Pick<
   HoldNotice,
   "content" | "caller" | "service" | "versions"
 >;
 
-/** What becomes of a request. */
-export type HoldVerdict =
+/** Whether a request may be sent to an endpoint. */
+export type HoldDecision =
   | { readonly kind: "free" }
-  /** It goes to no endpoint; there is no use in asking again before `wait` is over. */
+  /** The request is sent to no endpoint. Retrying before `wait` is over is useless. */
   | { readonly kind: "held"; readonly wait: Milliseconds }
-  /** It may go to endpoints of other software than this: as a trial, or as that has answered it. */
+  /**
+   * The request may be sent to endpoints with other software versions than these, either as a trial or
+   * because such a version already answered it.
+   */
   | { readonly kind: "limited"; readonly except: ReadonlySet<string> };
 
-const FREE: HoldVerdict = { kind: "free" };
-const NOTHING: ReadonlySet<string> = new Set();
+const FREE: HoldDecision = { kind: "free" };
+const NO_VERSIONS: ReadonlySet<string> = new Set();
 
-/** Whether this entry is the one that tries a request, on endpoints of other software than `tested`. */
-export type MayTry = (tested: ReadonlySet<string>) => boolean;
+/**
+ * Returns whether this entry may try a held request on endpoints with other software versions than the given
+ * ones.
+ */
+export type TrialPermission = (
+  excludedVersions: ReadonlySet<string>,
+) => boolean;
 
-/** Keeps holds. */
+/** The holds known to this entry. */
 export class HoldList {
   readonly #holds = new Map<ContentDigest, Hold>();
-  #told = 0;
+  #nextIndex = 0;
 
-  /** Holds in force. */
+  /** Number of holds in force. */
   get size(): number {
     return [...this.#holds.values()].filter(({ released }) => !released).length;
   }
@@ -78,31 +89,35 @@
     return this.#holds.get(content)?.released === false;
   }
 
-  /** Whether a request may go to an endpoint. */
-  judge(
+  /** Returns whether a request may be sent to an endpoint. */
+  check(
     { content, caller }: RequestFingerprint,
-    mayTry: MayTry,
+    mayTry: TrialPermission,
     now: Instant,
-  ): HoldVerdict {
+  ): HoldDecision {
     const hold = this.#holds.get(content);
-    if (hold === undefined || hold.released || !isMeant(hold, caller)) {
+    if (hold === undefined || hold.released || !appliesTo(hold, caller)) {
       return FREE;
     }
-    if (hold.mended.size > 0 && now < hold.until) {
+    if (hold.answeredVersions.size > 0 && now < hold.heldUntil) {
       return { kind: "limited", except: hold.versions };
     }
-    const tested = now >= hold.until ? NOTHING : hold.versions;
-    const onTrial = now - (hold.triedAt ?? -Infinity) < TRIAL_MS;
-    if (!onTrial && mayTry(tested)) {
-      return { kind: "limited", except: tested };
+    const excludedVersions = now >= hold.heldUntil
+      ? NO_VERSIONS
+      : hold.versions;
+    const trialPending =
+      now - (hold.lastTrialAt ?? -Infinity) < TRIAL_TIMEOUT_MS;
+    if (!trialPending && mayTry(excludedVersions)) {
+      return { kind: "limited", except: excludedVersions };
     }
-    const left = Math.max(TRIAL_MS, hold.until - now);
-    return { kind: "held", wait: milliseconds(left) };
+    const remaining = Math.max(TRIAL_TIMEOUT_MS, hold.heldUntil - now);
+    return { kind: "held", wait: milliseconds(remaining) };
   }
 
   /**
-   * An endpoint has answered a held request: on software that it had ended the hold is over, on other
-   * software it goes on for the former alone. Returns whether it is over.
+   * Records that an endpoint answered a held request. If the request had crashed the same software version,
+   * the hold is over. Otherwise the hold continues for the crashed versions only. Returns whether the hold is
+   * over.
    */
   noteAnswered(content: ContentDigest, version: string): boolean {
     const hold = this.#holds.get(content);
@@ -112,48 +127,55 @@
     if (hold.versions.has(version)) {
       return this.release(content);
     }
-    hold.mended.add(version);
-    hold.triedAt = undefined;
+    hold.answeredVersions.add(version);
+    hold.lastTrialAt = undefined;
     return false;
   }
 
-  /** A held request was sent as a trial. */
+  /** Records that a held request was sent as a trial. */
   noteTrial(content: ContentDigest, now: Instant): void {
     const hold = this.#holds.get(content);
     if (hold !== undefined) {
-      hold.triedAt = now;
+      hold.lastTrialAt = now;
     }
   }
 
-  /** Holds a request, or holds it for longer: it has ended endpoints again, or other callers send it too. */
+  /**
+   * Holds a request, or extends its hold because it crashed another endpoint or other callers send it too.
+   */
   hold(
     { content, caller, service, versions }: HeldRequest,
     now: Instant,
   ): void {
-    const known = this.#holds.get(content);
-    const term = (known?.term ?? 0) + 1;
-    const lasts = Math.min(MOST_HOLD_MS, FIRST_HOLD_MS * 2 ** (term - 1));
-    const former = known?.released === false ? known.versions : [];
+    const existing = this.#holds.get(content);
+    const term = (existing?.term ?? 0) + 1;
+    const duration = Math.min(MAX_HOLD_MS, FIRST_HOLD_MS * 2 ** (term - 1));
+    const previousVersions = existing?.released === false
+      ? existing.versions
+      : [];
     this.#put({
       content,
       caller,
       service,
-      versions: new Set([...former, ...versions]),
-      mended: new Set(
-        [...known?.mended ?? []].filter((version) =>
+      versions: new Set([...previousVersions, ...versions]),
+      answeredVersions: new Set(
+        [...existing?.answeredVersions ?? []].filter((version) =>
           !versions.includes(version)
         ),
       ),
       term,
-      until: after(now, lasts),
-      forgetAt: after(now, 2 * lasts),
+      heldUntil: after(now, duration),
+      removeAt: after(now, 2 * duration),
       released: false,
-      triedAt: undefined,
+      lastTrialAt: undefined,
     });
   }
 
-  /** What an end under a held request says: something new only after a trial, or of other software. */
-  isNewEnd(
+  /**
+   * Whether a crash during a held request gives a reason to extend the hold: it happened after the hold's
+   * time, on another software version, or with the request of another caller.
+   */
+  isNewCrash(
     content: ContentDigest,
     { at, version, caller }: {
       at: Instant;
@@ -165,11 +187,14 @@
     if (hold === undefined || hold.released) {
       return false;
     }
-    const others = hold.caller !== undefined && caller !== hold.caller;
-    return at >= hold.until || !hold.versions.has(version) || others;
+    const isOtherCaller = hold.caller !== undefined && caller !== hold.caller;
+    return at >= hold.heldUntil || !hold.versions.has(version) || isOtherCaller;
   }
 
-  /** Ends a hold: an endpoint has answered the request, or an operator says so. */
+  /**
+   * Ends a hold, after an endpoint answered the request or at an operator's command. Returns whether there
+   * was one.
+   */
   release(content: ContentDigest): boolean {
     const hold = this.#holds.get(content);
     if (hold === undefined || hold.released) {
@@ -179,93 +204,103 @@
     return true;
   }
 
-  /** Takes another entry's word; returns whether it was news. */
-  learn(notice: HoldNotice, now: Instant): boolean {
-    const known = this.#holds.get(notice.content);
-    if (known !== undefined && notice.term === known.term) {
-      notice.versions.forEach((version) => known.versions.add(version));
-      notice.mended.forEach((version) => known.mended.add(version));
-      known.caller = notice.caller === known.caller ? known.caller : undefined;
+  /**
+   * Merges a hold received from another entry. Returns whether the hold was started, extended or ended by
+   * this.
+   */
+  merge(notice: HoldNotice, now: Instant): boolean {
+    const existing = this.#holds.get(notice.content);
+    if (existing !== undefined && notice.term === existing.term) {
+      notice.versions.forEach((version) => existing.versions.add(version));
+      notice.mended.forEach((version) =>
+        existing.answeredVersions.add(version)
+      );
+      existing.caller = notice.caller === existing.caller
+        ? existing.caller
+        : undefined;
       return notice.released && this.release(notice.content);
     }
-    if (notice.term < (known?.term ?? 0)) {
+    if (notice.term < (existing?.term ?? 0)) {
       return false;
     }
-    const until = after(now, notice.remaining);
+    const heldUntil = after(now, notice.remaining);
     this.#put({
       ...notice,
       versions: new Set(notice.versions),
-      mended: new Set(notice.mended),
-      until,
-      forgetAt: after(until, FIRST_HOLD_MS),
-      triedAt: undefined,
+      answeredVersions: new Set(notice.mended),
+      heldUntil,
+      removeAt: after(heldUntil, FIRST_HOLD_MS),
+      lastTrialAt: undefined,
     });
     return true;
   }
 
-  /** A hold as it is told. */
+  /** Returns a hold in the form sent to other entries. */
   notice(content: ContentDigest, now: Instant): HoldNotice | undefined {
     const hold = this.#holds.get(content);
     return hold === undefined ? undefined : noticeOf(hold, now);
   }
 
-  /** Holds for the next message, each in turn. */
+  /** Returns the holds for the next message. Successive calls cycle through all holds. */
   next(now: Instant): HoldNotice[] {
-    const all = [...this.#holds.values()];
-    const count = Math.min(HOLDS_PER_MESSAGE, all.length);
-    const from = this.#told;
-    this.#told += count;
+    const holds = [...this.#holds.values()];
+    const count = Math.min(HOLDS_PER_MESSAGE, holds.length);
+    const start = this.#nextIndex;
+    this.#nextIndex += count;
     return Array.from(
       { length: count },
-      (_, index) => noticeOf(all[(from + index) % all.length]!, now),
+      (_, index) => noticeOf(holds[(start + index) % holds.length]!, now),
     );
   }
 
-  /** Holds in force, for operators. */
+  /** Returns the holds in force, for operators. */
   list(now: Instant): HoldNotice[] {
     return [...this.#holds.values()].filter(({ released }) => !released)
       .map((hold) => noticeOf(hold, now));
   }
 
-  /** Forgets what nobody sent for long after its time; returns holds that ended so. */
-  forget(now: Instant): ContentDigest[] {
-    const over = [...this.#holds.values()].filter(({ forgetAt }) =>
-      now >= forgetAt
+  /**
+   * Removes holds whose time was over long ago without a further crash. Returns those that had not been
+   * released.
+   */
+  removeExpired(now: Instant): ContentDigest[] {
+    const expired = [...this.#holds.values()].filter(({ removeAt }) =>
+      now >= removeAt
     );
-    over.forEach(({ content }) => this.#holds.delete(content));
-    return over.filter(({ released }) => !released).map(({ content }) =>
+    expired.forEach(({ content }) => this.#holds.delete(content));
+    return expired.filter(({ released }) => !released).map(({ content }) =>
       content
     );
   }
 
   #put(hold: Hold): void {
     this.#holds.set(hold.content, hold);
-    if (this.#holds.size > MOST_HOLDS) {
-      const [first] = [...this.#holds.values()].sort((left, right) =>
-        left.until - right.until
+    if (this.#holds.size > MAX_HOLDS) {
+      const [earliest] = [...this.#holds.values()].sort((left, right) =>
+        left.heldUntil - right.heldUntil
       );
-      this.#holds.delete(first!.content);
+      this.#holds.delete(earliest!.content);
     }
   }
 }
 
-function isMeant(
+function appliesTo(
   { caller }: Hold,
-  asking: RequestFingerprint["caller"],
+  requestCaller: RequestFingerprint["caller"],
 ): boolean {
-  return caller === undefined || caller === asking;
+  return caller === undefined || caller === requestCaller;
 }
 
 function noticeOf(hold: Hold, now: Instant): HoldNotice {
-  const { until, versions, mended, ...rest } = hold;
+  const { heldUntil, versions, answeredVersions, ...rest } = hold;
   return {
     content: rest.content,
     caller: rest.caller,
     service: rest.service,
     versions: [...versions],
-    mended: [...mended],
+    mended: [...answeredVersions],
     term: rest.term,
-    remaining: milliseconds(Math.max(0, until - now)),
+    remaining: milliseconds(Math.max(0, heldUntil - now)),
     released: rest.released,
   };
 }
--- a/packages/core/src/quarantine/open_trials.ts
+++ b/packages/core/src/quarantine/open_trials.ts
@@ -1,5 +1,6 @@
 /**
- * Requests that were at several ends, sent one at a time until it is known what they do.
+ * Sends requests that were present at several crashes one copy at a time, until it is known whether they
+ * crash endpoints.
  *
  * @module
  */
@@ -13,97 +14,116 @@
   type RequestId,
 } from "../ids/index.ts";
 
-/** A trial without any news is over: longer than the end of an endpoint takes to be known. */
-const TRIAL_MS = 5_000;
-/** A claim that is not followed by its trial: the request has gone, or found no endpoint. */
-const CLAIM_LIFETIME_MS = 600;
+/** A trial without a result ends after this time, which is longer than it takes to detect a crash. */
+const TRIAL_TIMEOUT_MS = 5_000;
+/**
+ * A claim expires after this time if no trial follows, because the request was cancelled or found no
+ * endpoint.
+ */
+const CLAIM_TIMEOUT_MS = 600;
 
 interface Trial {
   readonly since: Instant;
   readonly until: Instant;
-  /** Ends known under the request when it began: with another end it is over. */
-  readonly ends: number;
-  /** `undefined` for one of another entry. */
+  /** Known crashes with the request when the trial began. The trial ends at the next crash. */
+  readonly crashes: number;
+  /** `undefined` for a trial of another entry. */
   readonly request: RequestId | undefined;
   readonly sent: boolean;
 }
 
-/** A request that asks for its trial. */
+/** A request that needs a trial. */
 export interface TrialRequest {
   readonly request: RequestId;
-  /** Ends known under it. */
-  readonly ends: number;
+  /** Known crashes with the request. */
+  readonly crashes: number;
 }
 
-/** What becomes of a request that asks. */
-export type TrialAnswer =
+/** Whether a request may be sent as a trial now. */
+export type TrialDecision =
   | "go"
-  /** Another copy is tried, or claims are still under way. */
+  /** Another copy is being tried, or claims are still in transit. */
   | "wait"
-  /** As `wait`; the others have to be told of the claim. */
+  /** Like `wait`, and the claim must be announced to the other entries. */
   | "claim";
 
 /**
- * While all copies of a request are sent as they come, ten endpoints end before the end of the first is
- * known; and a good request that was unlucky three times needs only one chance to be answered.
+ * Coordinates trials between entries, so that one copy of a request is tried at a time.
  *
- * Copies that wait at several entries would all go in the moment at which a trial is over: four and six
- * endpoints ended at once. So each entry claims the next trial and waits for the others' claims; of those
- * that cross the one of the lowest rank goes.
+ * If all copies were sent as they arrive, ten endpoints would crash before the first crash is detected. A
+ * harmless request that was present at three crashes by chance needs only one trial to be answered.
+ *
+ * Copies waiting at several entries would all be sent at the moment a trial ends, which crashed four and six
+ * endpoints at once. Therefore each entry claims the next trial and waits for the claims of others. If claims
+ * cross, the one with the lowest rank wins.
  */
-export class OpenTrials {
+export class TrialCoordinator {
   readonly #self: Incarnation;
-  readonly #claimTime: Milliseconds;
+  readonly #claimDelay: Milliseconds;
   readonly #trials = new Map<ContentDigest, Trial>();
 
-  /** `claimTime`: longer than a message takes between any two entries; 0 for no claims. */
-  constructor(self: Incarnation, claimTime: Milliseconds) {
+  /**
+   * `claimDelay` must exceed the latency of a message between any two entries. With 0, trials are not
+   * claimed.
+   */
+  constructor(self: Incarnation, claimDelay: Milliseconds) {
     this.#self = self;
-    this.#claimTime = claimTime;
+    this.#claimDelay = claimDelay;
   }
 
-  /** Whether a copy may be sent now. */
-  ask(
+  /** Decides whether a copy of a request may be sent now, and claims the trial if it is free. */
+  requestTrial(
     content: ContentDigest,
-    { request, ends }: TrialRequest,
+    { request, crashes }: TrialRequest,
     now: Instant,
-  ): TrialAnswer {
-    const trial = this.#open(content, ends, now);
+  ): TrialDecision {
+    const trial = this.#current(content, crashes, now);
     if (trial === undefined) {
-      return this.#claim(content, { request, ends }, now);
+      return this.#claim(content, { request, crashes }, now);
     }
-    const own = trial.request === request;
-    const settled = trial.sent || now - trial.since >= this.#claimTime;
-    return own && settled ? "go" : "wait";
+    const isOwn = trial.request === request;
+    const settled = trial.sent || now - trial.since >= this.#claimDelay;
+    return isOwn && settled ? "go" : "wait";
   }
 
-  /** This entry sends a copy. */
+  /** Records that this entry sends a copy. */
   begin(
     content: ContentDigest,
-    { request, ends }: TrialRequest,
+    { request, crashes }: TrialRequest,
     now: Instant,
   ): void {
-    const until = after(now, TRIAL_MS);
-    this.#trials.set(content, { since: now, until, ends, request, sent: true });
+    const until = after(now, TRIAL_TIMEOUT_MS);
+    this.#trials.set(content, {
+      since: now,
+      until,
+      crashes,
+      request,
+      sent: true,
+    });
   }
 
-  /** Another entry claims a trial, or sends its copy. */
-  learn(
+  /** Records that another entry claims a trial or sends its copy. */
+  noteRemote(
     content: ContentDigest,
-    { from, sent, ends }: { from: Incarnation; sent: boolean; ends: number },
+    { from, sent, crashes }: {
+      from: Incarnation;
+      sent: boolean;
+      crashes: number;
+    },
     now: Instant,
   ): void {
-    const known = this.#open(content, ends, now);
-    const own = known?.request !== undefined;
-    const keeps = own && (known.sent || !sent && this.#isFirst(content, from));
-    if (!keeps) {
-      const until = after(now, sent ? TRIAL_MS : CLAIM_LIFETIME_MS);
+    const pending = this.#current(content, crashes, now);
+    const isOwn = pending?.request !== undefined;
+    const keepsOwn = isOwn &&
+      (pending.sent || !sent && this.#hasPriority(content, from));
+    if (!keepsOwn) {
+      const until = after(now, sent ? TRIAL_TIMEOUT_MS : CLAIM_TIMEOUT_MS);
       const request = undefined;
-      this.#trials.set(content, { since: now, until, ends, request, sent });
+      this.#trials.set(content, { since: now, until, crashes, request, sent });
     }
   }
 
-  forget(now: Instant): void {
+  removeExpired(now: Instant): void {
     for (const [content, { until }] of this.#trials) {
       if (now >= until) {
         this.#trials.delete(content);
@@ -113,36 +133,36 @@
 
   #claim(
     content: ContentDigest,
-    { request, ends }: TrialRequest,
+    { request, crashes }: TrialRequest,
     now: Instant,
-  ): TrialAnswer {
-    if (this.#claimTime === 0) {
+  ): TrialDecision {
+    if (this.#claimDelay === 0) {
       return "go";
     }
-    const until = after(now, CLAIM_LIFETIME_MS);
+    const until = after(now, CLAIM_TIMEOUT_MS);
     this.#trials.set(content, {
       since: now,
       until,
-      ends,
+      crashes,
       request,
       sent: false,
     });
     return "claim";
   }
 
-  #open(
+  #current(
     content: ContentDigest,
-    ends: number,
+    crashes: number,
     now: Instant,
   ): Trial | undefined {
     const trial = this.#trials.get(content);
-    const over = trial === undefined || now >= trial.until ||
-      ends > trial.ends;
-    return over ? undefined : trial;
+    const ended = trial === undefined || now >= trial.until ||
+      crashes > trial.crashes;
+    return ended ? undefined : trial;
   }
 
-  /** Whether this entry's claim goes before another's. */
-  #isFirst(content: ContentDigest, other: Incarnation): boolean {
+  /** Whether this entry's claim takes precedence over that of another entry. */
+  #hasPriority(content: ContentDigest, other: Incarnation): boolean {
     return rankOf(content, this.#self) < rankOf(content, other);
   }
 }
--- a/packages/core/src/quarantine/quarantine_controller.ts
+++ b/packages/core/src/quarantine/quarantine_controller.ts
@@ -1,11 +1,11 @@
 /**
- * Holds back requests that crash what runs them.
+ * Holds back requests that crash the endpoints they run on.
  *
- * Attempts, the budget of repeats and the trials of suspects each bound one request, one entry or one
- * endpoint. A request that ends its endpoint and comes again, with another id and at another entry, is new
- * to all of them: it ended 29 engines in 17 s, and of the callers beside it none to five in 25 were served
- * in time. So entries tell each other under what their endpoints ended, add that up in the same way, and
- * tell all when they hold a request back.
+ * Limits on attempts, the retry budget and the health checks of endpoints each protect one request, one entry
+ * or one endpoint. A request that crashes its endpoint and is sent again, with another id and through another
+ * entry, is new to all of them. One such request crashed 29 engines within 17 seconds, and most other callers
+ * were not served in time. Entries therefore report to each other which requests were in progress at each
+ * crash, evaluate the reports in the same way, and announce to all when they hold a request.
  *
  * @module
  */
@@ -19,19 +19,19 @@
 } from "../ids/index.ts";
 import type { ListenedTimeView } from "../listening/index.ts";
 import type { EndpointRecord } from "../routes/index.ts";
-import { CrashLedger } from "./crash_ledger.ts";
-import { partsOf, reportOf } from "./report_end.ts";
+import { CrashHistory } from "./crash_ledger.ts";
+import { createReport, splitReport } from "./report_end.ts";
 import {
-  CrashWatch,
-  type EndedEndpoint,
+  CrashDetector,
+  type CrashedEndpoint,
+  type TrackedAttempt,
   type WatchedEndpoint,
-  type WatchedRun,
 } from "./crash_watch.ts";
 import type { RequestFingerprint } from "./fingerprint.ts";
-import { HoldKeeper, type NewsRecipients } from "./hold_keeper.ts";
-import type { HoldList, HoldVerdict } from "./hold_list.ts";
-import { OpenTrials } from "./open_trials.ts";
-import { endFields } from "./quarantine_lines.ts";
+import { HoldController, type NewsRecipients } from "./hold_keeper.ts";
+import type { HoldDecision, HoldList } from "./hold_list.ts";
+import { TrialCoordinator } from "./open_trials.ts";
+import { crashLogFields } from "./quarantine_lines.ts";
 import {
   type AnsweredRequest,
   type CrashReport,
@@ -40,24 +40,31 @@
   type QuarantineNews,
   type TriedRequest,
 } from "./quarantine_messages.ts";
-import { ServedMemory } from "./served_memory.ts";
-import { trialOwner, type TrialSources } from "./trial_owner.ts";
+import { AnswerHistory } from "./served_memory.ts";
+import {
+  createTrialPermission,
+  type TrialDependencies,
+} from "./trial_owner.ts";
 
-/** Answered requests in one datagram: it stays under 1,400 bytes. */
+/** Number of answered requests in one datagram, which keeps it below 1,400 bytes. */
 const ANSWERED_PER_MESSAGE = 48;
 /**
- * Ends that are told in a second. Where more end together it is a zone or a rack, which says nothing of a
- * request, and hundreds of reports to each entry that carries would cost more than what they are for.
+ * Limit for the crashes that an entry reports per second. If more endpoints crash together, a zone or a rack
+ * failed, which is no evidence against a request, and hundreds of reports to each serving entry would cost
+ * more than they are worth.
  */
-const MOST_TOLD = 8;
+const MAX_REPORTS_PER_SECOND = 8;
 const SECOND_MS = 1_000;
 
-/** What the controller works with. */
-export interface QuarantineSources extends TrialSources {
+/** Dependencies of `QuarantineController`. */
+export interface QuarantineControllerDependencies extends TrialDependencies {
   readonly listened: ListenedTimeView;
-  /** Longer than a message takes between any two entries; 0 where a request that waits cannot be kept. */
+  /**
+   * How long a claim of a trial waits for other claims. Exceeds the latency of a message between any two
+   * entries. 0 if requests cannot be queued, in which case trials are not claimed.
+   */
   readonly claimTime: Milliseconds;
-  /** Has the shell see whether something listens at an endpoint's address. */
+  /** Lets the shell probe whether something listens at the endpoint's address. */
   readonly knock: (record: EndpointRecord) => void;
   readonly tell: (news: QuarantineNews, to: NewsRecipients) => void;
   readonly log: (
@@ -67,51 +74,54 @@
   ) => void;
 }
 
-/** What becomes of a request. */
-export type QuarantineVerdict =
-  | HoldVerdict
-  /** Another copy of it is tried; its outcome is known soon. */
+/** Whether a request may be sent to an endpoint. */
+export type QuarantineDecision =
+  | HoldDecision
+  /** Another copy of the request is being tried and will have a result soon. */
   | { readonly kind: "wait" };
 
-/** How a request at an endpoint ended. */
+/** The outcome of an attempt at an endpoint. */
 export type RunEnd =
-  /** The endpoint answered it. */
+  /** The endpoint answered the request. */
   | "answered"
-  /** It broke off, failed or was not waited for. */
+  /** The answer broke off, failed or was no longer waited for. */
   | "lost"
-  /** The endpoint did not run it. */
+  /** The endpoint did not run the request. */
   | "refused";
 
-/** Writes who is held back. */
+/** Detects crashes of endpoints and decides which requests are held. */
 export class QuarantineController {
-  readonly #sources: QuarantineSources;
-  readonly #watch: CrashWatch;
-  readonly #ledger = new CrashLedger();
-  readonly #keeper: HoldKeeper;
-  readonly #trials: OpenTrials;
-  readonly #served = new ServedMemory();
-  #answered: AnsweredRequest[] = [];
-  /** When ends were told, in the last second. */
-  #toldAt: Instant[] = [];
-  /** Ends of endpoints that this entry lost requests with. */
+  readonly #deps: QuarantineControllerDependencies;
+  readonly #detector: CrashDetector;
+  readonly #history = new CrashHistory();
+  readonly #holdController: HoldController;
+  readonly #trials: TrialCoordinator;
+  readonly #recentAnswers = new AnswerHistory();
+  #pendingAnswered: AnsweredRequest[] = [];
+  /** When crashes were reported within the last second. */
+  #reportTimes: Instant[] = [];
+  /** Number of endpoint crashes in which this entry lost requests. */
   ends = 0;
 
-  constructor(sources: QuarantineSources) {
-    this.#sources = sources;
-    this.#keeper = new HoldKeeper(sources);
-    const { self: { incarnation }, claimTime } = sources;
-    this.#trials = new OpenTrials(incarnation, claimTime);
-    this.#watch = new CrashWatch(({ id, life }) => {
-      const present = sources.endpoints().get(id);
-      return present === undefined || present.life !== life;
-    }, sources.listened);
+  constructor(deps: QuarantineControllerDependencies) {
+    this.#deps = deps;
+    this.#holdController = new HoldController(deps);
+    const { self: { incarnation }, claimTime } = deps;
+    this.#trials = new TrialCoordinator(incarnation, claimTime);
+    this.#detector = new CrashDetector(({ id, life }) => {
+      const current = deps.endpoints().get(id);
+      return current === undefined || current.life !== life;
+    }, deps.listened);
   }
 
   get holds(): HoldList {
-    return this.#keeper.holds;
+    return this.#holdController.holds;
   }
 
-  /** Whether a request may go to an endpoint of some services; asks for its trial where it needs one. */
+  /**
+   * Returns whether a request may be sent to an endpoint of the given services. Claims a trial if the request
+   * needs one.
+   */
   judge(
     { id, fingerprint, services }: {
       id: RequestId;
@@ -119,57 +129,64 @@
       services: readonly EndpointRecord["service"][];
     },
     now: Instant,
-  ): QuarantineVerdict {
+  ): QuarantineDecision {
     const { content } = fingerprint;
-    const mayTry = trialOwner(this.#sources, { content, services });
-    const verdict = this.holds.judge(fingerprint, mayTry, now);
-    if (verdict.kind !== "free" || !this.#ledger.suspects(content)) {
-      return verdict;
+    const mayTry = createTrialPermission(this.#deps, { content, services });
+    const decision = this.holds.check(fingerprint, mayTry, now);
+    if (decision.kind !== "free" || !this.#history.isSuspect(content)) {
+      return decision;
     }
-    const ends = this.#ledger.endsOf(content);
-    const answer = this.#trials.ask(content, { request: id, ends }, now);
-    if (answer === "claim") {
-      this.#tellTried({ content, sent: false });
+    const crashes = this.#history.crashCount(content);
+    const trial = this.#trials.requestTrial(
+      content,
+      { request: id, crashes },
+      now,
+    );
+    if (trial === "claim") {
+      this.#announceTrial({ content, sent: false });
     }
-    return answer === "go" ? verdict : { kind: "wait" };
+    return trial === "go" ? decision : { kind: "wait" };
   }
 
-  /** Whether a request that was lost with its endpoint is not to be sent to another one by this entry. */
+  /** Whether this entry must not send a request to another endpoint after it was lost with its endpoint. */
   isSuspect({ content }: Pick<RequestFingerprint, "content">): boolean {
-    return this.holds.has(content) || this.#ledger.suspects(content);
+    return this.holds.has(content) || this.#history.isSuspect(content);
   }
 
-  /** A request is written to an endpoint. */
+  /** Records that a request is written to an endpoint. */
   began(
     endpoint: WatchedEndpoint,
-    run: Omit<WatchedRun, "trial">,
+    attempt: Omit<TrackedAttempt, "trial">,
     request: RequestId,
   ): void {
-    const { fingerprint: { content }, sentAt } = run;
-    const trial = this.#ledger.suspects(content);
-    this.#watch.began(endpoint, { ...run, trial });
+    const { fingerprint: { content }, sentAt } = attempt;
+    const trial = this.#history.isSuspect(content);
+    this.#detector.noteSent(endpoint, { ...attempt, trial });
     this.holds.noteTrial(content, sentAt);
     if (trial) {
-      const ends = this.#ledger.endsOf(content);
-      this.#trials.begin(content, { request, ends }, sentAt);
-      this.#tellTried({ content, sent: true });
+      const crashes = this.#history.crashCount(content);
+      this.#trials.begin(content, { request, crashes }, sentAt);
+      this.#announceTrial({ content, sent: true });
     }
   }
 
-  #tellTried(tried: TriedRequest): void {
-    this.#sources.tell({ ...NOTHING_NEW, tried: [tried] }, "carriers");
+  #announceTrial(trial: TriedRequest): void {
+    this.#deps.tell({ ...NOTHING_NEW, tried: [trial] }, "carriers");
   }
 
-  /** An answer is not read because its caller has no room, or is read again. */
+  /**
+   * Records that an answer is not being read because the caller's connection is full, or that reading
+   * resumed.
+   */
   held(
     endpoint: WatchedEndpoint,
     attempt: AttemptId,
     change: { held: boolean; now: Instant },
   ): void {
-    this.#watch.held(endpoint, attempt, change);
+    this.#detector.noteBackpressure(endpoint, attempt, change);
   }
 
-  /** A request's time at an endpoint is over. */
+  /** Records the outcome of an attempt. */
   ended(
     endpoint: WatchedEndpoint,
     { attempt, fingerprint, end }: {
@@ -180,9 +197,9 @@
     now: Instant,
   ): void {
     if (end === "lost") {
-      return this.#watch.lost(endpoint, attempt, now);
+      return this.#detector.noteLost(endpoint, attempt, now);
     }
-    this.#watch.ended(endpoint, attempt);
+    this.#detector.noteEnded(endpoint, attempt);
     if (end === "answered") {
       const { softwareVersion } = endpoint.record;
       const { content } = fingerprint;
@@ -190,120 +207,129 @@
     }
   }
 
-  /** A connection broke, or an answer failed: whether the process ended shows where its port is closed. */
+  /**
+   * Records that a connection broke or an answer failed. Probes the port, which is closed if the process
+   * ended.
+   */
   broken(endpoint: WatchedEndpoint, now: Instant): void {
-    if (this.#watch.isToKnock(endpoint, now)) {
-      this.#sources.knock(endpoint.record);
+    if (this.#detector.shouldProbe(endpoint, now)) {
+      this.#deps.knock(endpoint.record);
     }
   }
 
-  /** Nothing listens at an endpoint's address, or another process does. */
+  /** Records that nothing listens at an endpoint's address, or that another process does. */
   refused(endpoint: Pick<EndpointRecord, "id" | "life">): void {
-    this.#watch.refused(endpoint);
+    this.#detector.notePortClosed(endpoint);
   }
 
-  /** Takes a peer's news. */
+  /** Applies a message from a peer. */
   learn(news: QuarantineNews, from: Incarnation, now: Instant): void {
-    news.answered.forEach((answered) => this.#clear(answered, now));
+    news.answered.forEach((answered) => this.#clearSuspicion(answered, now));
     this.learnHolds(news.holds, now);
     for (const { content, sent } of news.tried) {
-      const ends = this.#ledger.endsOf(content);
-      this.#trials.learn(content, { from, sent, ends }, now);
+      const crashes = this.#history.crashCount(content);
+      this.#trials.noteRemote(content, { from, sent, crashes }, now);
     }
     for (const report of news.crashes) {
-      this.#watch.told({ id: report.endpoint, life: report.life }, now);
-      this.#add(report, now);
+      this.#detector.noteReported(
+        { id: report.endpoint, life: report.life },
+        now,
+      );
+      this.#addReport(report, now);
     }
-    this.#defend(news, now);
+    this.#answerReports(news, now);
   }
 
-  /** Takes what a peer holds back. */
+  /** Applies holds received from a peer. */
   learnHolds(holds: readonly HoldNotice[], now: Instant): void {
-    holds.forEach((notice) => this.#keeper.learn(notice, now));
+    holds.forEach((notice) => this.#holdController.merge(notice, now));
   }
 
-  /** An operator ends a hold, everywhere. */
+  /** Ends a hold at all entries, at an operator's command. Returns whether the request was held. */
   release(content: ContentDigest, now: Instant): boolean {
-    this.#ledger.answered(content, now);
-    return this.#keeper.release(content, now);
+    this.#history.noteAnswered(content, now);
+    return this.#holdController.release(content, now);
   }
 
   tick(now: Instant): void {
-    this.#reportEnds(now);
-    this.#trials.forget(now);
-    if (this.#answered.length > 0) {
-      const answered = this.#answered.splice(0, ANSWERED_PER_MESSAGE);
-      this.#sources.tell({ ...NOTHING_NEW, answered }, "carriers");
+    this.#reportCrashes(now);
+    this.#trials.removeExpired(now);
+    if (this.#pendingAnswered.length > 0) {
+      const answered = this.#pendingAnswered.splice(0, ANSWERED_PER_MESSAGE);
+      this.#deps.tell({ ...NOTHING_NEW, answered }, "carriers");
     }
-    this.#keeper.tick(now);
+    this.#holdController.tick(now);
   }
 
-  #reportEnds(now: Instant): void {
-    this.#watch.takeEnded(now).forEach((ended) => this.#report(ended, now));
+  #reportCrashes(now: Instant): void {
+    this.#detector.takeCrashed(now).forEach((crashed) =>
+      this.#reportCrash(crashed, now)
+    );
   }
 
   #noteAnswered(answered: AnsweredRequest, now: Instant): void {
     const { content } = answered;
-    this.#served.add(content, now);
+    this.#recentAnswers.add(content, now);
     if (this.isSuspect({ content })) {
-      this.#tellAnswered(answered, now);
+      this.#announceAnswered(answered, now);
     } else {
-      this.#ledger.answered(content, now);
+      this.#history.noteAnswered(content, now);
     }
   }
 
-  #tellAnswered(answered: AnsweredRequest, now: Instant): void {
-    this.#answered.push(answered);
-    this.#clear(answered, now);
+  #announceAnswered(answered: AnsweredRequest, now: Instant): void {
+    this.#pendingAnswered.push(answered);
+    this.#clearSuspicion(answered, now);
   }
 
-  #clear(answered: AnsweredRequest, now: Instant): void {
-    this.#ledger.answered(answered.content, now);
-    this.#keeper.noteAnswered(answered, now);
+  #clearSuspicion(answered: AnsweredRequest, now: Instant): void {
+    this.#history.noteAnswered(answered.content, now);
+    this.#holdController.noteAnswered(answered, now);
   }
 
-  /** What a peer lost and this entry answered lately did not end the endpoint. */
-  #defend({ crashes }: QuarantineNews, now: Instant): void {
+  /** Announces the requests of a peer's crash reports that were recently answered here. They caused no crash. */
+  #answerReports({ crashes }: QuarantineNews, now: Instant): void {
     for (const { victims, softwareVersion } of crashes) {
-      victims.filter(({ content }) => this.#served.has(content, now))
+      victims.filter(({ content }) => this.#recentAnswers.has(content, now))
         .forEach(({ content }) =>
-          this.#tellAnswered({ content, softwareVersion }, now)
+          this.#announceAnswered({ content, softwareVersion }, now)
         );
     }
   }
 
-  /** This entry saw an endpoint's end. */
-  #report({ record, at, runs }: EndedEndpoint, now: Instant): void {
+  /** Logs and reports a crash that this entry detected. */
+  #reportCrash({ record, at, attempts }: CrashedEndpoint, now: Instant): void {
     this.ends++;
-    const fields = endFields(
-      { record, runs },
-      (content) => this.#ledger.endsOf(content),
+    const fields = crashLogFields(
+      { record, attempts },
+      (content) => this.#history.crashCount(content),
     );
-    this.#sources.log("endpoint", "Endpoint has ended.", fields);
-    const report = reportOf({ record, at, runs }, {
-      endpoints: this.#sources.endpoints(),
-      isServed: (content) => this.#served.has(content, now),
+    this.#deps.log("endpoint", "Endpoint has ended.", fields);
+    const report = createReport({ record, at, attempts }, {
+      endpoints: this.#deps.endpoints(),
+      wasAnswered: (content) => this.#recentAnswers.has(content, now),
     }, now);
-    this.#tell(report, now);
-    this.#add(report, now);
+    this.#sendReport(report, now);
+    this.#addReport(report, now);
   }
 
-  #tell(report: CrashReport, now: Instant): void {
-    this.#toldAt = this.#toldAt.filter((at) => now - at < SECOND_MS);
-    if (this.#toldAt.length >= MOST_TOLD) {
+  #sendReport(report: CrashReport, now: Instant): void {
+    this.#reportTimes = this.#reportTimes.filter((at) => now - at < SECOND_MS);
+    if (this.#reportTimes.length >= MAX_REPORTS_PER_SECOND) {
       return;
     }
-    this.#toldAt.push(now);
-    for (const part of partsOf(report)) {
-      this.#sources.tell({ ...NOTHING_NEW, crashes: [part] }, "carriers");
+    this.#reportTimes.push(now);
+    for (const part of splitReport(report)) {
+      this.#deps.tell({ ...NOTHING_NEW, crashes: [part] }, "carriers");
     }
   }
 
-  #add(report: CrashReport, now: Instant): void {
-    this.#ledger.add(report, now);
-    this.#keeper.noteEnd(report, now);
-    this.#ledger.culprits((content) => this.holds.has(content)).forEach((
-      culprit,
-    ) => this.#keeper.hold(culprit, now));
+  #addReport(report: CrashReport, now: Instant): void {
+    this.#history.add(report, now);
+    this.#holdController.noteCrash(report, now);
+    this.#history.findCrashingRequests((content) => this.holds.has(content))
+      .forEach((
+        request,
+      ) => this.#holdController.hold(request, now));
   }
 }
--- a/packages/core/src/quarantine/quarantine_lines.ts
+++ b/packages/core/src/quarantine/quarantine_lines.ts
@@ -1,42 +1,45 @@
 /**
- * Lines for operators: what was at an endpoint when it ended, and what is held back.
+ * Log entries for operators about crashes and held requests.
  *
  * @module
  */
 import type { ContentDigest } from "../ids/index.ts";
 import type { HoldNotice } from "./quarantine_messages.ts";
-import type { EndedEndpoint, LostRun } from "./crash_watch.ts";
+import type { CrashedEndpoint, LostAttempt } from "./crash_watch.ts";
 
-/** Requests in one line, those first that were there for the shortest time: what crashes endpoints is quick. */
-const MOST_REQUESTS = 8;
+/**
+ * Number of requests in one log entry. Those with the shortest time to the crash come first, because requests
+ * that crash endpoints do so quickly.
+ */
+const MAX_LOGGED_REQUESTS = 8;
 
-/** Fields of the line about an endpoint's end. */
-export function endFields(
-  { record, runs }: Pick<EndedEndpoint, "record" | "runs">,
-  endsOf: (content: ContentDigest) => number,
+/** Returns the fields of the log entry about a crash. */
+export function crashLogFields(
+  { record, attempts }: Pick<CrashedEndpoint, "record" | "attempts">,
+  crashCountOf: (content: ContentDigest) => number,
 ): Record<string, unknown> {
-  const quickest = [...runs]
-    .sort((left, right) => timeOf(left) - timeOf(right))
-    .slice(0, MOST_REQUESTS);
+  const quickest = [...attempts]
+    .sort((left, right) => durationOf(left) - durationOf(right))
+    .slice(0, MAX_LOGGED_REQUESTS);
   return {
     endpoint: record.id,
     life: record.life,
     service: record.service,
     endpointZone: record.zone,
     softwareVersion: record.softwareVersion,
-    requests: runs.length,
-    quickest: quickest.map((run) => ({
-      digest: run.fingerprint.content,
-      caller: run.fingerprint.caller,
-      path: run.path,
-      ms: Math.round(timeOf(run)),
-      ends: endsOf(run.fingerprint.content) + 1,
+    requests: attempts.length,
+    quickest: quickest.map((attempt) => ({
+      digest: attempt.fingerprint.content,
+      caller: attempt.fingerprint.caller,
+      path: attempt.path,
+      ms: Math.round(durationOf(attempt)),
+      ends: crashCountOf(attempt.fingerprint.content) + 1,
     })),
   };
 }
 
-/** The line about a hold that began, was prolonged or is over. */
-export function holdLine(
+/** Returns the log entry about a hold that started, was extended or ended. */
+export function holdLogEntry(
   { content, caller, service, versions, term, remaining, released }: HoldNotice,
 ): { text: string; fields: Record<string, unknown> } {
   return {
@@ -54,6 +57,6 @@
   };
 }
 
-function timeOf({ sentAt, lostAt }: LostRun): number {
+function durationOf({ sentAt, lostAt }: LostAttempt): number {
   return lostAt - sentAt;
 }
--- a/packages/core/src/quarantine/quarantine_messages.ts
+++ b/packages/core/src/quarantine/quarantine_messages.ts
@@ -1,5 +1,5 @@
 /**
- * What entries tell each other of endpoints that ended. Ages and durations travel, clock readings never do.
+ * Messages between entries about crashes of endpoints. They contain ages and durations, never clock readings.
  *
  * @module
  */
@@ -13,69 +13,72 @@
 } from "../ids/index.ts";
 import type { RequestFingerprint } from "./fingerprint.ts";
 
-/** A request of one entry that ran, or waited, at an endpoint when that ended. */
-export interface CrashVictim extends RequestFingerprint {
-  /** From the sending of its first copy there to the end. */
+/** A request that an entry had in progress at an endpoint, running or queued, when the endpoint crashed. */
+export interface RequestAtCrash extends RequestFingerprint {
+  /** Time from the sending of its first copy there to the crash. */
   readonly exposure: Milliseconds;
-  /** Whether it was sent by itself, as it had been at several ends. */
+  /** Whether it was sent as a trial, because it was present at several crashes. */
   readonly trial: boolean;
 }
 
-/** The end of one life of an endpoint, as one entry saw it. */
+/** A crash of one life of an endpoint, as one entry saw it. */
 export interface CrashReport {
   readonly endpoint: EndpointId;
   readonly life: EndpointLife | undefined;
   readonly service: ServiceId;
   readonly zone: ZoneId;
   readonly softwareVersion: string;
-  /** Since the end. */
+  /** Time since the crash. */
   readonly age: Milliseconds;
-  /** Other endpoints of the service in its zone that took work then. */
+  /** Number of other endpoints of the same service and zone that accepted requests at that time. */
   readonly others: number;
-  readonly victims: readonly CrashVictim[];
+  readonly victims: readonly RequestAtCrash[];
 }
 
-/** A request that is sent to no endpoint. */
+/** A hold on a request, which is then sent to no endpoint. */
 export interface HoldNotice {
   readonly content: ContentDigest;
-  /** Whose requests are held, `undefined` for everybody's. */
+  /** The caller whose requests are held, `undefined` for all callers. */
   readonly caller: RequestFingerprint["caller"] | undefined;
   readonly service: ServiceId;
-  /** Software versions of the endpoints that ended under it. */
+  /** Software versions of the endpoints that the request crashed. */
   readonly versions: readonly string[];
-  /** Other software that has answered it since: there it goes. */
+  /** Other software versions that answered the request since. It may be sent to them. */
   readonly mended: readonly string[];
-  /** Times that it was held, this one included: a later hold takes the place of a former. */
+  /**
+   * Number of times that the request was held, including this one. A hold with a higher number replaces an
+   * older one.
+   */
   readonly term: number;
-  /** Until it may be tried again. */
+  /** Time until the request may be tried again. */
   readonly remaining: Milliseconds;
-  /** Whether it is over: an endpoint has answered the request since, or an operator ended it. */
+  /** Whether the hold is over, because an endpoint answered the request or an operator released it. */
   readonly released: boolean;
 }
 
-/** A request that an endpoint has answered. */
+/** A request that an endpoint answered. */
 export interface AnsweredRequest {
   readonly content: ContentDigest;
   readonly softwareVersion: string;
 }
 
-/** A request that an entry is about to try, or sends. */
+/** A request of which an entry claims the next trial, or sends a copy as one. */
 export interface TriedRequest {
   readonly content: ContentDigest;
   readonly sent: boolean;
 }
 
-/** What one entry tells others at once. */
+/** One message to other entries. */
 export interface QuarantineNews {
   readonly crashes: readonly CrashReport[];
-  /** Requests known from crashes that an endpoint has answered since. */
+  /** Requests lost in earlier crashes that an endpoint answered since. */
   readonly answered: readonly AnsweredRequest[];
-  /** Requests that were at several ends and that this entry tries, one at a time. */
+  /** Requests present at several crashes, for which the sender claims or starts a trial. */
   readonly tried: readonly TriedRequest[];
   readonly holds: readonly HoldNotice[];
 }
 
-/** No news: the base of messages that bring one kind of it. */
+/** A message without content, to which senders add the part they need. */
 export const NOTHING_NEW: QuarantineNews = {
   crashes: [],
   answered: [],
--- a/packages/core/src/quarantine/report_end.ts
+++ b/packages/core/src/quarantine/report_end.ts
@@ -1,5 +1,5 @@
 /**
- * Makes an entry's report of an endpoint's end.
+ * Creates an entry's report of a crash.
  *
  * @module
  */
@@ -10,31 +10,31 @@
   milliseconds,
 } from "../ids/index.ts";
 import type { EndpointRecord } from "../routes/index.ts";
-import type { CrashReport, CrashVictim } from "./quarantine_messages.ts";
-import type { EndedEndpoint, LostRun } from "./crash_watch.ts";
+import type { CrashReport, RequestAtCrash } from "./quarantine_messages.ts";
+import type { CrashedEndpoint, LostAttempt } from "./crash_watch.ts";
 
-/** Requests of one end that are told: more than an entry has at one endpoint on an ordinary day. */
-const MOST_VICTIMS = 128;
-/** Requests in one datagram: it stays under 1,400 bytes. */
-const VICTIMS_PER_MESSAGE = 28;
+/** Limit for the requests in one report. It exceeds the number that an entry usually has at one endpoint. */
+const MAX_REQUESTS = 128;
+/** Number of requests in one datagram, which keeps it below 1,400 bytes. */
+const REQUESTS_PER_MESSAGE = 28;
 
-/** What a report is made from beside the end itself. */
-export interface ReportFacts {
+/** The state that a report depends on beside the crash itself. */
+export interface ReportContext {
   readonly endpoints: ReadonlyMap<EndpointId, EndpointRecord>;
-  /** Whether an endpoint has answered a request lately: it ends none. */
-  readonly isServed: (content: ContentDigest) => boolean;
+  /** Whether an endpoint recently answered a request, which therefore does not crash endpoints. */
+  readonly wasAnswered: (content: ContentDigest) => boolean;
 }
 
-/** The report, with those first that were there for the shortest time. */
-export function reportOf(
-  { record, at, runs }: EndedEndpoint,
-  { endpoints, isServed }: ReportFacts,
+/** Creates the report. If requests must be left out, those with the longest exposure are. */
+export function createReport(
+  { record, at, attempts }: CrashedEndpoint,
+  { endpoints, wasAnswered }: ReportContext,
   now: Instant,
 ): CrashReport {
-  const victims = longestOfEach(
-    runs.filter(({ fingerprint }) => !isServed(fingerprint.content)),
+  const victims = mergeCopies(
+    attempts.filter(({ fingerprint }) => !wasAnswered(fingerprint.content)),
   ).sort((left, right) => left.exposure - right.exposure)
-    .slice(0, MOST_VICTIMS);
+    .slice(0, MAX_REQUESTS);
   return {
     endpoint: record.id,
     life: record.life,
@@ -42,41 +42,41 @@
     zone: record.zone,
     softwareVersion: record.softwareVersion,
     age: milliseconds(Math.round(now - at)),
-    others: othersOf(record, endpoints),
+    others: countOtherEndpoints(record, endpoints),
     victims,
   };
 }
 
-/** One line for all copies of a request. */
-function longestOfEach(runs: readonly LostRun[]): CrashVictim[] {
-  const victims = new Map<string, CrashVictim>();
-  for (const { fingerprint, sentAt, lostAt, trial } of runs) {
+/** Merges all copies of a request, with the longest exposure. */
+function mergeCopies(attempts: readonly LostAttempt[]): RequestAtCrash[] {
+  const requests = new Map<string, RequestAtCrash>();
+  for (const { fingerprint, sentAt, lostAt, trial } of attempts) {
     const key = `${fingerprint.content} ${fingerprint.caller}`;
-    const known = victims.get(key);
-    const exposure = Math.max(known?.exposure ?? 0, lostAt - sentAt);
-    victims.set(key, {
+    const existing = requests.get(key);
+    const exposure = Math.max(existing?.exposure ?? 0, lostAt - sentAt);
+    requests.set(key, {
       ...fingerprint,
       exposure: milliseconds(Math.round(exposure)),
-      trial: trial || known?.trial === true,
+      trial: trial || existing?.trial === true,
     });
   }
-  return [...victims.values()];
+  return [...requests.values()];
 }
 
-/** The report as datagrams take it. */
-export function partsOf(report: CrashReport): CrashReport[] {
+/** Splits a report into parts that fit into a datagram each. */
+export function splitReport(report: CrashReport): CrashReport[] {
   const { victims } = report;
-  const count = Math.ceil(victims.length / VICTIMS_PER_MESSAGE);
+  const count = Math.ceil(victims.length / REQUESTS_PER_MESSAGE);
   return Array.from({ length: count }, (_, index) => {
-    const from = index * VICTIMS_PER_MESSAGE;
+    const start = index * REQUESTS_PER_MESSAGE;
     return {
       ...report,
-      victims: victims.slice(from, from + VICTIMS_PER_MESSAGE),
+      victims: victims.slice(start, start + REQUESTS_PER_MESSAGE),
     };
   });
 }
 
-function othersOf(
+function countOtherEndpoints(
   { id, service, zone }: EndpointRecord,
   endpoints: ReadonlyMap<EndpointId, EndpointRecord>,
 ): number {
--- a/packages/core/src/quarantine/served_memory.ts
+++ b/packages/core/src/quarantine/served_memory.ts
@@ -1,42 +1,50 @@
 /**
- * Which requests were answered lately.
+ * Remembers which requests were recently answered.
  *
  * @module
  */
 import type { ContentDigest, Instant } from "../ids/index.ts";
 
-/** A request that was answered this recently does not crash what runs it. */
+/**
+ * A generation lasts this long, so an answer is remembered for one to two times as long. A request answered
+ * that recently does not crash endpoints.
+ */
 const GENERATION_MS = 30_000;
-/** Digests of one generation: a busy entry answers so many in half a minute, in half a megabyte. */
-const MOST_DIGESTS = 4_096;
+/**
+ * Limit for the digests in one generation. A busy entry has this many answered in half a minute. They take
+ * about half a megabyte.
+ */
+const MAX_DIGESTS_PER_GENERATION = 4_096;
 
 /**
- * Two generations of digests. What comes often is in both, so that a flood of other requests does not push
- * it out for long: with the next answer it is back.
+ * Keeps two generations of digests. A request that is answered often is in both, and a flood of other
+ * requests displaces it only until its next answer.
  */
-export class ServedMemory {
-  #present = new Set<ContentDigest>();
-  #former = new Set<ContentDigest>();
-  #since: Instant | undefined;
+export class AnswerHistory {
+  #current = new Set<ContentDigest>();
+  #previous = new Set<ContentDigest>();
+  #startedAt: Instant | undefined;
 
   add(content: ContentDigest, now: Instant): void {
-    this.#turn(now);
-    this.#present.add(content);
+    this.#rotate(now);
+    this.#current.add(content);
   }
 
   has(content: ContentDigest, now: Instant): boolean {
-    this.#turn(now);
-    return this.#present.has(content) || this.#former.has(content);
+    this.#rotate(now);
+    return this.#current.has(content) || this.#previous.has(content);
   }
 
-  #turn(now: Instant): void {
-    this.#since ??= now;
-    const passed = now - this.#since;
-    if (passed < GENERATION_MS && this.#present.size < MOST_DIGESTS) {
+  #rotate(now: Instant): void {
+    this.#startedAt ??= now;
+    const elapsed = now - this.#startedAt;
+    if (
+      elapsed < GENERATION_MS && this.#current.size < MAX_DIGESTS_PER_GENERATION
+    ) {
       return;
     }
-    this.#former = passed < 2 * GENERATION_MS ? this.#present : new Set();
-    this.#present = new Set();
-    this.#since = now;
+    this.#previous = elapsed < 2 * GENERATION_MS ? this.#current : new Set();
+    this.#current = new Set();
+    this.#startedAt = now;
   }
 }
--- a/packages/core/src/quarantine/trial_owner.ts
+++ b/packages/core/src/quarantine/trial_owner.ts
@@ -1,5 +1,5 @@
 /**
- * Who tries a held request again.
+ * Selects the entry that tries a held request again.
  *
  * @module
  */
@@ -12,39 +12,39 @@
   type ZoneId,
 } from "../ids/index.ts";
 import type { EndpointRecord } from "../routes/index.ts";
-import type { MayTry } from "./hold_list.ts";
+import type { TrialPermission } from "./hold_list.ts";
 
-/** What the choice depends on. */
-export interface TrialSources {
+/** The state that the selection depends on. */
+export interface TrialDependencies {
   readonly self: { readonly incarnation: Incarnation };
-  /** Published endpoints of all regions. */
+  /** Returns the published endpoints of all regions. */
   readonly endpoints: () => ReadonlyMap<EndpointId, EndpointRecord>;
-  /** Entries that carry the requests of the regions of some zones. */
+  /** Returns the entries that serve the regions of the given zones. */
   readonly carriers: (zones: ReadonlySet<ZoneId>) => readonly Incarnation[];
 }
 
 /**
- * One entry tries a held request, so that trials do not add up over the fleet as its repeats did: one of
- * those that carry requests where there are endpoints to try it on.
+ * Lets a single entry try a held request, so that the fleet does not run one trial per entry. It is one of
+ * the entries that serve a region with endpoints to try the request on.
  */
-export function trialOwner(
-  { self, endpoints, carriers }: TrialSources,
+export function createTrialPermission(
+  { self, endpoints, carriers }: TrialDependencies,
   { content, services }: {
     content: ContentDigest;
     services: readonly ServiceId[];
   },
-): MayTry {
-  return (tested) => {
+): TrialPermission {
+  return (excludedVersions) => {
     const zones = new Set(
       [...endpoints().values()].filter((record) =>
         record.state === "ready" && services.includes(record.service) &&
-        !tested.has(record.softwareVersion)
+        !excludedVersions.has(record.softwareVersion)
       ).map(({ zone }) => zone),
     );
     if (zones.size === 0) {
       return false;
     }
-    const [first] = rendezvous(content, carriers(zones), (entry) => entry);
-    return first === self.incarnation;
+    const [owner] = rendezvous(content, carriers(zones), (entry) => entry);
+    return owner === self.incarnation;
   };
 }
--- a/playground/src/guards/quarantine_guards.ts
+++ b/playground/src/guards/quarantine_guards.ts
@@ -23,14 +23,14 @@
     point: POINT,
     name: "one copy of a suspect is tried at a time",
     file: `${QUARANTINE}/open_trials.ts`,
-    find: 'return own && settled ? "go" : "wait";',
-    replace: 'return own || settled ? "go" : "wait";',
+    find: 'return isOwn && settled ? "go" : "wait";',
+    replace: 'return isOwn || settled ? "go" : "wait";',
   },
   {
     point: POINT,
     name: "an endpoint that is heard from has not ended",
     file: `${QUARANTINE}/crash_watch.ts`,
-    find: "(heardAt ?? -Infinity) <= lostAt + STRAGGLER_MS &&",
+    find: "(heardAt ?? -Infinity) <= lostAt + LATE_BYTES_MS &&",
     replace: "(heardAt ?? -Infinity) <= Infinity &&",
   },
   {
@@ -49,15 +49,15 @@
     point: POINT,
     name: "the answer to a request clears it of the ends before",
     file: `${QUARANTINE}/crash_ledger.ts`,
-    find: "if (at <= now && victims.delete(content)) {",
-    replace: "if (at > now && victims.delete(content)) {",
+    find: "if (at <= now && requests.delete(content)) {",
+    replace: "if (at > now && requests.delete(content)) {",
   },
   {
     point: POINT,
     name: "of two requests at the same ends neither is held",
     file: `${QUARANTINE}/crash_evidence.ts`,
-    find: "suspect.score >= LEAST_SCORE && isUnique(suspect)",
-    replace: "suspect.score >= LEAST_SCORE && suspect.score > 0",
+    find: "suspect.score >= MIN_SCORE && isOnlyExplanation(suspect)",
+    replace: "suspect.score >= MIN_SCORE && suspect.score > 0",
   },
   {
     point: POINT,
@@ -71,7 +71,8 @@
     name: "a hold that was ended does not come back",
     file: `${QUARANTINE}/hold_list.ts`,
     find: "return notice.released && this.release(notice.content);",
-    replace: "known.released = notice.released;\n      return notice.released;",
+    replace:
+      "existing.released = notice.released;\n      return notice.released;",
   },
   {
     point: POINT,
--- a/playground/src/guards/stall_guards.ts
+++ b/playground/src/guards/stall_guards.ts
@@ -48,8 +48,8 @@
     point: POINT,
     name: "no endpoint counts as ended for an unread answer",
     file: `${CORE}/quarantine/crash_watch.ts`,
-    find: "this.#listened.since(lastHeard(endpoint, run), now)",
-    replace: "now - lastHeard(endpoint, run)",
+    find: "this.#listenedTime.since(lastHeardAt(endpoint, attempt), now)",
+    replace: "now - lastHeardAt(endpoint, attempt)",
   },
   {
     point: POINT,
