--- a/packages/core/src/explain/explanations.ts
+++ b/packages/core/src/explain/explanations.ts
@@ -1,59 +1,62 @@
 /**
- * What was decided on each request and why, in a bounded ring. Never holds a customer's data.
+ * Keeps the decisions made for recent requests and their reasons, in bounded memory. Contains no customer
+ * data.
  *
  * @module
  */
 import type { Instant, RequestId } from "../ids/index.ts";
 
-/** Requests remembered. */
-export const MAX_EXPLAINED = 512;
-/** Decisions remembered of one request. */
-const MAX_STEPS = 32;
+/** Number of requests whose decisions are kept. The oldest request is dropped first. */
+export const MAX_EXPLAINED_REQUESTS = 512;
+/** Number of decisions kept for one request. */
+const MAX_STEPS_PER_REQUEST = 32;
 
-/** One decision, with the time since the request came. */
+/** A decision about a request, with the time since the first decision about it. */
 export interface Step {
   readonly afterMs: number;
   readonly text: string;
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-interface Explained {
+interface RequestHistory {
   readonly since: Instant;
   readonly steps: Step[];
 }
 
-/** The ring. */
+/** The decisions made for the most recent requests. */
 export class Explanations {
-  readonly #byRequest = new Map<RequestId, Explained>();
+  readonly #byRequest = new Map<RequestId, RequestHistory>();
 
-  /** Adds a decision. */
+  /** Records a decision. */
   note(
     request: RequestId,
     now: Instant,
     { text, ...fields }: { text: string; [field: string]: unknown },
   ): void {
-    let explained = this.#byRequest.get(request);
-    if (explained === undefined) {
-      explained = { since: now, steps: [] };
-      this.#byRequest.set(request, explained);
+    let history = this.#byRequest.get(request);
+    if (history === undefined) {
+      history = { since: now, steps: [] };
+      this.#byRequest.set(request, history);
       this.#dropOldest();
     }
-    if (explained.steps.length < MAX_STEPS) {
-      explained.steps.push({
-        afterMs: Math.round(now - explained.since),
+    if (history.steps.length < MAX_STEPS_PER_REQUEST) {
+      history.steps.push({
+        afterMs: Math.round(now - history.since),
         text,
         fields,
       });
     }
   }
 
-  /** Every step of a request, `undefined` once it left the ring. */
+  /**
+   * Returns the decisions about a request in order, `undefined` if the request is not or no longer recorded.
+   */
   of(request: RequestId): readonly Step[] | undefined {
     return this.#byRequest.get(request)?.steps;
   }
 
   #dropOldest(): void {
-    if (this.#byRequest.size > MAX_EXPLAINED) {
+    if (this.#byRequest.size > MAX_EXPLAINED_REQUESTS) {
       this.#byRequest.delete(this.#byRequest.keys().next().value!);
     }
   }
--- a/packages/core/src/metrics/metrics.ts
+++ b/packages/core/src/metrics/metrics.ts
@@ -1,28 +1,28 @@
 /**
- * Histograms per customer and class, and counters. Labels are bounded: customers beyond the limit
- * share the label `other`.
+ * Latency histograms per customer and request class, and counters. The number of labels is bounded: customers
+ * beyond the limit share the label `other`.
  *
  * @module
  */
 import { build, type Histogram } from "hdr-histogram-js";
 import type { RequestClass } from "../text/index.ts";
 
-/** Customers with histograms of their own. */
+/** Number of customers with histograms of their own. */
 export const MAX_CUSTOMER_LABELS = 32;
-/** Label of all customers beyond the limit. */
+/** Label shared by all customers beyond the limit. */
 export const OTHER_CUSTOMERS = "other";
-/** Longest time a histogram tells apart. */
-const HIGHEST_MS = 600_000;
+/** Longest duration that a histogram can hold. Longer durations are recorded as this one. */
+const MAX_RECORDED_MS = 600_000;
 const QUANTILES = [0.5, 0.95, 0.99] as const;
 
-/** What is measured, in milliseconds. */
+/** The measured durations, in milliseconds. */
 export type Measure =
   | "first_token"
   | "between_tokens"
   | "whole_answer"
   | "queue_wait";
 
-/** Percentiles of one histogram. */
+/** Percentiles of one histogram, in milliseconds. */
 export interface Summary {
   readonly measure: Measure;
   readonly customer: string;
@@ -34,7 +34,7 @@
   readonly max: number;
 }
 
-/** One counter. */
+/** The value of one counter. */
 export interface Count {
   readonly name: string;
   readonly label: string;
@@ -45,7 +45,7 @@
 export class Metrics {
   readonly #histograms = new Map<
     string,
-    { histogram: Histogram; parts: [Measure, string, RequestClass] }
+    { histogram: Histogram; labels: [Measure, string, RequestClass] }
   >();
   readonly #customers = new Set<string>();
   readonly #counts = new Map<
@@ -64,42 +64,42 @@
   ): void {
     const label = this.#labelOf(customer);
     const key = `${measure}|${label}|${requestClass}`;
-    let entry = this.#histograms.get(key);
-    if (entry === undefined) {
+    let series = this.#histograms.get(key);
+    if (series === undefined) {
       const histogram = build({
         lowestDiscernibleValue: 1,
-        highestTrackableValue: HIGHEST_MS,
+        highestTrackableValue: MAX_RECORDED_MS,
         numberOfSignificantValueDigits: 2,
         bitBucketSize: 32,
       });
-      entry = { histogram, parts: [measure, label, requestClass] };
-      this.#histograms.set(key, entry);
+      series = { histogram, labels: [measure, label, requestClass] };
+      this.#histograms.set(key, series);
     }
-    entry.histogram.recordValue(
-      Math.min(HIGHEST_MS, Math.max(0, Math.round(ms))),
+    series.histogram.recordValue(
+      Math.min(MAX_RECORDED_MS, Math.max(0, Math.round(ms))),
     );
   }
 
-  /** Adds to a counter. `label` comes from a fixed set of the code, never from a caller. */
-  count(name: string, label = "", by = 1): void {
+  /** Adds to a counter. `label` must be one of a fixed set of names, never text from a caller. */
+  count(name: string, label = "", amount = 1): void {
     const key = `${name}|${label}`;
-    const known = this.#counts.get(key);
-    if (known === undefined) {
-      this.#counts.set(key, { name, label, value: by });
+    const existing = this.#counts.get(key);
+    if (existing === undefined) {
+      this.#counts.set(key, { name, label, value: amount });
     } else {
-      known.value += by;
+      existing.value += amount;
     }
   }
 
-  /** Value of a counter. */
+  /** Returns the value of a counter, 0 if nothing was counted yet. */
   valueOf(name: string, label = ""): number {
     return this.#counts.get(`${name}|${label}`)?.value ?? 0;
   }
 
-  /** Percentiles of all histograms. */
+  /** Returns the percentiles of all histograms. */
   summaries(): Summary[] {
     return [...this.#histograms.values()].map((
-      { histogram, parts: [measure, customer, requestClass] },
+      { histogram, labels: [measure, customer, requestClass] },
     ) => ({
       measure,
       customer,
@@ -112,12 +112,12 @@
     }));
   }
 
-  /** All counters. */
+  /** Returns all counters. */
   counts(): Count[] {
     return [...this.#counts.values()].map((count) => ({ ...count }));
   }
 
-  /** Prometheus text exposition. */
+  /** Returns all metrics in the Prometheus text exposition format. */
   toPrometheus(): string {
     const lines: string[] = [];
     for (const summary of this.summaries()) {
--- a/packages/core/src/placement/placement_controller.ts
+++ b/packages/core/src/placement/placement_controller.ts
@@ -1,5 +1,5 @@
 /**
- * Orders engines to load the models that the text asks for.
+ * Orders engines to load the models that the configuration asks for.
  *
  * @module
  */
@@ -13,104 +13,123 @@
 } from "../ids/index.ts";
 import type { Emit } from "../messages/index.ts";
 import type { ModelService } from "../text/index.ts";
-import { placeModels } from "./placement.ts";
+import { assignModels } from "./placement.ts";
 
-/** Between looks at the placement. */
+/** Interval between two checks of the placement. */
 export const PLACEMENT_PERIOD_MS = 2_000;
-/** No order leaves for this long after a pause: reports and members must be fresh first. */
-export const QUIET_AFTER_PAUSE_MS = 5_000;
-/** No order leaves for this long after a start, for the same reason. */
-export const QUIET_AFTER_START_MS = 5_000;
-/** A load that is not seen to be done after this time is ordered again. */
+/**
+ * No orders are sent for this long after a pause of the process, so that load reports and the member list can
+ * be refreshed first.
+ */
+export const ORDER_DELAY_AFTER_PAUSE_MS = 5_000;
+/** No orders are sent for this long after a start, for the same reason. */
+export const ORDER_DELAY_AFTER_START_MS = 5_000;
+/** A load that no report confirms within this time is ordered again. */
 export const ORDER_TIMEOUT_MS = 30_000;
-/** A report older than this does not tell what an engine serves. */
-const FRESH_REPORT_MS = 5_000;
+/** Older load reports are not trusted to say which model an engine serves. */
+const MAX_REPORT_AGE_MS = 5_000;
 const MINUTE_MS = 60_000;
 
-/** Sends orders; keeps only what it ordered lately. */
+/**
+ * Sends load orders to the engines of its zone. Keeps only its schedule and the last order to each engine.
+ */
 export class PlacementController {
   readonly #board: Blackboard;
   readonly #emit: Emit;
-  readonly #ordered = new Map<
+  readonly #lastOrders = new Map<
     EndpointId,
     { readonly at: Instant; readonly fence: number }
   >();
-  #nextAt: Instant;
-  /** Loads are spread over time, since the weight store refuses what comes too fast. */
+  #nextCheckAt: Instant;
+  /**
+   * Earliest time of the next order. Loads are spread over time because the weight store rejects requests
+   * that come too fast.
+   */
   #nextLoadAt: Instant;
 
   constructor(board: Blackboard, { emit, now }: { emit: Emit; now: Instant }) {
     this.#board = board;
     this.#emit = emit;
-    this.#nextAt = now;
+    this.#nextCheckAt = now;
     this.#nextLoadAt = now;
   }
 
-  /** Looks at the placement when it is time. */
+  /** Checks the placement if a check is due. */
   tick(now: Instant): void {
-    if (now < this.#nextAt) {
+    if (now < this.#nextCheckAt) {
       return;
     }
-    this.#nextAt = after(now, PLACEMENT_PERIOD_MS);
-    if (this.#mayOrder(now)) {
-      this.#placeAll(now);
+    this.#nextCheckAt = after(now, PLACEMENT_PERIOD_MS);
+    if (this.#isOrderer(now)) {
+      this.#assignAll(now);
     }
   }
 
-  /** An engine answered an order. A refusal is looked at again with its next report. */
+  /**
+   * Records an engine's answer to an order. A rejected order may be sent again after the engine's next
+   * report.
+   */
   answered(endpoint: EndpointId, accepted: boolean): void {
     if (!accepted) {
-      this.#ordered.delete(endpoint);
+      this.#lastOrders.delete(endpoint);
     }
   }
 
   /**
-   * Whether this entry is its zone's orderer now.
+   * Whether this entry sends the orders for its zone now.
    *
-   * Two entries may both think so under a split, and a paused one may still think so when it wakes.
-   * Nothing rests on there being one: equal texts give equal orders, the fencing number makes engines
-   * refuse an older text's order, and engines that ignore it refuse by the model they are expected to
-   * serve. The quiet time after a pause keeps a woken orderer from acting on what it saw before.
+   * During a network partition two entries may both send orders, and an entry that was paused may still try
+   * to after it resumes. Neither does harm: equal configurations lead to equal orders, engines reject orders
+   * whose fencing number belongs to an older configuration, and engines that ignore fencing reject orders
+   * that expect another model than they serve. The delay after a pause keeps a resumed entry from acting on
+   * outdated state.
    */
-  #mayOrder(now: Instant): boolean {
+  #isOrderer(now: Instant): boolean {
     const { self, lifecycle, configuration, membership } = this.#board;
-    if (!this.#isTextConfirmed()) {
+    if (!this.#isConfigurationConfirmed()) {
       return false;
     }
-    const woke = lifecycle.wokeAt !== undefined &&
-      now - lifecycle.wokeAt < QUIET_AFTER_PAUSE_MS;
-    const young = now - lifecycle.startedAt < QUIET_AFTER_START_MS;
+    const recentlyWoken = lifecycle.wokeAt !== undefined &&
+      now - lifecycle.wokeAt < ORDER_DELAY_AFTER_PAUSE_MS;
+    const recentlyStarted =
+      now - lifecycle.startedAt < ORDER_DELAY_AFTER_START_MS;
     if (
-      lifecycle.phase !== "ready" || woke || young || configuration.unconfirmed
+      lifecycle.phase !== "ready" || recentlyWoken || recentlyStarted ||
+      configuration.unconfirmed
     ) {
       return false;
     }
-    const zone: string[] = [self.incarnation];
+    const candidates: string[] = [self.incarnation];
     for (const { health, record } of membership.members.values()) {
       if (
         health === "live" && record.zone === self.zone &&
         record.state === "ready"
       ) {
-        zone.push(record.incarnation);
+        candidates.push(record.incarnation);
       }
     }
-    return rendezvous(`orders ${self.zone}`, zone, (member) => member)[0] ===
+    return rendezvous(
+      `orders ${self.zone}`,
+      candidates,
+      (member) => member,
+    )[0] ===
       self.incarnation;
   }
 
   /**
-   * Whether the platform or a peer agreed with the text since the last pause. A woken entry that is cut
-   * off from both goes on serving by the text it holds, but it may be the only one that still holds
-   * it, and an engine that ignores fencing would follow its order back to an old model.
+   * Whether the platform or a peer confirmed the configuration since the last pause. An entry that resumes
+   * without contact to either continues to serve with the configuration it has. It must not send orders,
+   * because it may be the only entry that still uses that configuration, and an engine that ignores fencing
+   * would go back to an old model.
    */
-  #isTextConfirmed(): boolean {
+  #isConfigurationConfirmed(): boolean {
     const { configuration, lifecycle } = this.#board;
     const { confirmedAt } = configuration;
     return confirmedAt !== undefined &&
       (lifecycle.wokeAt === undefined || confirmedAt >= lifecycle.wokeAt);
   }
 
-  #placeAll(now: Instant): void {
+  #assignAll(now: Instant): void {
     const pools = new Map<string, ModelService[]>();
     for (
       const service of this.#board.configuration.deployment!.services.values()
@@ -123,11 +142,11 @@
       }
     }
     for (const [pool, services] of pools) {
-      this.#placePool(pool, services, now);
+      this.#assignPool(pool, services, now);
     }
   }
 
-  #placePool(
+  #assignPool(
     pool: string,
     services: readonly ModelService[],
     now: Instant,
@@ -136,9 +155,9 @@
       endpoint,
     ) =>
       endpoint.vm.pool === pool && endpoint.vm.zone === this.#board.self.zone &&
-      isFresh(endpoint, now)
+      isAssignable(endpoint, now)
     );
-    const wanted = placeModels(
+    const assigned = assignModels(
       services,
       engines.map((engine) => ({
         id: engine.vm.id,
@@ -146,7 +165,7 @@
       })),
     );
     for (const engine of engines) {
-      const model = wanted.get(engine.vm.id);
+      const model = assigned.get(engine.vm.id);
       if (model !== undefined && model !== engine.load!.model) {
         this.#order(engine, model, now);
       }
@@ -156,17 +175,17 @@
   #order(engine: Endpoint, model: string, now: Instant): void {
     const fence = this.#board.configuration.revision;
     const { id, url } = engine.vm;
-    const last = this.#ordered.get(id);
-    const pending = last !== undefined && last.fence === fence &&
-      now - last.at < ORDER_TIMEOUT_MS;
-    // An engine that has taken a newer text's order is not ordered back.
+    const lastOrder = this.#lastOrders.get(id);
+    const pending = lastOrder !== undefined && lastOrder.fence === fence &&
+      now - lastOrder.at < ORDER_TIMEOUT_MS;
+    // An engine that accepted an order of a newer configuration is not ordered back.
     if (pending || engine.load!.fence > fence || now < this.#nextLoadAt) {
       return;
     }
     const { loadsPerMinute } = this.#board.configuration.deployment!;
-    const earliest = Math.max(this.#nextLoadAt, now - PLACEMENT_PERIOD_MS);
-    this.#nextLoadAt = after(instant(earliest), MINUTE_MS / loadsPerMinute);
-    this.#ordered.set(id, { at: now, fence });
+    const base = Math.max(this.#nextLoadAt, now - PLACEMENT_PERIOD_MS);
+    this.#nextLoadAt = after(instant(base), MINUTE_MS / loadsPerMinute);
+    this.#lastOrders.set(id, { at: now, fence });
     this.#emit({
       kind: "log",
       part: "order",
@@ -180,8 +199,9 @@
   }
 }
 
-function isFresh(endpoint: Endpoint, now: Instant): boolean {
-  const fresh = endpoint.loadAt !== undefined &&
-    now - endpoint.loadAt < FRESH_REPORT_MS;
-  return fresh && endpoint.state === "live" && endpoint.leaving === undefined;
+function isAssignable(endpoint: Endpoint, now: Instant): boolean {
+  const hasRecentReport = endpoint.loadAt !== undefined &&
+    now - endpoint.loadAt < MAX_REPORT_AGE_MS;
+  return hasRecentReport && endpoint.state === "live" &&
+    endpoint.leaving === undefined;
 }
--- a/packages/core/src/routing/__tests__/routing.test.ts
+++ b/packages/core/src/routing/__tests__/routing.test.ts
@@ -34,7 +34,7 @@
 }
 
 describe("routing to engines", () => {
-  it("never picks a full engine while another has room", () => {
+  it("never picks a full engine while another has free slots", () => {
     const core = new ReadyCore(engines({ running: 4 }, { running: 0 }));
     expect(dispatched(core.send({}).effects)).toEqual(["e2"]);
   });
@@ -46,20 +46,20 @@
     expect([sent, dispatched(core.pass(100))]).toEqual([["e1", "e1"], []]);
   });
 
-  it("returns to the engine that has the prompt's prefix, while it has room", () => {
+  it("returns to the engine that has cached the prompt's prefix, while it has free slots", () => {
     const core = new ReadyCore(engines({}, {}, {}, {}, {}, {}));
     const work = { promptTokens: 600, blocks: BLOCKS };
     const [first] = dispatched(core.send({}, work).effects);
     end(core, "r1.1", { kind: "streamed" });
     const again = [2, 3, 4].map((number) => {
-      const place = dispatched(core.send({}, work).effects)[0];
+      const endpoint = dispatched(core.send({}, work).effects)[0];
       end(core, `r${number}.1`, { kind: "streamed" });
-      return place;
+      return endpoint;
     });
     expect(again).toEqual([first, first, first]);
   });
 
-  it("queues when all are full, and sends as soon as one has room", () => {
+  it("queues when all engines are full, and sends as soon as a slot is free", () => {
     const core = new ReadyCore(engines({ slots: 1 }));
     core.send({});
     expect(dispatched(core.send({}).effects)).toEqual([]);
@@ -72,7 +72,7 @@
     expect(dispatched(effects)).toEqual(["e1"]);
   });
 
-  it("tells when to come back, from the predicted drain", () => {
+  it("tells callers when to retry, from the predicted queue time", () => {
     const core = new ReadyCore(engines({ slots: 1, running: 0 }));
     core.send({});
     const { effects } = core.send({ deadline: milliseconds(300) });
@@ -82,7 +82,7 @@
     });
   });
 
-  it("tries a lost question elsewhere, and a stream from where it broke off", () => {
+  it("retries a lost request elsewhere, and resumes a stream where it broke off", () => {
     const core = new ReadyCore(engines({}, {}));
     const [first] = dispatched(core.send({}).effects);
     core.tell({ kind: "commit", attempt: "r1.1" as AttemptId });
@@ -99,21 +99,20 @@
     expect(dispatched(effects)).not.toEqual([first]);
   });
 
-  it("goes on with every stream of an engine that dies, whatever the retry budget", () => {
-    // Symptom: most streams of a dead engine end in an error although others have room.
-    // Sequence: an engine with 30 streams dies; the budget holds ten retries.
-    // Cause: going on with a stream was counted as a retry.
+  it("resumes every stream of an engine that dies, whatever the retry budget", () => {
+    // Resuming a stream was counted as a retry. When an engine with 30 streams died, the budget of ten
+    // retries ended most of them with an error although other engines had room.
     const core = new ReadyCore(engines({ slots: 100 }, { slots: 100 }));
-    const ids = Array.from(
+    const attempts = Array.from(
       { length: 60 },
       (_, index) => `r${index + 1}.1` as AttemptId,
     );
-    ids.forEach(() => core.send({}));
-    ids.forEach((attempt) => core.tell({ kind: "commit", attempt }));
-    ids.forEach((attempt) =>
+    attempts.forEach(() => core.send({}));
+    attempts.forEach((attempt) => core.tell({ kind: "commit", attempt }));
+    attempts.forEach((attempt) =>
       core.tell({ kind: "progress", attempt, offset: 3 })
     );
-    const effects = ids.flatMap((attempt) =>
+    const effects = attempts.flatMap((attempt) =>
       core.tell({ kind: "attemptEnded", attempt, end: LOST })
     );
     expect([dispatched(effects).length, answers(effects).length]).toEqual([
@@ -122,7 +121,7 @@
     ]);
   });
 
-  it("stops trying when the budget is used up and nothing was delivered", () => {
+  it("stops retrying when the budget is used up and nothing was delivered", () => {
     const core = new ReadyCore(
       engines({ slots: 100 }, { slots: 100 }, { slots: 100 }),
     );
@@ -136,7 +135,7 @@
     ]);
   });
 
-  it("uses an endpoint that failed lately where there is no other", () => {
+  it("uses an endpoint that failed recently if there is no other", () => {
     const core = new ReadyCore([{ id: "p1", pool: "lookup" }]);
     core.send({ service: "lookup" });
     end(core, "r1.1", { kind: "unsent", detail: "refused" });
--- a/packages/core/src/routing/__tests__/spill.test.ts
+++ b/packages/core/src/routing/__tests__/spill.test.ts
@@ -3,16 +3,16 @@
 import { instant, type RegionId } from "../../ids/index.ts";
 import {
   chooseSpill,
+  RECOVERY_RAMP_MS,
   type RemoteCapacity,
-  RETURN_RAMP_MS,
-  type SpillQuestion,
+  type SpillInput,
 } from "../index.ts";
 
 const NOW = instant(1_000_000);
 const SOUTH = "south" as RegionId;
 
 function remote(change: Partial<RemoteCapacity> = {}): RemoteCapacity {
-  const liveSince = instant(NOW - RETURN_RAMP_MS);
+  const liveSince = instant(NOW - RECOVERY_RAMP_MS);
   return {
     region: SOUTH,
     member: {} as Member,
@@ -23,7 +23,7 @@
   };
 }
 
-const QUESTION: SpillQuestion = {
+const INPUT: SpillInput = {
   objective: "tail",
   localMs: 2_000,
   timeLeftMs: 10_000,
@@ -35,15 +35,15 @@
 };
 
 describe("spilling to another region", () => {
-  const cases: [string, Partial<SpillQuestion>, boolean][] = [
+  const cases: [string, Partial<SpillInput>, boolean][] = [
     ["a long queue here, a free region there", {}, true],
     ["a short queue here", { localMs: 300 }, false],
-    ["the same queue, cost first: a cold prefill is not worth it", {
+    ["the same queue with the cost objective: a cold prefill is not worth it", {
       objective: "cost",
       localMs: 1_500,
     }, false],
     [
-      "a much longer queue, cost first",
+      "a much longer queue with the cost objective",
       { objective: "cost", localMs: 4_000 },
       true,
     ],
@@ -52,48 +52,48 @@
       { spilledShare: 0.2 },
       false,
     ],
-    ["nothing serves here, whatever the share", {
+    ["no endpoint serves here, whatever the share", {
       localMs: Infinity,
       spilledShare: 0.9,
     }, true],
-    ["the queue here outlasts the deadline, cost first", {
+    ["the queue here outlasts the deadline, with the cost objective", {
       objective: "cost",
       localMs: 900,
       timeLeftMs: 800,
     }, true],
-    ["the other region would be too late as well", {
+    ["the other region would miss the deadline as well", {
       localMs: 900,
       timeLeftMs: 250,
     }, false],
-    ["no other region says that it has room", { remotes: [] }, false],
-    ["this entry's part of the spare slots is in use", {
+    ["no other region announces free capacity", { remotes: [] }, false],
+    ["this entry's share of the free slots is in use", {
       sentTo: new Map([[SOUTH, 3]]),
     }, false],
     [
-      "this entry's part is not yet in use",
+      "this entry's share is not yet in use",
       { sentTo: new Map([[SOUTH, 2]]) },
       true,
     ],
-    ["a region that has just come back: one at a time", {
+    ["a region that just became reachable again: one at a time", {
       remotes: [remote({ liveSince: NOW })],
       sentTo: new Map([[SOUTH, 1]]),
     }, false],
-    ["a region that came back a while ago", {
+    ["a region that became reachable again a while ago", {
       remotes: [remote()],
       sentTo: new Map([[SOUTH, 1]]),
     }, true],
   ];
 
-  it.each(cases)("%s", (_, change, goes) => {
-    expect(chooseSpill({ ...QUESTION, ...change }, NOW) !== undefined).toBe(
-      goes,
+  it.each(cases)("%s", (_, change, spills) => {
+    expect(chooseSpill({ ...INPUT, ...change }, NOW) !== undefined).toBe(
+      spills,
     );
   });
 
-  it("takes the region with the shorter time", () => {
+  it("chooses the region with the lower estimate", () => {
     const nearer = remote({ region: "macon" as RegionId, firstTokenMs: 50 });
     expect(
-      chooseSpill({ ...QUESTION, remotes: [remote(), nearer] }, NOW)?.region,
+      chooseSpill({ ...INPUT, remotes: [remote(), nearer] }, NOW)?.region,
     ).toBe("macon");
   });
 });
--- a/packages/core/src/routing/balancer.ts
+++ b/packages/core/src/routing/balancer.ts
@@ -1,6 +1,6 @@
 /**
- * Ways to choose one endpoint of several. All stand behind one interface, so that they can be
- * measured against each other in one run.
+ * Load balancers, which choose one of several endpoints. They share an interface, so that they can be
+ * compared under the same load.
  *
  * @module
  */
@@ -9,46 +9,46 @@
 import {
   activeAt,
   estimateFirstToken,
-  prefillTime,
-  slotsOf,
+  estimatePrefill,
+  slotCount,
   type Work,
 } from "./estimate.ts";
 
-/** Chooses among endpoints that may take the request. */
+/** Chooses among the endpoints that may receive a request. */
 export interface Balancer {
   readonly name: BalancerName;
-  /** One of `candidates`, which is not empty. */
+  /** Returns one of `candidates`, which must not be empty. */
   choose(candidates: readonly Endpoint[], work: Work, now: Instant): Endpoint;
 }
 
-/** Names of the balancers, as in settings. */
+/** Names of the balancers in the settings. */
 export type BalancerName =
   | "estimate"
   | "round_robin"
   | "least_in_flight"
   | "random_of_two";
 
-/** Each endpoint in turn. A baseline. */
+/** Chooses the endpoints in turn. Serves as a baseline. */
 export class RoundRobin implements Balancer {
   readonly name = "round_robin";
-  #turn = 0;
+  #counter = 0;
 
   choose(candidates: readonly Endpoint[]): Endpoint {
-    this.#turn++;
-    return candidates[this.#turn % candidates.length]!;
+    this.#counter++;
+    return candidates[this.#counter % candidates.length]!;
   }
 }
 
-/** The fewest of this entry's own requests in flight. A baseline. */
+/** Chooses the endpoint with the fewest of this entry's own requests in flight. Serves as a baseline. */
 export class LeastInFlight implements Balancer {
   readonly name = "least_in_flight";
 
   choose(candidates: readonly Endpoint[]): Endpoint {
-    return leastBy(candidates, (endpoint) => endpoint.inFlight.size);
+    return minBy(candidates, (endpoint) => endpoint.inFlight.size);
   }
 }
 
-/** The less loaded of two random endpoints. A baseline. */
+/** Chooses the less loaded of two random endpoints. Serves as a baseline. */
 export class RandomOfTwo implements Balancer {
   readonly name = "random_of_two";
   readonly #random: Randomness;
@@ -58,25 +58,26 @@
   }
 
   choose(candidates: readonly Endpoint[]): Endpoint {
-    return leastBy(pickTwo(candidates, this.#random), activeAt);
+    return minBy(pickTwo(candidates, this.#random), activeAt);
   }
 }
 
-/** An endpoint of the prefix's own choice is left out when it is fuller than this share of its slots. */
+/** A preferred endpoint of a prefix is not considered if a larger share of its slots than this is in use. */
 const AFFINITY_LOAD_LIMIT = 0.9;
-/** Endpoints that a prefix prefers, in order. */
+/** Number of preferred endpoints of a prefix. */
 const AFFINITY_CHOICES = 2;
 /**
- * Weight of recomputed prefill beside the estimate. It holds a slot and delays those behind, which the
- * request's own estimate does not show; measured, it lowers the tail as well as the cost.
+ * Weight of the prefill time that is added to the estimate. Prefill occupies a slot and delays requests
+ * queued behind it, which the estimate for the request itself does not include. The added weight lowers both
+ * tail latency and cost.
  */
-const PREFILL_WEIGHT = 1;
+const PREFILL_COST_WEIGHT = 1;
 
 /**
- * The least estimated time to the first token, among two random endpoints and the two that the
- * prompt's prefix prefers. Few candidates, so that entries with the same lagging reports do not all
- * run to the one endpoint that looked idle; and always the same two for a prefix, so that entries
- * that know nothing of each other still meet in one cache.
+ * Chooses the lowest estimated time to the first token among two random endpoints and the two preferred
+ * endpoints of the prompt's prefix. Few endpoints are compared, so that entries with the same outdated
+ * reports do not all send to the one endpoint that looked idle. The preferred endpoints of a prefix are
+ * always the same two, so that entries share a prefix cache without coordination.
  */
 export class EstimatedFirstToken implements Balancer {
   readonly name = "estimate";
@@ -87,15 +88,15 @@
   }
 
   choose(candidates: readonly Endpoint[], work: Work, now: Instant): Endpoint {
-    const few = [
+    const compared = [
       ...this.#preferred(candidates, work),
       ...pickTwo(candidates, this.#random),
     ];
-    return leastBy(
-      few,
+    return minBy(
+      compared,
       (endpoint) =>
         estimateFirstToken(endpoint, work, now) +
-        PREFILL_WEIGHT * prefillTime(endpoint, work, now),
+        PREFILL_COST_WEIGHT * estimatePrefill(endpoint, work, now),
     );
   }
 
@@ -111,12 +112,12 @@
     )
       .slice(0, AFFINITY_CHOICES)
       .filter((endpoint) =>
-        activeAt(endpoint) < slotsOf(endpoint) * AFFINITY_LOAD_LIMIT
+        activeAt(endpoint) < slotCount(endpoint) * AFFINITY_LOAD_LIMIT
       );
   }
 }
 
-/** Makes a balancer by its name. */
+/** Creates the balancer with the given name. */
 export function createBalancer(
   name: BalancerName,
   random: Randomness,
@@ -142,7 +143,7 @@
   return [candidates[first]!, candidates[second]!];
 }
 
-function leastBy(
+function minBy(
   candidates: readonly Endpoint[],
   scoreOf: (endpoint: Endpoint) => number,
 ): Endpoint {
--- a/packages/core/src/routing/estimate.ts
+++ b/packages/core/src/routing/estimate.ts
@@ -1,5 +1,5 @@
 /**
- * Estimates from lagging load reports.
+ * Estimates load and latency from load reports, which lag behind.
  *
  * @module
  */
@@ -7,26 +7,26 @@
 import { type Instant, type Milliseconds, milliseconds } from "../ids/index.ts";
 import { BLOCK_TOKENS, type BodyFacts } from "../messages/index.ts";
 
-/** Slots assumed of an endpoint that has not reported yet. */
+/** Slots assumed for an endpoint without a load report. */
 const DEFAULT_SLOTS = 4;
-/** Hold time assumed of an endpoint that has not reported yet. */
-const DEFAULT_HOLD_MS = 1_000;
+/** Time per request in a slot assumed for an endpoint without a load report. */
+const DEFAULT_SLOT_TIME_MS = 1_000;
 
-/** What an estimate needs of a request. */
+/** The properties of a request that estimates depend on. */
 export type Work = Pick<BodyFacts, "promptTokens" | "blocks">;
 
-/** Slots of an endpoint. */
-export function slotsOf(endpoint: Endpoint): number {
+/** Returns the number of slots of an endpoint. */
+export function slotCount(endpoint: Endpoint): number {
   return endpoint.load?.slots ?? DEFAULT_SLOTS;
 }
 
-/** Mean time that a request holds a slot. */
+/** Returns the mean time that a request occupies a slot. */
 export function holdTimeOf(endpoint: Endpoint): number {
-  return endpoint.load?.holdTime || DEFAULT_HOLD_MS;
+  return endpoint.load?.holdTime || DEFAULT_SLOT_TIME_MS;
 }
 
 /**
- * Requests thought to be at an endpoint now: those of its last report, and this entry's own that
+ * Estimates the number of requests at an endpoint now: those of its last report and this entry's own that
  * started after the report was measured, which it cannot include.
  */
 export function activeAt(endpoint: Endpoint): number {
@@ -34,19 +34,19 @@
   if (load === undefined || loadAt === undefined) {
     return inFlight.size;
   }
-  let since = 0;
+  let startedSince = 0;
   for (const startedAt of inFlight.values()) {
-    since += startedAt >= loadAt ? 1 : 0;
+    startedSince += startedAt >= loadAt ? 1 : 0;
   }
-  return Math.max(inFlight.size, load.running + load.queued + since);
+  return Math.max(inFlight.size, load.running + load.queued + startedSince);
 }
 
-/** Slots thought to be free. */
+/** Estimates the number of free slots. Negative if requests are queued. */
 export function roomAt(endpoint: Endpoint): number {
-  return slotsOf(endpoint) - activeAt(endpoint);
+  return slotCount(endpoint) - activeAt(endpoint);
 }
 
-/** Prompt tokens thought to be in the endpoint's prefix cache: leading blocks only. */
+/** Estimates how many prompt tokens are in the endpoint's prefix cache. Only leading blocks count. */
 export function cachedTokens(
   endpoint: Endpoint,
   work: Work,
@@ -54,8 +54,8 @@
 ): number {
   let blocks = 0;
   for (const block of work.blocks) {
-    const until = endpoint.cachedBlocks.get(block);
-    if (until === undefined || until <= now) {
+    const cachedUntil = endpoint.cachedBlocks.get(block);
+    if (cachedUntil === undefined || cachedUntil <= now) {
       break;
     }
     blocks++;
@@ -63,16 +63,16 @@
   return Math.min(work.promptTokens, blocks * BLOCK_TOKENS);
 }
 
-/** Wait for a free slot at an endpoint. */
-export function slotWait(endpoint: Endpoint): Milliseconds {
-  const over = activeAt(endpoint) - slotsOf(endpoint) + 1;
+/** Estimates the wait for a free slot at an endpoint. */
+export function estimateSlotWait(endpoint: Endpoint): Milliseconds {
+  const excess = activeAt(endpoint) - slotCount(endpoint) + 1;
   return milliseconds(
-    over <= 0 ? 0 : (over * holdTimeOf(endpoint)) / slotsOf(endpoint),
+    excess <= 0 ? 0 : (excess * holdTimeOf(endpoint)) / slotCount(endpoint),
   );
 }
 
-/** Time to compute the part of the prompt that is not in the cache. */
-export function prefillTime(
+/** Estimates the time to process the part of the prompt that is not in the prefix cache. */
+export function estimatePrefill(
   endpoint: Endpoint,
   work: Work,
   now: Instant,
@@ -82,11 +82,13 @@
   return milliseconds(rate > 0 ? (uncached / rate) * 1_000 : 0);
 }
 
-/** Estimated time to the first token at an endpoint. */
+/** Estimates the time to the first token at an endpoint. */
 export function estimateFirstToken(
   endpoint: Endpoint,
   work: Work,
   now: Instant,
 ): Milliseconds {
-  return milliseconds(slotWait(endpoint) + prefillTime(endpoint, work, now));
+  return milliseconds(
+    estimateSlotWait(endpoint) + estimatePrefill(endpoint, work, now),
+  );
 }
--- a/packages/core/src/routing/spill.ts
+++ b/packages/core/src/routing/spill.ts
@@ -1,5 +1,5 @@
 /**
- * Whether a request goes to another region, and to which.
+ * Decides whether a request is sent to another region, and to which one.
  *
  * @module
  */
@@ -7,61 +7,70 @@
 import type { Instant, RegionId, ServiceId } from "../ids/index.ts";
 import type { Objective } from "../text/index.ts";
 
-/** Round trip between regions, added to a remote estimate. */
+/** Round-trip time between regions, added to a remote estimate. */
 export const REGION_ROUND_TRIP_MS = 200;
-/** A remote estimate must be better by this factor and by this time. */
-const MARGIN: Readonly<
+/** A remote estimate must be better than the local one by this factor and by this time in addition. */
+const MIN_ADVANTAGE: Readonly<
   Record<Objective, { readonly factor: number; readonly extraMs: number }>
 > = {
   tail: { factor: 1.2, extraMs: 50 },
   cost: { factor: 3, extraMs: 1_000 },
 };
-/** A region that came back takes its full share of others' requests only after this time: its caches are cold. */
-export const RETURN_RAMP_MS = 30_000;
+/**
+ * A region that becomes reachable again receives its full share of other regions' requests only after this
+ * time, since its caches are cold.
+ */
+export const RECOVERY_RAMP_MS = 30_000;
 
-/** Another region's word on one service. */
+/** Free capacity for a service that another region announces. */
 export interface RemoteCapacity {
   readonly region: RegionId;
   readonly member: Member;
   readonly slots: number;
   readonly firstTokenMs: number;
-  /** When the region was heard again after a silence. */
+  /** When the region was heard from again after a silence. */
   readonly liveSince: Instant;
 }
 
-/** What decides about a spill. */
-export interface SpillQuestion {
+/** The state that the decision depends on. */
+export interface SpillInput {
   readonly objective: Objective;
-  /** Estimated time to the first token here, queue included; `Infinity` where nothing serves. */
+  /**
+   * Estimated time to the first token in this region including the queue, `Infinity` if no endpoint serves.
+   */
   readonly localMs: number;
   readonly timeLeftMs: number;
-  /** Share of this entry's late requests that went away, and the largest allowed. */
+  /** Share of this entry's recent requests that were sent to other regions, and its limit. */
   readonly spilledShare: number;
   readonly spillLimit: number;
   readonly remotes: readonly RemoteCapacity[];
-  /** Requests of this entry in flight by region. */
+  /** This entry's requests in flight to each region. */
   readonly sentTo: ReadonlyMap<RegionId, number>;
-  /** Entries in other regions that may use the same spare capacity. */
+  /** Number of entries in other regions that may use the same free capacity. */
   readonly senders: number;
 }
 
-/** The best region to send to, or `undefined` to stay. */
+/** Returns the best region to send the request to, `undefined` to keep it in this region. */
 export function chooseSpill(
-  question: SpillQuestion,
+  input: SpillInput,
   now: Instant,
 ): RemoteCapacity | undefined {
-  const mustGo = question.localMs >= question.timeLeftMs;
-  if (!mustGo && question.spilledShare >= question.spillLimit) {
+  const mustSpill = input.localMs >= input.timeLeftMs;
+  if (!mustSpill && input.spilledShare >= input.spillLimit) {
     return undefined;
   }
-  const margin = MARGIN[question.objective];
+  const minAdvantage = MIN_ADVANTAGE[input.objective];
   let best: RemoteCapacity | undefined;
-  for (const remote of question.remotes) {
-    const cost = remoteMs(remote);
-    const pays = mustGo ||
-      question.localMs > cost * margin.factor + margin.extraMs;
-    const fits = cost < question.timeLeftMs && hasShare(question, remote, now);
-    if (pays && fits && (best === undefined || cost < remoteMs(best))) {
+  for (const remote of input.remotes) {
+    const remoteMs = estimateRemoteMs(remote);
+    const isWorthwhile = mustSpill ||
+      input.localMs > remoteMs * minAdvantage.factor + minAdvantage.extraMs;
+    const isAllowed = remoteMs < input.timeLeftMs &&
+      isWithinShare(input, remote, now);
+    if (
+      isWorthwhile && isAllowed &&
+      (best === undefined || remoteMs < estimateRemoteMs(best))
+    ) {
       best = remote;
     }
   }
@@ -69,32 +78,32 @@
 }
 
 /**
- * Every sender sees the same spare slots. If each took them all, the region would be flooded by as
- * many times as there are senders; one would notice by its queue jumping whenever another region is
- * in need. Each takes its part only.
+ * Whether this entry's share of a region's free slots has room for another request. All senders see the same
+ * free slots. If each used all of them, the region would be overloaded by a factor of the number of senders,
+ * and its queue would grow suddenly whenever another region is short of capacity.
  */
-function hasShare(
-  question: SpillQuestion,
+function isWithinShare(
+  input: SpillInput,
   remote: RemoteCapacity,
   now: Instant,
 ): boolean {
   const ramp = Math.min(
     1,
-    Math.max(0, now - remote.liveSince) / RETURN_RAMP_MS,
+    Math.max(0, now - remote.liveSince) / RECOVERY_RAMP_MS,
   );
-  const share = (remote.slots * ramp) / Math.max(1, question.senders);
+  const share = (remote.slots * ramp) / Math.max(1, input.senders);
   const allowed = Math.max(remote.slots >= 1 ? 1 : 0, Math.floor(share));
-  return (question.sentTo.get(remote.region) ?? 0) < allowed;
+  return (input.sentTo.get(remote.region) ?? 0) < allowed;
 }
 
-function remoteMs(remote: RemoteCapacity): number {
+function estimateRemoteMs(remote: RemoteCapacity): number {
   return remote.firstTokenMs + REGION_ROUND_TRIP_MS;
 }
 
-/** How old a zone's word on its capacity may be. */
-export const SPARE_MAX_AGE_MS = 60_000;
+/** Capacity that a zone announced longer ago than this is ignored. */
+export const MAX_CAPACITY_AGE_MS = 60_000;
 
-/** What is known of a service's free capacity in other regions, summed over their zones. */
+/** Returns the announced free capacity for a service in other regions, summed over their zones. */
 export function remoteCapacities(
   membership: MembershipView,
   { service, home }: { service: ServiceId; home: RegionId },
@@ -108,7 +117,7 @@
     const spare = news.spare.find((item) => item.service === service);
     if (
       news.region === home || spare === undefined || spare.slots <= 0 ||
-      now - heardAt > SPARE_MAX_AGE_MS
+      now - heardAt > MAX_CAPACITY_AGE_MS
     ) {
       continue;
     }
@@ -120,23 +129,25 @@
     });
   }
   return [...sums].flatMap(([region, sum]) => {
-    const member = entryOf(membership, region);
+    const member = findLatestMember(membership, region);
     return member === undefined ? [] : [{ region, member, ...sum }];
   });
 }
 
-/** The entry of a region that was heard last: the surest to be there. */
-function entryOf(
+/** Returns the entry of a region that was heard from last, since it is the most likely to be reachable. */
+function findLatestMember(
   membership: MembershipView,
   region: RegionId,
 ): Member | undefined {
   let latest: Member | undefined;
   for (const member of membership.members.values()) {
-    const fits = member.health === "live" && member.record.state === "ready" &&
+    const isEligible = member.health === "live" &&
+      member.record.state === "ready" &&
       member.record.region === region;
-    latest = fits && (latest === undefined || member.heardAt > latest.heardAt)
-      ? member
-      : latest;
+    latest =
+      isEligible && (latest === undefined || member.heardAt > latest.heardAt)
+        ? member
+        : latest;
   }
   return latest;
 }
--- a/packages/core/src/streams/__tests__/token_stream.test.ts
+++ b/packages/core/src/streams/__tests__/token_stream.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from "vitest";
 import {
   type Frame,
-  MAX_HELD_FRAMES,
+  MAX_BUFFERED_FRAMES,
   parseFrame,
   TokenStream,
 } from "../index.ts";
@@ -33,7 +33,7 @@
 }
 
 describe("token stream", () => {
-  describe("frames that come amiss", () => {
+  describe("irregular frames", () => {
     const cases: [
       string,
       Frame[],
@@ -48,20 +48,20 @@
         text: "t0t1",
         whole: true,
       }],
-      ["doubled", [token(0), token(0), token(1), token(1), end(2), end(2)], {
+      ["duplicated", [token(0), token(0), token(1), token(1), end(2), end(2)], {
         text: "t0t1",
         whole: true,
       }],
-      ["another request's", [token(0), token(1, "other"), token(1), end(2)], {
+      ["of another request", [token(0), token(1, "other"), token(1), end(2)], {
         text: "t0t1",
         whole: true,
       }],
-      ["cut before the end mark", [token(0), token(1)], {
+      ["cut off before the end marker", [token(0), token(1)], {
         text: "t0t1",
         whole: false,
       }],
       ["a gap", [token(0), token(2), end(3)], { text: "t0", whole: false }],
-      ["end mark too early", [token(0), token(1), end(1)], {
+      ["end marker too early", [token(0), token(1), end(1)], {
         text: "t0t1",
         whole: false,
         broken: true,
@@ -83,29 +83,29 @@
       expect(read(frames)).toEqual({ broken: false, ...expected });
     });
 
-    it("takes any number of doubled tokens", () => {
-      const count = 2 * MAX_HELD_FRAMES;
-      const doubled = Array.from(
+    it("accepts any number of duplicated tokens", () => {
+      const count = 2 * MAX_BUFFERED_FRAMES;
+      const duplicated = Array.from(
         { length: 2 * count },
         (_, index) => token(index >> 1),
       );
-      expect(read([...doubled, end(count)])).toMatchObject({
+      expect(read([...duplicated, end(count)])).toMatchObject({
         whole: true,
         broken: false,
       });
     });
 
-    it("holds a bounded number of tokens that came too early", () => {
+    it("buffers a bounded number of early tokens", () => {
       const frames = Array.from(
-        { length: MAX_HELD_FRAMES + 1 },
+        { length: MAX_BUFFERED_FRAMES + 1 },
         (_, index) => token(index + 1),
       );
       expect(read(frames)).toMatchObject({ text: "", broken: true });
     });
   });
 
-  describe("a stream that goes on elsewhere", () => {
-    it("drops late frames of the attempt before", () => {
+  describe("a stream that is resumed elsewhere", () => {
+    it("drops late frames of the previous attempt", () => {
       const stream = new TokenStream();
       const first = stream.begin("r.1");
       first.accept(token(0, "r.1"));
@@ -119,7 +119,7 @@
       expect(second.foreign).toBe(1);
     });
 
-    it("is never ended by an attempt that was left", () => {
+    it("is never completed by a superseded attempt", () => {
       const stream = new TokenStream();
       const first = stream.begin("r.1");
       first.accept({ id: "r.1", offset: 1, token: "", done: true });
@@ -128,9 +128,9 @@
       expect([first.isWhole, second.isWhole]).toEqual([false, false]);
     });
 
-    // Attempts send ahead, end and are left at any moment, and go on sending: whatever reaches the caller
-    // is each token once, in order, and from the attempt that went on at that moment.
-    it("takes nothing from an attempt that was left, at any crossing", () => {
+    // Attempts send tokens early, end, are superseded at any time and continue to send. The caller must
+    // receive each token once, in order, and from the attempt that was current at that time.
+    it("takes nothing from superseded attempts, in any interleaving", () => {
       const step = fc.record({
         attempt: fc.integer({ min: 0, max: 3 }),
         offset: fc.integer({ min: 0, max: 5 }),
@@ -138,17 +138,17 @@
       });
       fc.assert(fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
         const stream = new TokenStream();
-        const begun = [stream.begin("r.0")];
+        const attempts = [stream.begin("r.0")];
         const text: string[] = [];
         const expected: string[] = [];
         for (const { attempt, offset, kind } of steps) {
           if (kind === "begin") {
-            begun.push(stream.begin(`r.${begun.length}`));
+            attempts.push(stream.begin(`r.${attempts.length}`));
             continue;
           }
-          const number = Math.min(attempt, begun.length - 1);
-          const current = begun.length - 1;
-          const accepted = begun[number]!.accept({
+          const number = Math.min(attempt, attempts.length - 1);
+          const current = attempts.length - 1;
+          const accepted = attempts[number]!.accept({
             id: `r.${number}`,
             offset,
             token: `${number}:${offset}`,
@@ -160,7 +160,9 @@
           if (number !== current && accepted.kind !== "foreign") {
             return false;
           }
-          if (begun.some(({ isWhole }, index) => isWhole && index < current)) {
+          if (
+            attempts.some(({ isWhole }, index) => isWhole && index < current)
+          ) {
             return false;
           }
         }
@@ -169,7 +171,7 @@
     });
   });
 
-  it("gives every token once and in order, or is not whole", () => {
+  it("delivers every token once and in order, or is not whole", () => {
     const frames = fc.array(
       fc.record({ offset: fc.integer({ min: 0, max: 6 }), done: fc.boolean() }),
       { maxLength: 30 },
@@ -186,7 +188,7 @@
     }));
   });
 
-  it("reads frames from any text without throwing", () => {
+  it("parses any text without throwing", () => {
     fc.assert(fc.property(fc.oneof(fc.string(), fc.json()), (text) => {
       const frame = parseFrame(text);
       return frame === undefined ||
--- a/packages/core/src/streams/token_stream.ts
+++ b/packages/core/src/streams/token_stream.ts
@@ -1,62 +1,63 @@
 /**
- * Puts a stream of tokens together from frames that may be late, doubled, out of order, another
- * request's, or cut off.
+ * Assembles a stream of tokens from frames that may be late, duplicated, out of order, meant for another
+ * request, or cut off.
  *
  * @module
  */
 
-/** One frame as engines and peers send it. */
+/** A frame as sent by engines and peers. */
 export interface Frame {
-  /** Attempt that it answers. */
+  /** The attempt that the frame belongs to. */
   readonly id: string;
-  /** Number of its token in the whole answer, from 0. */
+  /** Index of the token in the whole answer, from 0. */
   readonly offset: number;
   readonly token: string;
-  /** Set on the end mark, whose offset is the number of tokens. */
+  /** Set on the end marker, whose offset is the number of tokens. */
   readonly done?: boolean;
 }
 
-/** Frames held back while an earlier one is missing. */
-export const MAX_HELD_FRAMES = 256;
+/** Limit for the frames that are buffered while an earlier one is missing. */
+export const MAX_BUFFERED_FRAMES = 256;
 
-/** What a frame brought. */
-export type Accepted =
-  /** Tokens that are next in order. May be empty. */
+/** The result of accepting a frame. */
+export type FrameResult =
+  /** The next tokens in order. May be empty. */
   | {
     readonly kind: "tokens";
     readonly tokens: readonly string[];
     readonly ended: boolean;
   }
-  /** Another attempt's frame: dropped. */
+  /** The frame belongs to another attempt and was dropped. */
   | { readonly kind: "foreign" }
-  /** Nothing sensible can come of the stream. */
+  /** The stream is inconsistent and cannot be completed. */
   | { readonly kind: "broken"; readonly detail: string };
 
-/** How many tokens of an answer its caller has, and which attempt goes on. */
-interface Progress {
-  next: number;
+/** The index of the next token to deliver and the current attempt. */
+interface StreamProgress {
+  nextOffset: number;
   attempt: AttemptFrames | undefined;
 }
 
 /**
- * One answer's tokens, in order and each once, whichever attempts they come from.
+ * Delivers the tokens of one answer in order and once each, from any number of attempts.
  *
- * Nothing but the number of the next token outlives an attempt: what one has sent ahead, its end mark and
- * its late frames would otherwise stand among those of the next, in an answer that no engine made.
+ * Only the index of the next token is carried over from one attempt to the next. Early tokens, the end marker
+ * or late frames of a previous attempt would otherwise be mixed into those of the current one, giving an
+ * answer that no engine produced.
  */
 export class TokenStream {
-  readonly #progress: Progress;
+  readonly #progress: StreamProgress;
 
   constructor(startAt = 0) {
-    this.#progress = { next: startAt, attempt: undefined };
+    this.#progress = { nextOffset: startAt, attempt: undefined };
   }
 
-  /** Number of the next token. */
+  /** Index of the next token. */
   get offset(): number {
-    return this.#progress.next;
+    return this.#progress.nextOffset;
   }
 
-  /** Goes on with another attempt at `offset`; frames of the one before are foreign from now on. */
+  /** Continues with another attempt at `offset`. Frames of the previous attempt are foreign from now on. */
   begin(id: string): AttemptFrames {
     const attempt = new AttemptFrames(id, this.#progress);
     this.#progress.attempt = attempt;
@@ -65,35 +66,35 @@
 }
 
 /**
- * What one attempt has sent of an answer.
+ * The part of an answer that one attempt sends.
  *
- * A stream that ends without its end mark is not whole, however tidy its last frame looks: an engine
- * that dies between two frames would pass for one that had finished, and a visitor would read half an
- * instruction. `isWhole` is true only after the end mark and every token before it.
+ * A stream without an end marker is incomplete, even if its last frame is. Otherwise an engine that dies
+ * between two frames would seem to have finished, and a user would read half an instruction. `isWhole` is
+ * true only after the end marker and every token before it.
  */
 export class AttemptFrames {
   readonly #id: string;
-  readonly #progress: Progress;
-  readonly #held = new Map<number, string>();
-  #end: number | undefined;
+  readonly #progress: StreamProgress;
+  readonly #buffered = new Map<number, string>();
+  #endOffset: number | undefined;
   #duplicates = 0;
   #foreign = 0;
 
-  /** Made by `begin` alone. */
-  constructor(id: string, progress: Progress) {
+  /** Called by `TokenStream.begin` only. */
+  constructor(id: string, progress: StreamProgress) {
     this.#id = id;
     this.#progress = progress;
   }
 
-  /** Whether this attempt, still the one that goes on, has brought the answer to its end. */
+  /** Whether this attempt is the current one and has completed the answer. */
   get isWhole(): boolean {
-    return this.#goesOn && this.#end !== undefined &&
-      this.#progress.next >= this.#end;
+    return this.#isCurrent && this.#endOffset !== undefined &&
+      this.#progress.nextOffset >= this.#endOffset;
   }
 
-  /** Tokens that came before a missing one. */
+  /** Number of buffered tokens that wait for an earlier one. */
   get held(): number {
-    return this.#held.size;
+    return this.#buffered.size;
   }
 
   get duplicates(): number {
@@ -104,8 +105,8 @@
     return this.#foreign;
   }
 
-  accept(frame: Frame): Accepted {
-    if (frame.id !== this.#id || !this.#goesOn) {
+  accept(frame: Frame): FrameResult {
+    if (frame.id !== this.#id || !this.#isCurrent) {
       this.#foreign++;
       return { kind: "foreign" };
     }
@@ -117,59 +118,64 @@
       : this.#acceptToken(frame);
   }
 
-  get #goesOn(): boolean {
+  get #isCurrent(): boolean {
     return this.#progress.attempt === this;
   }
 
-  #acceptEnd(offset: number): Accepted {
-    const beyond = [...this.#held.keys()].some((held) => held >= offset);
+  #acceptEnd(offset: number): FrameResult {
+    const hasLaterTokens = [...this.#buffered.keys()].some((buffered) =>
+      buffered >= offset
+    );
     if (
-      offset < this.#progress.next || beyond ||
-      (this.#end !== undefined && this.#end !== offset)
+      offset < this.#progress.nextOffset || hasLaterTokens ||
+      (this.#endOffset !== undefined && this.#endOffset !== offset)
     ) {
       return { kind: "broken", detail: "The end mark contradicts the tokens" };
     }
-    this.#end = offset;
+    this.#endOffset = offset;
     return { kind: "tokens", tokens: [], ended: this.isWhole };
   }
 
-  #acceptToken({ offset, token }: Frame): Accepted {
-    if (this.#end !== undefined && offset >= this.#end) {
+  #acceptToken({ offset, token }: Frame): FrameResult {
+    if (this.#endOffset !== undefined && offset >= this.#endOffset) {
       return { kind: "broken", detail: "A token came after the end" };
     }
-    if (offset < this.#progress.next || this.#held.has(offset)) {
+    if (offset < this.#progress.nextOffset || this.#buffered.has(offset)) {
       this.#duplicates++;
       return { kind: "tokens", tokens: [], ended: this.isWhole };
     }
-    this.#held.set(offset, token);
-    if (this.#held.size > MAX_HELD_FRAMES) {
+    this.#buffered.set(offset, token);
+    if (this.#buffered.size > MAX_BUFFERED_FRAMES) {
       return {
         kind: "broken",
         detail: "Too many tokens came before a missing one",
       };
     }
-    return { kind: "tokens", tokens: this.#release(), ended: this.isWhole };
+    return { kind: "tokens", tokens: this.#takeInOrder(), ended: this.isWhole };
   }
 
-  #release(): string[] {
+  #takeInOrder(): string[] {
     const tokens: string[] = [];
     const progress = this.#progress;
-    while (this.#held.has(progress.next)) {
-      tokens.push(this.#held.get(progress.next)!);
-      this.#held.delete(progress.next);
-      progress.next++;
+    while (this.#buffered.has(progress.nextOffset)) {
+      tokens.push(this.#buffered.get(progress.nextOffset)!);
+      this.#buffered.delete(progress.nextOffset);
+      progress.nextOffset++;
     }
     return tokens;
   }
 }
 
-/** Reads one frame from JSON; `undefined` where it is not one. */
+/** Parses a frame from JSON. Returns `undefined` if the text is not a valid frame. */
 export function parseFrame(json: string): Frame | undefined {
   try {
     const value = JSON.parse(json) as Partial<Frame> | null;
-    const typed = typeof value?.id === "string" &&
+    const hasRequiredFields = typeof value?.id === "string" &&
       typeof value.offset === "number";
-    if (!typed || (value.done !== true && typeof value.token !== "string")) {
+    if (
+      !hasRequiredFields ||
+      (value.done !== true && typeof value.token !== "string")
+    ) {
       return undefined;
     }
     return {
--- a/playground/src/guards/guards.ts
+++ b/playground/src/guards/guards.ts
@@ -198,15 +198,15 @@
     name: "a stream without its end mark is not whole",
     file: `${CORE}/streams/token_stream.ts`,
     find:
-      "return this.#goesOn && this.#end !== undefined &&\n      this.#progress.next >= this.#end;",
-    replace: "return this.#goesOn && this.#progress.next > 0;",
+      "return this.#isCurrent && this.#endOffset !== undefined &&\n      this.#progress.nextOffset >= this.#endOffset;",
+    replace: "return this.#isCurrent && this.#progress.nextOffset > 0;",
   },
   {
     point: "whole answers",
     name: "another attempt's frames are dropped",
     file: `${CORE}/streams/token_stream.ts`,
-    find: "if (frame.id !== this.#id || !this.#goesOn) {",
-    replace: "if (!this.#goesOn) {",
+    find: "if (frame.id !== this.#id || !this.#isCurrent) {",
+    replace: "if (!this.#isCurrent) {",
   },
   {
     point: "whole answers",
@@ -247,7 +247,8 @@
     point: "whole answers",
     name: "doubled frames are dropped",
     file: `${CORE}/streams/token_stream.ts`,
-    find: "if (offset < this.#progress.next || this.#held.has(offset)) {",
+    find:
+      "if (offset < this.#progress.nextOffset || this.#buffered.has(offset)) {",
     replace: "if (Date.now() < 0) {",
   },
   {
@@ -317,7 +318,7 @@
     point: "engine orders",
     name: "a woken orderer whose text nobody confirmed orders nothing",
     file: `${CORE}/placement/placement_controller.ts`,
-    find: "if (!this.#isTextConfirmed()) {",
+    find: "if (!this.#isConfigurationConfirmed()) {",
     replace: "if (Date.now() < 0) {",
   },
   {
