--- a/packages/core/src/__tests__/ready_core.ts
+++ b/packages/core/src/__tests__/ready_core.ts
@@ -1,5 +1,5 @@
 /**
- * A core that is ready to serve, for tests of single decisions.
+ * Fixture: a core that is ready to serve, for tests of single decisions.
  *
  * @module
  */
@@ -27,8 +27,8 @@
   type ZoneId,
 } from "../index.ts";
 
-/** Operators' text of the tests: one region, a bound and a free customer. */
-export const TEXT = `[deployment]
+/** Operators' configuration in the tests: two regions, a home-bound customer and one that is not. */
+export const CONFIGURATION_TEXT = `[deployment]
 name = demo
 objective = tail
 spill_limit = 0.5
@@ -68,7 +68,7 @@
 requests_per_s = 1000
 `;
 
-/** An endpoint of the tests. */
+/** An endpoint in the tests. */
 export interface TestEndpoint {
   readonly id: string;
   readonly pool: string;
@@ -77,7 +77,7 @@
 }
 
 const START_MS = 1_000_000;
-const REPORT: LoadReport = {
+const DEFAULT_REPORT: LoadReport = {
   age: milliseconds(0),
   running: 0,
   queued: 0,
@@ -91,7 +91,7 @@
   cacheGap: false,
 };
 
-/** Drives a core by hand. */
+/** Drives a core with a simulated clock. */
 export class ReadyCore {
   readonly core: Core;
   /** All effects so far. */
@@ -101,7 +101,8 @@
 
   constructor(
     endpoints: readonly TestEndpoint[],
-    { text = TEXT, seed = 1 }: { text?: string; seed?: number } = {},
+    { text = CONFIGURATION_TEXT, seed = 1 }: { text?: string; seed?: number } =
+      {},
   ) {
     this.core = new Core({
       self: {
@@ -127,7 +128,7 @@
     return this.#ms;
   }
 
-  /** Lists endpoints and reports their loads. */
+  /** Passes in a VM list with these endpoints, and their load reports. */
   list(endpoints: readonly TestEndpoint[]): void {
     const vms = endpoints.map(({ id, pool, zone = "north-a" }): ListedVm => ({
       id: id as EndpointId,
@@ -146,11 +147,11 @@
     this.tell({
       kind: "load",
       endpoint: id as EndpointId,
-      report: { ...REPORT, ...load },
+      report: { ...DEFAULT_REPORT, ...load },
     });
   }
 
-  /** Passes time in small steps. */
+  /** Advances time in small steps, with a tick after each. */
   pass(ms: number): Effect[] {
     const before = this.effects.length;
     for (const end = this.#ms + ms; this.#ms < end;) {
@@ -160,7 +161,7 @@
     return this.effects.slice(before);
   }
 
-  /** Stands still, and is woken by its timer. */
+  /** Simulates a pause of the process, followed by a tick. */
   stall(ms: number): Effect[] {
     this.#ms += ms;
     return this.tell({ kind: "tick" });
@@ -172,7 +173,7 @@
     return effects;
   }
 
-  /** Hears a peer, and what it says of its zone. */
+  /** Receives a heartbeat of a peer, with the spare capacity of its zone. */
   hear(
     from: Partial<MemberRecord>,
     { spare = [] }: { spare?: readonly Spare[] } = {},
@@ -212,15 +213,15 @@
     return this.core.ownerToken(instant(this.#ms));
   }
 
-  /** Sends a request whose body comes at once; returns its id and what followed. */
+  /** Sends a request whose body arrives at once. Returns its id and the effects. */
   send(
     head: Partial<RequestHead>,
     facts: { promptTokens?: number; blocks?: number[]; body?: string } = {},
-  ): Sent {
+  ): SentRequest {
     this.#requests++;
     const id = `r${this.#requests}` as RequestId;
     const { promptTokens = 0, blocks = [], body = "" } = facts;
-    const whole: RequestHead = {
+    const fullHead: RequestHead = {
       id,
       tokenDigest: sha256("clinic"),
       service: "pool",
@@ -232,7 +233,7 @@
       resumeOffset: 0,
       ...head,
     };
-    const effects = this.tell({ kind: "request", head: whole });
+    const effects = this.tell({ kind: "request", head: fullHead });
     if (effects.some(({ kind }) => kind === "readBody")) {
       effects.push(
         ...this.tell({
@@ -247,12 +248,12 @@
 }
 
 /** A sent request. */
-export interface Sent {
+export interface SentRequest {
   readonly id: RequestId;
   readonly effects: readonly Effect[];
 }
 
-/** Places of all attempts among effects. */
+/** Returns the targets of all dispatched attempts among effects. */
 export function dispatched(effects: readonly Effect[]): string[] {
   return effects.flatMap((effect) => {
     if (effect.kind !== "dispatch") {
@@ -265,14 +266,14 @@
   });
 }
 
-/** Final answers among effects. */
+/** Returns the final answers among effects. */
 export function answers(effects: readonly Effect[]): FinalAnswer[] {
   return effects.flatMap((effect) =>
     effect.kind === "finish" ? [effect.answer] : []
   );
 }
 
-/** Reason of the only refusal among effects. */
+/** Returns the refusal reason if the first final answer among effects is a refusal. */
 export function refusedFor(effects: readonly Effect[]): string | undefined {
   const [answer] = answers(effects);
   return answer?.kind === "refused" ? answer.refusal.reason : undefined;
--- a/packages/core/src/actions/action_controller.ts
+++ b/packages/core/src/actions/action_controller.ts
@@ -1,8 +1,9 @@
 /**
- * Calls that may not be repeated: who may run a key, which were used, and with what outcome.
+ * Actions, which are calls that must not be repeated: the right to run idempotency keys, the used keys and their
+ * outcomes.
  *
- * The right to run a key lives in one process's memory and dies with it. Nothing here is a lock or a
- * lease: an owner never gains a right that another had without that one having given it up first.
+ * The right to run a key exists in the memory of one process only and ends with it. There are no locks or
+ * leases: a process gains a right of another one only after that process has given it up.
  *
  * @module
  */
@@ -26,14 +27,14 @@
 import { KEPT_EPOCHS, OwnerRights } from "./owner_rights.ts";
 import { formatOwnerToken, type KeyOwner } from "./owner_token.ts";
 import {
+  type KeyStatus,
   MAX_KEPT_ANSWER_BYTES,
   MAX_USED_KEYS,
-  type Standing,
   toUsedKey,
   type UsedAction,
 } from "./used_action.ts";
 
-/** Writes the `actions` section, and is its view. */
+/** Manages used keys and their outcomes. Implements the `actions` section of the blackboard. */
 export class ActionController implements ActionsView {
   readonly #board: Blackboard;
   readonly #emit: Emit;
@@ -66,19 +67,19 @@
     return this.#rights.epochOf(this.#board.self.incarnation, now) ?? 0;
   }
 
-  /** The token that callers make keys from. */
+  /** Returns the token from which callers make idempotency keys. */
   ownerToken(now: Instant): string {
     const { id, incarnation } = this.#board.self;
     return formatOwnerToken(id, incarnation, this.epoch(now));
   }
 
-  /** Whether another key fits. */
+  /** Whether the limits of used keys or of kept answers are reached, so that no new key can be used. */
   get full(): boolean {
     return this.#used.size >= MAX_USED_KEYS ||
       this.#answerBytes + this.#copies.bytes >= MAX_KEPT_ANSWER_BYTES;
   }
 
-  /** Drops keys of epochs that are over, and old copies. */
+  /** Removes keys of expired epochs and expired copies. */
   tick(now: Instant): void {
     const epochs = this.#rights.owners().map((owner) =>
       this.#rights.epochOf(owner, now)
@@ -92,14 +93,14 @@
         action.outcome !== undefined &&
         !this.#rights.isCurrent(action.owner, action.epoch, now)
       ) {
-        this.#forgetUsed(id);
+        this.#removeUsedKey(id);
       }
     }
     this.#copies.expire(now);
   }
 
-  /** What is known of a customer's key. */
-  standing(customer: CustomerId, owner: KeyOwner, now: Instant): Standing {
+  /** Returns the status of a customer's key, as far as this entry knows. */
+  keyStatus(customer: CustomerId, owner: KeyOwner, now: Instant): KeyStatus {
     const action = this.#used.get(scopedKey(customer, owner.key));
     if (action !== undefined) {
       return action.outcome === undefined
@@ -114,17 +115,17 @@
     if (epoch !== undefined) {
       return owner.epoch > epoch
         ? { kind: "invalid" }
-        : this.#ownStanding(owner, now);
+        : this.#ownKeyStatus(owner, now);
     }
-    return this.#foreignStanding(customer, owner);
+    return this.#foreignKeyStatus(customer, owner);
   }
 
   /**
    * Marks a key as used, before anything is sent.
    *
-   * Two sends of one key could reach the owner together, and both find it unused: a badge printed
-   * twice. Looking and marking are one step on the one thread, and from then on the key is used
-   * until it is known that nothing ran.
+   * If two sends with one key arrived together and both found it unused, the action would run twice. The
+   * key is therefore looked up and marked in one synchronous step. It stays marked until it is known that
+   * nothing ran.
    */
   begin(
     customer: CustomerId,
@@ -142,19 +143,23 @@
     });
   }
 
-  /** Whether this entry may still send a key that it began: not after a hand-over. */
+  /** Whether this entry may still run a key that it marked as used. After a hand-over it must not. */
   mayRun(customer: CustomerId, owner: KeyOwner): boolean {
     return this.#rights.has(owner.incarnation) &&
       this.#used.has(scopedKey(customer, owner.key));
   }
 
-  /** Every attempt ended without a run: the key may be used again. */
+  /** Makes a key usable again after all attempts ended without running the call. */
   release(customer: CustomerId, key: IdempotencyKey): void {
     this.#used.delete(scopedKey(customer, key));
   }
 
-  /** Notes the outcome and copies it to peers of the home region. */
-  settle(customer: CustomerId, key: IdempotencyKey, outcome: Outcome): void {
+  /** Records the outcome of a key and copies it to peers of the home region. */
+  recordOutcome(
+    customer: CustomerId,
+    key: IdempotencyKey,
+    outcome: Outcome,
+  ): void {
     const id = scopedKey(customer, key);
     const action = this.#used.get(id);
     if (action === undefined || action.outcome !== undefined) {
@@ -171,7 +176,7 @@
     }, action.owner);
   }
 
-  /** Keeps a peer's outcome. */
+  /** Keeps the copy of an outcome that a peer sent. */
   keepCopy(copy: OutcomeCopy, now: Instant): void {
     const { self } = this.#board;
     if (
@@ -187,15 +192,15 @@
   }
 
   /**
-   * Gives up every right and hands keys and outcomes to one successor.
+   * Gives up all rights and hands keys and outcomes over to one successor.
    *
-   * Two owners of one key could both run it. The rights are gone from this process before the
-   * message leaves, and it is sent once, to one entry: if it is lost, so are the rights, and callers
-   * get `may_have_run` instead of a second run. Returns the number of messages sent, one for each
-   * incarnation whose keys this entry owned.
+   * Two owners of one key could both run it. The rights are therefore removed from this process before the
+   * message is sent, and it is sent once, to one entry. If the message is lost, so are the rights, and callers
+   * get `may_have_run` instead of a second run. Returns the number of messages sent, one for each incarnation
+   * whose keys this entry owned.
    */
   handOver(now: Instant): number {
-    const successor = this.#successor();
+    const successor = this.#chooseSuccessor();
     const ages = this.#rights.giveUpAll(now);
     const used = [...this.#used.values()];
     this.#used.clear();
@@ -213,7 +218,7 @@
     return ages.length;
   }
 
-  /** Takes over the rights of an incarnation that gave them up. */
+  /** Takes over the rights that a peer gave up. Returns whether they were accepted. */
   takeOver(handOver: HandOver, now: Instant): boolean {
     const stopping = this.#board.lifecycle.phase === "stopping" ||
       this.#board.lifecycle.phase === "stopped";
@@ -240,19 +245,19 @@
   }
 
   /**
-   * A key of an epoch that is over may have been used and forgotten since: it never runs.
-   * One would notice its absence by a top-up that runs again when an old request is replayed.
+   * Returns the status of an unrecorded key that this entry owns. A key of an expired epoch may have been used and
+   * removed since, so it never runs. Otherwise an action would run again when an old request is replayed.
    */
-  #ownStanding(owner: KeyOwner, now: Instant): Standing {
+  #ownKeyStatus(owner: KeyOwner, now: Instant): KeyStatus {
     return this.#rights.isCurrent(owner.incarnation, owner.epoch, now)
       ? { kind: "unused" }
       : { kind: "expired" };
   }
 
-  #foreignStanding(customer: CustomerId, owner: KeyOwner): Standing {
+  #foreignKeyStatus(customer: CustomerId, owner: KeyOwner): KeyStatus {
     const kept = this.#copies.get(customer, owner.key);
     if (kept !== undefined) {
-      // An outcome never changes, so a copy is as good as the owner's word.
+      // An outcome never changes, so the copy is as reliable as the owner's answer.
       return {
         kind: "known",
         bodyDigest: kept.bodyDigest,
@@ -260,50 +265,54 @@
       };
     }
     const { self, membership } = this.#board;
-    const member = this.#memberOwning(owner.incarnation);
+    const member = this.#findOwner(owner.incarnation);
     if (member !== undefined) {
       return { kind: "elsewhere", member };
     }
-    const replaced = owner.entry === self.id ||
+    const hasEnded = owner.entry === self.id ||
       membership.gone.has(owner.incarnation);
     const keeper = this.keeperOf(owner);
     if (keeper !== undefined) {
-      return { kind: "perhaps_kept", member: keeper, ownerGone: replaced };
+      return { kind: "perhaps_kept", member: keeper, ownerGone: hasEnded };
     }
-    return replaced ? { kind: "gone" } : { kind: "unreachable" };
+    return hasEnded ? { kind: "gone" } : { kind: "unreachable" };
   }
 
-  /** Two may say that they own it while a hand-over is under way: the one that is not stopping does. */
-  #memberOwning(owner: Incarnation): Member | undefined {
-    const owning = [...this.#board.membership.members.values()].filter((
+  /**
+   * Returns the live member that owns an incarnation's keys. During a hand-over two members may claim them, and
+   * the one that is not stopping is the owner.
+   */
+  #findOwner(owner: Incarnation): Member | undefined {
+    const owners = [...this.#board.membership.members.values()].filter((
       member,
     ) => member.health === "live" && member.record.owns.includes(owner));
-    return owning.find((member) => member.record.state !== "stopping") ??
-      owning[0];
+    return owners.find((member) => member.record.state !== "stopping") ??
+      owners[0];
   }
 
-  /** The peer most likely to keep a copy of a key's outcome, unless that is this entry. */
+  /** Returns the peer that is most likely to keep a copy of a key's outcome, `undefined` if this entry is a keeper. */
   keeperOf(owner: KeyOwner): Member | undefined {
     return otherKeeper(this.#board, owner);
   }
 
-  #successor(): Member | undefined {
+  #chooseSuccessor(): Member | undefined {
     const { self, membership } = this.#board;
     const candidates = [...membership.members.values()].filter((member) =>
       member.health === "live" && member.record.state === "ready" &&
       member.record.region === self.region
     );
-    // The own zone last: it may be the whole zone that is being stopped.
-    const distance = (
+    // Peers in other zones are preferred, since this whole zone may be stopping.
+    const zonePreference = (
       member: Member,
     ): number => (member.record.zone === self.zone ? 1 : 0);
     return candidates.sort((left, right) =>
-      distance(left) - distance(right) || right.heardAt - left.heardAt
+      zonePreference(left) - zonePreference(right) ||
+      right.heardAt - left.heardAt
     )[0];
   }
 
   #sendCopies(copy: OutcomeCopy, owner: Incarnation): void {
-    // A copy in another region would take a bound customer's answer out of its home.
+    // A copy in another region would take a home-bound customer's answer out of its home region.
     if (copy.home !== this.#board.self.region) {
       return;
     }
@@ -323,7 +332,7 @@
     }
   }
 
-  #forgetUsed(id: string): void {
+  #removeUsedKey(id: string): void {
     this.#answerBytes -= outcomeBytes(this.#used.get(id)?.outcome);
     this.#used.delete(id);
   }
--- a/packages/core/src/actions/outcome_copies.ts
+++ b/packages/core/src/actions/outcome_copies.ts
@@ -1,6 +1,6 @@
 /**
- * Outcomes of other entries' keys, kept for retries after their owner's death. Bounded soft state:
- * losing it costs certainty, never safety.
+ * Copies of the outcomes of other entries' keys, kept for retries after the owner has ended. Their number and size
+ * are limited. If a copy is missing, callers get a less certain verdict, but no action runs twice.
  *
  * @module
  */
@@ -13,62 +13,62 @@
 } from "../ids/index.ts";
 import type { Outcome, OutcomeCopy } from "../messages/index.ts";
 
-const RECORD_BYTES = 512;
+const OUTCOME_OVERHEAD_BYTES = 512;
 
 interface KeptCopy {
   readonly copy: OutcomeCopy;
-  readonly until: Instant;
+  readonly expiresAt: Instant;
 }
 
-/** The kept copies. */
+/** Copies of outcomes, with their total size. */
 export class OutcomeCopies {
-  readonly #kept = new Map<string, KeptCopy>();
+  readonly #copies = new Map<string, KeptCopy>();
   #bytes = 0;
 
   get size(): number {
-    return this.#kept.size;
+    return this.#copies.size;
   }
 
-  /** Bytes of the kept answers. */
+  /** Approximate size of the kept answers in bytes. */
   get bytes(): number {
     return this.#bytes;
   }
 
   get(customer: CustomerId, key: IdempotencyKey): OutcomeCopy | undefined {
-    return this.#kept.get(scopedKey(customer, key))?.copy;
+    return this.#copies.get(scopedKey(customer, key))?.copy;
   }
 
-  /** Keeps a copy for a while; the first one counts, since an outcome never changes. */
+  /** Keeps a copy for the given time. Further copies of an outcome are ignored, since it never changes. */
   add(
     copy: OutcomeCopy,
     { keptFor, now }: { keptFor: Milliseconds; now: Instant },
   ): void {
     const id = scopedKey(copy.customer, copy.key);
-    if (!this.#kept.has(id)) {
+    if (!this.#copies.has(id)) {
       this.#bytes += outcomeBytes(copy.outcome);
-      this.#kept.set(id, { copy, until: after(now, keptFor) });
+      this.#copies.set(id, { copy, expiresAt: after(now, keptFor) });
     }
   }
 
-  /** Drops what is over. */
+  /** Removes expired copies. */
   expire(now: Instant): void {
-    for (const [id, { copy, until }] of this.#kept) {
-      if (now >= until) {
+    for (const [id, { copy, expiresAt }] of this.#copies) {
+      if (now >= expiresAt) {
         this.#bytes -= outcomeBytes(copy.outcome);
-        this.#kept.delete(id);
+        this.#copies.delete(id);
       }
     }
   }
 }
 
-/** Keys of two customers never meet, even if the texts are equal. */
+/** Returns an identifier that keeps equal keys of different customers apart. */
 export function scopedKey(customer: CustomerId, key: IdempotencyKey): string {
   return `${customer}\n${key}`;
 }
 
-/** Memory that an outcome takes, roughly. */
+/** Returns the approximate memory that an outcome uses, in bytes. */
 export function outcomeBytes(outcome: Outcome | undefined): number {
   return outcome?.kind === "ran"
-    ? RECORD_BYTES + outcome.answer.body.length
+    ? OUTCOME_OVERHEAD_BYTES + outcome.answer.body.length
     : 0;
 }
--- a/packages/core/src/actions/outcome_keepers.ts
+++ b/packages/core/src/actions/outcome_keepers.ts
@@ -1,5 +1,5 @@
 /**
- * Entries that keep copies of a key's outcome.
+ * Keepers: the entries that keep copies of a key's outcome.
  *
  * @module
  */
@@ -7,13 +7,13 @@
 import { rendezvous } from "../ids/index.ts";
 import type { KeyOwner } from "./owner_token.ts";
 
-/** What decides where copies are: the key, and its owner, which needs none. */
+/** Determines which entries keep copies: the key, and its owner, which needs no copy. */
 export type KeptKey = Pick<KeyOwner, "key" | "incarnation">;
 
 /**
- * Entries of the region that keep a key's outcome, by rendezvous, in two zones where there are two. Any
- * entry can work out where to ask, without being told. A copy in another region would take a bound
- * customer's answer out of its home.
+ * Returns the entries of the region that keep a key's outcome, in two zones if there are two. They are selected by
+ * rendezvous hashing, so that any entry can calculate which ones to ask. Other regions are excluded because a copy
+ * there would take a home-bound customer's answer out of its home region.
  */
 export function keepersOf(
   board: Blackboard,
@@ -52,7 +52,7 @@
   return [first, second].flatMap((candidate) => candidate?.keeper ?? []);
 }
 
-/** The first keeper of a key; none where this entry is a keeper itself. */
+/** Returns the first keeper of a key, `undefined` if this entry is a keeper itself. */
 export function otherKeeper(
   board: Blackboard,
   key: KeptKey,
--- a/packages/core/src/actions/owner_rights.ts
+++ b/packages/core/src/actions/owner_rights.ts
@@ -1,5 +1,5 @@
 /**
- * The incarnations whose keys this entry may run, and their epochs.
+ * Incarnations whose keys this entry has the right to run, and their epochs.
  *
  * @module
  */
@@ -12,65 +12,70 @@
 } from "../ids/index.ts";
 import type { HandOver } from "../messages/index.ts";
 
-/** Epochs for which used keys are kept, the current one included. Older keys never run. */
+/** Number of epochs for which used keys are kept, including the current one. Keys of older epochs never run. */
 export const KEPT_EPOCHS = 3;
 
-/** How far an owner is in its epochs, as durations, to be told to another process. */
+/** Position of an owner within its epochs, as durations, so that it can be sent to another process. */
 export type OwnerAge = Pick<HandOver, "owner" | "epoch" | "epochAge">;
 
-/** Rights of one entry. */
+/** Rights of one entry to run keys. */
 export class OwnerRights {
   readonly #epochLength: Milliseconds;
-  /** When epoch 0 began, by owner. */
-  readonly #zeros = new Map<Incarnation, Instant>();
+  /** Start of epoch 0 of each owner. */
+  readonly #epochZeroStarts = new Map<Incarnation, Instant>();
 
   constructor(epochLength: Milliseconds) {
     this.#epochLength = epochLength;
   }
 
-  /** A new right, whose first epoch begins now. */
+  /** Grants a new right, whose first epoch begins now. */
   grant(owner: Incarnation, now: Instant): void {
-    this.#zeros.set(owner, now);
+    this.#epochZeroStarts.set(owner, now);
   }
 
-  /** A right that another entry gave up, with its epochs as they were. */
+  /** Takes over a right that another entry gave up, and continues its epochs. */
   takeOver({ owner, epoch, epochAge }: OwnerAge, now: Instant): void {
-    this.#zeros.set(owner, after(now, -(epoch * this.#epochLength + epochAge)));
+    this.#epochZeroStarts.set(
+      owner,
+      after(now, -(epoch * this.#epochLength + epochAge)),
+    );
   }
 
   has(owner: Incarnation): boolean {
-    return this.#zeros.has(owner);
+    return this.#epochZeroStarts.has(owner);
   }
 
   owners(): Incarnation[] {
-    return [...this.#zeros.keys()];
+    return [...this.#epochZeroStarts.keys()];
   }
 
-  /** Current epoch of an owner, `undefined` for one whose keys belong to another entry. */
+  /** Returns the current epoch of an owner, `undefined` if this entry has no right to its keys. */
   epochOf(owner: Incarnation, now: Instant): number | undefined {
-    const zero = this.#zeros.get(owner);
-    return zero === undefined
+    const epochZeroStart = this.#epochZeroStarts.get(owner);
+    return epochZeroStart === undefined
       ? undefined
-      : Math.floor(Math.max(0, now - zero) / this.#epochLength);
+      : Math.floor(Math.max(0, now - epochZeroStart) / this.#epochLength);
   }
 
-  /** Whether used keys of an epoch are still kept. */
+  /** Whether used keys of an epoch are still kept, so that its keys may run. */
   isCurrent(owner: Incarnation, epoch: number, now: Instant): boolean {
     const current = this.epochOf(owner, now);
     return current !== undefined && epoch > current - KEPT_EPOCHS;
   }
 
-  /** Gives up every right, and tells how old each was. */
+  /** Gives up all rights, and returns the position of each owner within its epochs. */
   giveUpAll(now: Instant): OwnerAge[] {
-    const ages = [...this.#zeros].map(([owner, zero]): OwnerAge => {
-      const age = Math.max(0, now - zero);
-      return {
-        owner,
-        epoch: Math.floor(age / this.#epochLength),
-        epochAge: milliseconds(age % this.#epochLength),
-      };
-    });
-    this.#zeros.clear();
+    const ages = [...this.#epochZeroStarts].map(
+      ([owner, epochZeroStart]): OwnerAge => {
+        const age = Math.max(0, now - epochZeroStart);
+        return {
+          owner,
+          epoch: Math.floor(age / this.#epochLength),
+          epochAge: milliseconds(age % this.#epochLength),
+        };
+      },
+    );
+    this.#epochZeroStarts.clear();
     return ages;
   }
 }
--- a/packages/core/src/actions/owner_token.ts
+++ b/packages/core/src/actions/owner_token.ts
@@ -1,17 +1,17 @@
 /**
  * Owner tokens and idempotency keys.
  *
- * A key names the entry, incarnation and epoch that alone may run it: the caller makes it from an
- * owner token, got before the first send, and a random part of its own.
+ * An idempotency key names the only entry, incarnation and epoch that may run it. Before the first send, the
+ * caller requests an owner token and appends a random part of its own to it.
  *
  * @module
  */
 import type { EntryId, IdempotencyKey, Incarnation } from "../ids/index.ts";
 
-const KEY =
+const KEY_PATTERN =
   /^([a-z0-9][a-z0-9-]{0,62})\.([a-z0-9]{8,32})\.(\d{1,9})\.([A-Za-z0-9_-]{8,64})$/;
 
-/** What a key says about its owner. */
+/** An idempotency key and the owner that it names. */
 export interface KeyOwner {
   readonly key: IdempotencyKey;
   readonly entry: EntryId;
@@ -19,7 +19,7 @@
   readonly epoch: number;
 }
 
-/** The token of an owner, to which a caller adds `.` and at least 8 random characters. */
+/** Formats an owner token, to which a caller appends `.` and at least 8 random characters. */
 export function formatOwnerToken(
   entry: EntryId,
   incarnation: Incarnation,
@@ -28,9 +28,9 @@
   return `${entry}.${incarnation}.${epoch}`;
 }
 
-/** Reads a key; `undefined` if it was not made from an owner token. */
+/** Parses a key. Returns `undefined` if it was not made from an owner token. */
 export function parseKey(text: string): KeyOwner | undefined {
-  const match = KEY.exec(text);
+  const match = KEY_PATTERN.exec(text);
   if (match === null) {
     return undefined;
   }
--- a/packages/core/src/actions/used_action.ts
+++ b/packages/core/src/actions/used_action.ts
@@ -1,5 +1,5 @@
 /**
- * What is kept of a used key, and what can be said of one.
+ * Records of used keys, and the statuses that a key can have.
  *
  * @module
  */
@@ -12,14 +12,14 @@
 } from "../ids/index.ts";
 import type { Outcome, UsedKey } from "../messages/index.ts";
 
-/** Used keys that one entry keeps; a new key beyond it is refused before it runs. */
+/** Maximum number of used keys that one entry keeps. Calls with further new keys are refused before they run. */
 export const MAX_USED_KEYS = 20_000;
-/** Bytes of kept answers, own and copied. */
+/** Maximum size of kept answers in bytes: those of own keys and copies from peers. */
 export const MAX_KEPT_ANSWER_BYTES = 8_388_608;
 
-/** What this entry can say of a key. */
-export type Standing =
-  /** This entry owns it and it was never used, or every use ended without a run. */
+/** Status of a key, as far as this entry knows. */
+export type KeyStatus =
+  /** This entry owns the key, and it was never used or all uses ended without running the call. */
   | { readonly kind: "unused" }
   | { readonly kind: "running"; readonly bodyDigest: string }
   | {
@@ -27,23 +27,23 @@
     readonly bodyDigest: string;
     readonly outcome: Outcome;
   }
-  /** This entry owns it, and its epoch is over. */
+  /** This entry owns the key, and the key's epoch has expired. */
   | { readonly kind: "expired" }
-  /** This entry owns it, and never gave out a token of that epoch. */
+  /** This entry owns the key, and has not issued tokens for the key's epoch yet. */
   | { readonly kind: "invalid" }
   | { readonly kind: "elsewhere"; readonly member: Member }
-  /** The owner is not heard; this peer may keep a copy of the outcome. */
+  /** No live entry owns the key, but this peer may keep a copy of the outcome. */
   | {
     readonly kind: "perhaps_kept";
     readonly member: Member;
     readonly ownerGone: boolean;
   }
-  /** The owner's incarnation ended and nothing more can be learnt. */
+  /** The owner has ended and no peer keeps a copy of the outcome. */
   | { readonly kind: "gone" }
-  /** The owner is not heard, and may be alive. */
+  /** The owner is unreachable, and may be alive. */
   | { readonly kind: "unreachable" };
 
-/** One key that was used here, or at a peer whose keys came here. */
+/** A key that was used at this entry, or at a peer that handed its keys over. */
 export interface UsedAction {
   readonly customer: CustomerId;
   readonly home: RegionId;
@@ -54,7 +54,7 @@
   readonly outcome: Outcome | undefined;
 }
 
-/** The action as it is handed over. */
+/** Converts a used key to its form in a hand-over. An action without an outcome becomes `unknown`. */
 export function toUsedKey(action: UsedAction): UsedKey {
   const { customer, home, key, bodyDigest, epoch } = action;
   return {
--- a/packages/core/src/blackboard/blackboard.ts
+++ b/packages/core/src/blackboard/blackboard.ts
@@ -1,6 +1,6 @@
 /**
- * The blackboard: one section a controller. Each controller writes its own section and reads the
- * views of all others; the types allow nothing else.
+ * The blackboard: state shared by the controllers, with one section for each of them. Each controller writes its
+ * own section and reads the views of all others. The types allow nothing else.
  *
  * @module
  */
@@ -26,7 +26,7 @@
 } from "../messages/index.ts";
 import type { Deployment, TextFault } from "../text/index.ts";
 
-/** What an entry knows of itself from its settings. Never changes. */
+/** Facts that an entry knows about itself from its settings. They never change. */
 export interface Self {
   readonly id: EntryId;
   readonly incarnation: Incarnation;
@@ -34,12 +34,12 @@
   readonly region: RegionId;
   readonly url: string;
   readonly controlUrl: string;
-  /** Name that the text must carry; a text of another deployment is rejected. */
+  /** Name that the operators' configuration must state. A configuration of another deployment is rejected. */
   readonly deployment: string;
-  /** Peers' control addresses to begin with. */
+  /** Control addresses of the peers to contact first. */
   readonly seeds: readonly string[];
   readonly heartbeatPeriod: Milliseconds;
-  /** Time after which an owner token's epoch ends. */
+  /** Duration of one epoch of owner tokens. */
   readonly epochLength: Milliseconds;
 }
 
@@ -48,12 +48,12 @@
   readonly startedAt: Instant;
   readonly lastLoopAt: Instant;
   readonly phase: "starting" | "ready" | "stopping" | "stopped";
-  /** When the process last woke from a pause. */
+  /** When the process last resumed after a pause. */
   readonly wokeAt: Instant | undefined;
   readonly pauses: number;
 }
 
-/** A revision that was read and not accepted. */
+/** A configuration revision that was read and not accepted. */
 export interface RejectedRevision {
   readonly revision: Revision;
   readonly faults: readonly TextFault[];
@@ -65,48 +65,48 @@
   readonly text: string;
   readonly deployment: Deployment | undefined;
   readonly rejected: RejectedRevision | undefined;
-  /** Highest revision that a live peer holds and this entry neither holds nor rejected. */
+  /** Highest revision that a live peer holds and this entry has neither accepted nor rejected. */
   readonly missing: Revision | undefined;
-  /** When the platform or a peer last agreed with the revision in force. */
+  /** When the platform or a peer last confirmed the revision in force. */
   readonly confirmedAt: Instant | undefined;
-  /** Whether requests that must not go wrong wait for a confirmation. */
+  /** Whether requests that must not use an outdated configuration wait for a confirmation. */
   readonly unconfirmed: boolean;
   readonly platformReachable: boolean;
   readonly platformReads: number;
 }
 
-/** One other entry. */
+/** Another entry, as known from heartbeats. */
 export interface Member {
   readonly record: MemberRecord;
   readonly beat: number;
-  /** Highest revision that it was heard to hold. */
+  /** Highest configuration revision that the entry is known to hold. */
   readonly revision: Revision;
   readonly demand: readonly Demand[];
-  /** When its beat was last seen to grow. */
+  /** When an increase of its `beat` was last received. */
   readonly heardAt: Instant;
   readonly health: "live" | "suspect";
-  /** When it last came back after having been unheard. */
+  /** When the entry was last heard again after a silence. */
   readonly liveSince: Instant;
 }
 
-/** What is known of another availability zone's capacity and demand. */
+/** Last known capacity and demand of another availability zone. */
 export interface KnownZone {
   readonly news: ZoneNews;
   readonly heardAt: Instant;
-  /** When it came back after having been unheard, for a slow start. */
+  /** When the zone was heard again after a silence. Traffic to it is then increased slowly. */
   readonly liveSince: Instant;
 }
 
 /** Written by the membership controller. */
 export interface MembershipView {
   readonly members: ReadonlyMap<Incarnation, Member>;
-  /** Incarnations known to have ended, with the time of learning. */
+  /** Incarnations known to have ended, with the time at which this entry learned it. */
   readonly gone: ReadonlyMap<Incarnation, Instant>;
   readonly zones: ReadonlyMap<ZoneId, KnownZone>;
   readonly beat: number;
 }
 
-/** Why no new work goes to an endpoint. */
+/** Source of the information that an endpoint is leaving. */
 export type LeavingSource = "vm_list" | "endpoint" | "peer";
 
 /** One endpoint VM. */
@@ -115,33 +115,33 @@
   readonly state: "live" | "suspect" | "draining";
   readonly leaving: LeavingSource | undefined;
   readonly load: LoadReport | undefined;
-  /** When the load was measured, as told by its age. */
+  /** When the load was measured, calculated from the age in the report. */
   readonly loadAt: Instant | undefined;
   readonly lastPolledAt: Instant | undefined;
   readonly suspectUntil: Instant | undefined;
-  /** Until when it wants no requests, as it said when it turned one away. */
-  readonly restsUntil: Instant | undefined;
-  /** Start times of this entry's attempts in flight there. */
+  /** Until when the endpoint wants no requests, as it stated by `Retry-After` when it refused one. */
+  readonly restUntil: Instant | undefined;
+  /** Start times of this entry's attempts in flight at the endpoint, by attempt. */
   readonly inFlight: ReadonlyMap<string, Instant>;
-  /** Prefix blocks thought to be in its cache, with the end of the belief. */
+  /** Prefix blocks that are assumed to be in the endpoint's cache, with the time until which that is assumed. */
   readonly cachedBlocks: ReadonlyMap<number, Instant>;
 }
 
 /** Written by the endpoint controller. */
 export interface EndpointsView {
   readonly endpoints: ReadonlyMap<EndpointId, Endpoint>;
-  /** VMs that left, so that a stale list does not bring them back. */
+  /** VMs that have left, with the time, so that an outdated VM list does not add them again. */
   readonly departed: ReadonlyMap<EndpointId, Instant>;
   readonly listedAt: Instant | undefined;
-  /** Endpoints of a service in a region, its own availability zone first. */
-  of(service: ServiceId): readonly Endpoint[];
+  /** Returns the endpoints of a service that this entry uses. If they are a subset, its own zone is preferred. */
+  forService(service: ServiceId): readonly Endpoint[];
 }
 
 /** Written by the request controller. */
 export interface RequestsView {
   readonly active: number;
   readonly queued: number;
-  /** Actions that were sent and have no end yet. */
+  /** Number of actions that have started and not ended yet. */
   readonly runningActions: number;
   spare(now: Instant): readonly Spare[];
   demand(now: Instant): ReadonlyMap<CustomerId, number>;
@@ -155,7 +155,7 @@
   epoch(now: Instant): number;
 }
 
-/** All views. */
+/** The views of all sections. */
 export interface Blackboard {
   readonly self: Self;
   readonly lifecycle: LifecycleView;
@@ -166,5 +166,5 @@
   readonly actions: ActionsView;
 }
 
-/** Takes `readonly` off the fields of a view, for the one controller that writes the section. */
+/** Makes the fields of a view writable, for the controller that owns the section. */
 export type Writable<View> = { -readonly [Field in keyof View]: View[Field] };
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -1,5 +1,6 @@
 /**
- * All that an entry decides: events in, effects out. No sockets, no clock, no unseeded randomness.
+ * The core makes all decisions of an entry: it takes events and returns effects. It uses no sockets, no clock and no
+ * unseeded randomness.
  *
  * @module
  */
@@ -28,19 +29,19 @@
 import { RequestController, RequestQuarantine } from "./requests/index.ts";
 import { type BalancerName, createBalancer } from "./routing/index.ts";
 
-/** How long a stopping entry goes on refusing with other entries' addresses, until callers know. */
-export const STOP_LINGER_MS = 1_000;
-/** How long a hand-over may take before the entry ends without its answer. */
+/** How long a stopping entry keeps refusing requests with other entries' addresses, so that callers learn them. */
+export const STOP_REFUSAL_MS = 1_000;
+/** How long a stopping entry waits for answers to its hand-overs before it ends. */
 export const HAND_OVER_TIMEOUT_MS = 2_000;
 
-/** What a core is made with. */
+/** Options of a core. */
 export interface CoreOptions {
   readonly self: Self;
   readonly random: Randomness;
   readonly balancer?: BalancerName;
 }
 
-/** One entry's decisions. */
+/** Makes the decisions of one entry. */
 export class Core {
   readonly board: Blackboard;
   readonly explanations = new Explanations();
@@ -57,7 +58,7 @@
   #effects: Effect[] = [];
   #stopAt: Instant | undefined;
   #handOverAt: Instant | undefined;
-  #openHandOvers = 0;
+  #pendingHandOvers = 0;
 
   constructor(
     { self, random, balancer = "estimate" }: CoreOptions,
@@ -113,33 +114,33 @@
     board.requests = this.#requests;
   }
 
-  /** Takes one event and returns what is to be done, in order. */
+  /** Handles one event and returns the resulting effects, in order. */
   handle(event: CoreEvent, now: Instant): Effect[] {
-    this.#noteLoop(now);
+    this.#recordLoop(now);
     this.#apply(event, now);
     return this.#takeEffects();
   }
 
-  /** Answers a peer's heartbeat. Effects that it causes come with the next `handle`. */
+  /** Answers a peer's heartbeat. The resulting effects are returned by the next call of `handle`. */
   answerHeartbeat(heartbeat: Heartbeat, now: Instant): HeartbeatReply {
-    this.#noteLoop(now);
+    this.#recordLoop(now);
     const reply = this.#membership.receive(heartbeat, now);
     heartbeat.leaving.forEach(({ endpoint }) =>
-      this.#endpoints.leave(endpoint, "peer", now)
+      this.#endpoints.markLeaving(endpoint, "peer", now)
     );
     this.#configuration.heard(now);
     this.#configuration.heardRejected(heartbeat.rejected, now);
     return reply;
   }
 
-  /** Answers a peer that asks for the text. */
+  /** Answers a peer that requests the operators' configuration. */
   answerConfiguration(have: Revision): ConfigurationCopy | undefined {
     return this.#configuration.copyFor(have);
   }
 
-  /** Takes over a stopping peer's keys, or declines. */
+  /** Takes over a stopping peer's keys. Returns whether they were accepted. */
   answerHandOver(handOver: HandOver, now: Instant): boolean {
-    this.#noteLoop(now);
+    this.#recordLoop(now);
     const taken = this.#actions.takeOver(handOver, now);
     if (taken) {
       this.#membership.announce(now);
@@ -147,13 +148,13 @@
     return taken;
   }
 
-  /** The token that callers make idempotency keys from. */
+  /** Returns the token from which callers make idempotency keys. */
   ownerToken(now: Instant): string {
     return this.#actions.ownerToken(now);
   }
 
-  /** A pause is known to all controllers before anything is decided after it. */
-  #noteLoop(now: Instant): void {
+  /** Informs the controllers of a pause before they make decisions after it. */
+  #recordLoop(now: Instant): void {
     this.#listened.note(now);
     this.#lifecycle.noteLoop(now);
     this.#configuration.noteWake(now);
@@ -181,26 +182,30 @@
         return this.#configuration.copied(event, now);
       case "vmsListed":
         this.#membership.listed(event.vms);
-        return this.#endpoints.listed(event.vms, now);
+        return this.#endpoints.applyVmList(event.vms, now);
       case "vmsUnchanged":
       case "vmListFailed":
-        return this.#endpoints.listKept(now);
+        return this.#endpoints.keepVmList(now);
       case "heartbeatReply":
-        return this.#replied(event.reply, now);
+        return this.#applyHeartbeatReply(event.reply, now);
       case "peerRefused":
         return this.#membership.refused(event.url);
       case "outcomeCopy":
         return this.#actions.keepCopy(event.copy, now);
       case "handOverDone":
-        return this.#handedOver();
+        return this.#handOverEnded();
       case "quarantineNews":
         return this.#quarantine.learn(event.news, now);
       case "load":
-        this.#quarantine.heard(event.endpoint, now);
-        return this.#endpoints.reported(event.endpoint, event.report, now);
+        this.#quarantine.endpointResponded(event.endpoint, now);
+        return this.#endpoints.applyLoadReport(
+          event.endpoint,
+          event.report,
+          now,
+        );
       case "loadFailed":
-        this.#quarantine.silent(event.endpoint);
-        return this.#endpoints.failed(event.endpoint, now);
+        this.#quarantine.loadPollFailed(event.endpoint);
+        return this.#endpoints.markSuspect(event.endpoint, now);
       case "orderDone":
         return this.#placement.answered(event.endpoint, event.accepted);
       default:
@@ -211,7 +216,7 @@
   #applyRequest(event: CoreEvent, now: Instant): void {
     switch (event.kind) {
       case "request":
-        return this.#requests.arrive(event.head, now);
+        return this.#requests.receive(event.head, now);
       case "body":
         return this.#requests.bodyRead(event.request, event.facts, now);
       case "bodyFailed":
@@ -229,10 +234,10 @@
     }
   }
 
-  #replied(reply: HeartbeatReply, now: Instant): void {
+  #applyHeartbeatReply(reply: HeartbeatReply, now: Instant): void {
     this.#membership.replied(reply, now);
     reply.leaving.forEach(({ endpoint }) =>
-      this.#endpoints.leave(endpoint, "peer", now)
+      this.#endpoints.markLeaving(endpoint, "peer", now)
     );
     this.#configuration.heard(now);
     this.#configuration.heardRejected(reply.rejected, now);
@@ -259,7 +264,7 @@
     this.#membership.announce(now);
   }
 
-  /** Ends only when no request is in flight and the keys are with their successor. */
+  /** Continues a stop, which ends when no request is active and the successor has answered, or after a timeout. */
   #continueStop(now: Instant): void {
     if (
       this.#stopAt === undefined || this.board.lifecycle.phase === "stopped"
@@ -272,20 +277,20 @@
       }
       return;
     }
-    if (this.#requests.active > 0 || now - this.#stopAt < STOP_LINGER_MS) {
+    if (this.#requests.active > 0 || now - this.#stopAt < STOP_REFUSAL_MS) {
       return;
     }
     this.#handOverAt = now;
-    this.#openHandOvers = this.#actions.handOver(now);
+    this.#pendingHandOvers = this.#actions.handOver(now);
     this.#membership.announce(now);
-    if (this.#openHandOvers === 0) {
+    if (this.#pendingHandOvers === 0) {
       this.#finishStop();
     }
   }
 
-  #handedOver(): void {
-    this.#openHandOvers--;
-    if (this.#openHandOvers === 0) {
+  #handOverEnded(): void {
+    this.#pendingHandOvers--;
+    if (this.#pendingHandOvers === 0) {
       this.#finishStop();
     }
   }
--- a/packages/core/src/endpoints/endpoint_controller.ts
+++ b/packages/core/src/endpoints/endpoint_controller.ts
@@ -1,5 +1,5 @@
 /**
- * Endpoint VMs: which exist, how loaded they are, and which get no new work.
+ * Endpoint VMs: their existence, load and availability for new requests.
  *
  * @module
  */
@@ -19,7 +19,7 @@
   type ServiceId,
 } from "../ids/index.ts";
 import type { Emit, ListedVm, LoadReport } from "../messages/index.ts";
-import { LoadPolls } from "./load_polls.ts";
+import { LoadPollScheduler } from "./load_polls.ts";
 import {
   type MutableEndpoint,
   newEndpoint,
@@ -27,19 +27,19 @@
 } from "./mutable_endpoint.ts";
 import { subsetOf } from "./subset.ts";
 
-/** Between reads of the VM list. */
+/** Mean time between reads of the VM list. */
 export const VM_LIST_PERIOD_MS = 1_500;
-/** How long a failed endpoint gets no work before it is tried again. */
+/** How long a failed endpoint gets no requests before it is tried again. */
 export const SUSPECT_MS = 2_000;
-/** How long a departed VM is remembered against a stale list. */
-export const DEPARTED_MEMORY_MS = 3_600_000;
-/** No endpoint is left alone for longer on its word. */
-const MOST_REST_MS = 60_000;
-/** How long a block is believed to stay in a cache. */
-const CACHE_BELIEF_MS = 120_000;
+/** How long departed VMs are remembered, so that an outdated VM list does not add them again. */
+export const DEPARTED_LIFETIME_MS = 3_600_000;
+/** Longest time for which an endpoint gets no requests because of its `Retry-After`. */
+const MAX_REST_MS = 60_000;
+/** How long a prefix block is assumed to stay in an endpoint's cache. */
+const CACHED_BLOCK_LIFETIME_MS = 120_000;
 const MAX_CACHED_BLOCKS = 4_096;
 
-/** Writes the `endpoints` section, and is its view. */
+/** Tracks the endpoints. Implements the `endpoints` section of the blackboard. */
 export class EndpointController implements EndpointsView {
   readonly endpoints = new Map<EndpointId, MutableEndpoint>();
   readonly departed = new Map<EndpointId, Instant>();
@@ -48,12 +48,12 @@
   readonly #emit: Emit;
   readonly #random: Randomness;
   readonly #onLeaving: (endpoint: EndpointId, now: Instant) => void;
-  #nextListAt: Instant;
-  #listing = false;
-  readonly #polls: LoadPolls;
-  /** Grows whenever an endpoint comes, goes or changes its model. */
+  #nextListReadAt: Instant;
+  #isReadingList = false;
+  readonly #pollScheduler: LoadPollScheduler;
+  /** Incremented whenever an endpoint is added, removed or changes its model. */
   #version = 0;
-  readonly #ofCache = new Map<
+  readonly #serviceCache = new Map<
     ServiceId,
     { readonly key: string; readonly endpoints: readonly Endpoint[] }
   >();
@@ -71,29 +71,29 @@
     this.#emit = emit;
     this.#random = random;
     this.#onLeaving = onLeaving;
-    this.#nextListAt = now;
-    this.#polls = new LoadPolls(now);
+    this.#nextListReadAt = now;
+    this.#pollScheduler = new LoadPollScheduler(now);
   }
 
-  /** Reads the list and polls loads that are due. */
+  /** Requests the VM list and load reports that are due, and ends suspicions and rests whose time is over. */
   tick(now: Instant): void {
-    if (!this.#listing && now >= this.#nextListAt) {
-      this.#listing = true;
+    if (!this.#isReadingList && now >= this.#nextListReadAt) {
+      this.#isReadingList = true;
       this.#emit({ kind: "listVms" });
     }
     for (const endpoint of this.endpoints.values()) {
-      this.#clearSuspicion(endpoint, now);
+      this.#endSuspicion(endpoint, now);
       endRest(endpoint, now);
     }
     this.#pollLoads(now);
     this.#forgetDeparted(now);
   }
 
-  /** Takes the VM list. Only endpoints of the own region matter; others are reached through entries. */
-  listed(vms: readonly ListedVm[], now: Instant): void {
-    this.#listEnded(now);
+  /** Applies the VM list. Only endpoints of this region are used: those of others are reached through their entries. */
+  applyVmList(vms: readonly ListedVm[], now: Instant): void {
+    this.#scheduleListRead(now);
     if (vms.length === 0 && this.endpoints.size > 0) {
-      // An empty list is the platform's failure: believing it would stop a whole region at once.
+      // An empty list is treated as a fault of the platform: applying it would stop the whole region.
       this.#emit({
         kind: "log",
         part: "endpoint",
@@ -107,23 +107,23 @@
     for (const vm of vms) {
       if (vm.role === "endpoint" && vm.region === this.#board.self.region) {
         seen.add(vm.id);
-        this.#take(vm, now);
+        this.#addOrUpdate(vm, now);
       }
     }
     for (const endpoint of [...this.endpoints.values()]) {
       if (!seen.has(endpoint.vm.id)) {
-        this.#noteAbsence(endpoint, now);
+        this.#handleMissing(endpoint, now);
       }
     }
   }
 
-  /** The list did not answer, or has not changed: what is known stays in use. */
-  listKept(now: Instant): void {
-    this.#listEnded(now);
+  /** Keeps the known endpoints because the VM list could not be read or has not changed. */
+  keepVmList(now: Instant): void {
+    this.#scheduleListRead(now);
   }
 
-  /** Takes a load report. */
-  reported(id: EndpointId, report: LoadReport, now: Instant): void {
+  /** Applies a load report. */
+  applyLoadReport(id: EndpointId, report: LoadReport, now: Instant): void {
     const endpoint = this.endpoints.get(id);
     if (endpoint === undefined) {
       return;
@@ -139,14 +139,14 @@
     }
     report.evicted.forEach((block) => endpoint.cachedBlocks.delete(block));
     if (report.draining) {
-      this.leave(id, "endpoint", now);
+      this.markLeaving(id, "endpoint", now);
     } else if (endpoint.state === "suspect") {
       this.#restore(endpoint);
     }
   }
 
-  /** An endpoint did not answer: no new work for a while. */
-  failed(id: EndpointId, now: Instant): void {
+  /** Marks an endpoint that did not answer as suspect: it gets no new requests for a while. */
+  markSuspect(id: EndpointId, now: Instant): void {
     const endpoint = this.endpoints.get(id);
     if (endpoint === undefined || endpoint.state === "draining") {
       return;
@@ -163,12 +163,12 @@
     endpoint.suspectUntil = after(now, SUSPECT_MS);
   }
 
-  /** An endpoint turned a request away and said for how long it wants none. */
-  rests(id: EndpointId, time: Milliseconds, now: Instant): void {
+  /** Records for how long an endpoint wants no requests, as it stated when it refused one. */
+  recordRest(id: EndpointId, time: Milliseconds, now: Instant): void {
     const endpoint = this.endpoints.get(id);
     if (endpoint !== undefined) {
-      const until = after(now, Math.min(time, MOST_REST_MS));
-      endpoint.restsUntil = instant(Math.max(until, endpoint.restsUntil ?? 0));
+      const until = after(now, Math.min(time, MAX_REST_MS));
+      endpoint.restUntil = instant(Math.max(until, endpoint.restUntil ?? 0));
       this.#emit({
         kind: "log",
         part: "endpoint",
@@ -179,13 +179,13 @@
   }
 
   /**
-   * Marks an endpoint as leaving, for good.
+   * Marks an endpoint as leaving, permanently.
    *
-   * The list lags and a second source may still call the VM live. Believing the later word would send
-   * it work that it cuts off when it ends; one would notice by lost answers after every scale-down.
-   * The first sign from any source holds for the VM's whole life.
+   * The VM list is delayed, and another source may still report the VM as live. If the latest report counted, the
+   * endpoint would get requests that break off when it ends, and answers would be lost at every scale-down. The
+   * first report of any source that the endpoint is leaving therefore holds for the VM's lifetime.
    */
-  leave(id: EndpointId, source: LeavingSource, now: Instant): void {
+  markLeaving(id: EndpointId, source: LeavingSource, now: Instant): void {
     const endpoint = this.endpoints.get(id);
     if (endpoint === undefined) {
       this.departed.set(id, now);
@@ -205,8 +205,8 @@
     this.#onLeaving(id, now);
   }
 
-  /** Notes an attempt that goes to an endpoint. */
-  started(
+  /** Records an attempt at an endpoint, whose prefix blocks are assumed to be cached from then on. */
+  attemptStarted(
     id: EndpointId,
     { attempt, blocks, now }: {
       attempt: string;
@@ -221,26 +221,26 @@
     endpoint.inFlight.set(attempt, now);
     for (const block of blocks) {
       endpoint.cachedBlocks.delete(block);
-      endpoint.cachedBlocks.set(block, after(now, CACHE_BELIEF_MS));
+      endpoint.cachedBlocks.set(block, after(now, CACHED_BLOCK_LIFETIME_MS));
     }
     while (endpoint.cachedBlocks.size > MAX_CACHED_BLOCKS) {
       endpoint.cachedBlocks.delete(endpoint.cachedBlocks.keys().next().value!);
     }
   }
 
-  /** Notes that an attempt ended. */
-  ended(id: EndpointId, attempt: string): void {
+  /** Records the end of an attempt. */
+  attemptEnded(id: EndpointId, attempt: string): void {
     this.endpoints.get(id)?.inFlight.delete(attempt);
   }
 
-  of(service: ServiceId): readonly Endpoint[] {
+  forService(service: ServiceId): readonly Endpoint[] {
     const key = `${this.#version} ${this.#board.configuration.revision}`;
-    const cached = this.#ofCache.get(service);
+    const cached = this.#serviceCache.get(service);
     if (cached?.key === key) {
       return cached.endpoints;
     }
     const endpoints = this.#findFor(service);
-    this.#ofCache.set(service, { key, endpoints });
+    this.#serviceCache.set(service, { key, endpoints });
     return endpoints;
   }
 
@@ -257,7 +257,7 @@
     return subsetOf(this.#board.self, serving);
   }
 
-  #take(vm: ListedVm, now: Instant): void {
+  #addOrUpdate(vm: ListedVm, now: Instant): void {
     if (this.departed.has(vm.id)) {
       return;
     }
@@ -273,38 +273,38 @@
       });
     } else {
       known.vm = vm;
-      this.#noteReturn(known);
+      this.#handleReturn(known);
     }
     if (vm.state === "leaving") {
-      this.leave(vm.id, "vm_list", now);
+      this.markLeaving(vm.id, "vm_list", now);
     }
   }
 
   /**
-   * A listed VM is missing: it gets no more work. If it was leaving, no list brings it back; if it
-   * only vanished, a later list may, and then it gets work once it has reported its load.
+   * Handles an endpoint that is missing from the VM list: it gets no more requests. If it was leaving, it is never
+   * added again. Otherwise a later list may contain it again, and it gets requests once it has reported its load.
    */
-  #noteAbsence(endpoint: MutableEndpoint, now: Instant): void {
+  #handleMissing(endpoint: MutableEndpoint, now: Instant): void {
     endpoint.state = "draining";
     if (endpoint.leaving !== undefined) {
       this.departed.set(endpoint.vm.id, now);
     }
-    // Attempts in flight still end by themselves; the entry is kept until they have.
+    // Attempts in flight are not aborted, and the endpoint is kept until they have ended.
     if (endpoint.inFlight.size === 0) {
       this.endpoints.delete(endpoint.vm.id);
       this.#version++;
     }
   }
 
-  #noteReturn(endpoint: MutableEndpoint): void {
+  #handleReturn(endpoint: MutableEndpoint): void {
     if (endpoint.state === "draining" && endpoint.leaving === undefined) {
       endpoint.state = "suspect";
     }
   }
 
-  #listEnded(now: Instant): void {
-    this.#listing = false;
-    this.#nextListAt = after(
+  #scheduleListRead(now: Instant): void {
+    this.#isReadingList = false;
+    this.#nextListReadAt = after(
       now,
       VM_LIST_PERIOD_MS * (0.75 + this.#random.next() / 2),
     );
@@ -312,7 +312,7 @@
 
   #pollLoads(now: Instant): void {
     for (
-      const endpoint of this.#polls.choose(this.endpoints.values(), {
+      const endpoint of this.#pollScheduler.choose(this.endpoints.values(), {
         count: this.endpoints.size,
         now,
       })
@@ -326,8 +326,8 @@
     }
   }
 
-  /** A failed endpoint is tried again after a while; one that never reported waits for its report. */
-  #clearSuspicion(endpoint: MutableEndpoint, now: Instant): void {
+  /** Restores a suspect endpoint whose time is over. One that has never reported its load has no such time. */
+  #endSuspicion(endpoint: MutableEndpoint, now: Instant): void {
     const { state, suspectUntil } = endpoint;
     if (
       state === "suspect" && suspectUntil !== undefined && now >= suspectUntil
@@ -343,7 +343,7 @@
 
   #forgetDeparted(now: Instant): void {
     for (const [id, since] of this.departed) {
-      if (now - since <= DEPARTED_MEMORY_MS) {
+      if (now - since <= DEPARTED_LIFETIME_MS) {
         return;
       }
       this.departed.delete(id);
@@ -352,7 +352,7 @@
 }
 
 function endRest(endpoint: MutableEndpoint, now: Instant): void {
-  if (endpoint.restsUntil !== undefined && now >= endpoint.restsUntil) {
-    endpoint.restsUntil = undefined;
+  if (endpoint.restUntil !== undefined && now >= endpoint.restUntil) {
+    endpoint.restUntil = undefined;
   }
 }
--- a/packages/core/src/endpoints/load_polls.ts
+++ b/packages/core/src/endpoints/load_polls.ts
@@ -1,66 +1,67 @@
 /**
- * Which endpoints to ask for their load, and how often.
+ * Schedule of load polls of endpoints.
  *
  * @module
  */
 import type { Endpoint } from "../blackboard/index.ts";
 import type { Instant } from "../ids/index.ts";
 
-/** Least time between load polls of one endpoint that answers nothing else. */
+/** Minimum time from a load poll or load report of an endpoint to the next poll. */
 export const LOAD_POLL_PERIOD_MS = 500;
 /**
- * Load polls of one entry, however many endpoints there are: what they cost is bounded by the budget
- * for control. Busy endpoints report with their answers; idle ones change slowly.
+ * Load polls per second of one entry, for any number of endpoints, so that their cost stays within the budget for
+ * control traffic. That is enough, because busy endpoints report their load with their answers and the load of
+ * idle ones changes slowly.
  */
 export const POLLS_PER_SECOND = 2;
-/** The same for an entry that knows of many endpoints: its budget goes to heartbeats and texts. */
-const POLLS_PER_SECOND_OF_MANY = 1;
-const MANY_ENDPOINTS = 64;
+/** Polls per second with many endpoints, where the budget is needed for heartbeats and configuration. */
+const POLLS_PER_SECOND_MANY_ENDPOINTS = 1;
+const MANY_ENDPOINTS_THRESHOLD = 64;
 
-/** Spends the budget on the endpoints that were silent for longest. */
-export class LoadPolls {
+/** Chooses the endpoints whose last poll or load report is oldest, within the rate limit. */
+export class LoadPollScheduler {
   #allowance = POLLS_PER_SECOND;
-  #at: Instant;
+  #refilledAt: Instant;
 
   constructor(now: Instant) {
-    this.#at = now;
+    this.#refilledAt = now;
   }
 
-  /** Endpoints to poll now, each at most once. */
+  /** Returns the endpoints to poll now, each at most once. */
   choose<Item extends Endpoint>(
     endpoints: Iterable<Item>,
     { count, now }: { count: number; now: Instant },
   ): Item[] {
-    const rate = count > MANY_ENDPOINTS
-      ? POLLS_PER_SECOND_OF_MANY
+    const rate = count > MANY_ENDPOINTS_THRESHOLD
+      ? POLLS_PER_SECOND_MANY_ENDPOINTS
       : POLLS_PER_SECOND;
     this.#allowance = Math.min(
       rate,
-      this.#allowance + ((now - this.#at) / 1_000) * rate,
+      this.#allowance + ((now - this.#refilledAt) / 1_000) * rate,
     );
-    this.#at = now;
+    this.#refilledAt = now;
     const affordable = Math.floor(this.#allowance);
     if (affordable === 0) {
       return [];
     }
-    const chosen = longestSilent(endpoints, { most: affordable, now });
+    const chosen = longestUnpolled(endpoints, { limit: affordable, now });
     this.#allowance -= chosen.length;
     return chosen;
   }
 }
 
-function longestSilent<Item extends Endpoint>(
+function longestUnpolled<Item extends Endpoint>(
   endpoints: Iterable<Item>,
-  { most, now }: { most: number; now: Instant },
+  { limit, now }: { limit: number; now: Instant },
 ): Item[] {
   const since = ({ lastPolledAt }: Item): number => lastPolledAt ?? -Infinity;
   const due = [...endpoints].filter((endpoint) =>
     now - since(endpoint) >= LOAD_POLL_PERIOD_MS
   );
-  // Two that were never polled compare as equal: the difference of two infinities is no number.
+  // Compared without subtraction, since the difference of two infinities (neither was polled yet) is NaN.
   due.sort((
     left,
     right,
   ) => (since(left) < since(right) ? -1 : since(left) > since(right) ? 1 : 0));
-  return due.slice(0, most);
+  return due.slice(0, limit);
 }
--- a/packages/core/src/endpoints/mutable_endpoint.ts
+++ b/packages/core/src/endpoints/mutable_endpoint.ts
@@ -1,5 +1,5 @@
 /**
- * One endpoint as its controller writes it.
+ * Mutable state of one endpoint.
  *
  * @module
  */
@@ -7,18 +7,18 @@
 import type { Instant } from "../ids/index.ts";
 import type { ListedVm } from "../messages/index.ts";
 
-/** An endpoint with its fields open for the one writer. */
+/** An endpoint with writable fields, for its controller. */
 export type MutableEndpoint = Writable<Endpoint> & {
   inFlight: Map<string, Instant>;
   cachedBlocks: Map<number, Instant>;
 };
 
-/** Whether it serves a model, as far as it has said. */
+/** Whether an endpoint serves a model. Before its first load report, it is assumed to. */
 export function servesModel(endpoint: Endpoint, model: string): boolean {
   return endpoint.load === undefined || endpoint.load.model === model;
 }
 
-/** Gets work once it has reported its load: a list may name a VM that is not there. */
+/** Creates an endpoint, suspect until its first load report, since a listed VM may not be running. */
 export function newEndpoint(vm: ListedVm): MutableEndpoint {
   return {
     vm,
@@ -28,7 +28,7 @@
     loadAt: undefined,
     lastPolledAt: undefined,
     suspectUntil: undefined,
-    restsUntil: undefined,
+    restUntil: undefined,
     inFlight: new Map(),
     cachedBlocks: new Map(),
   };
--- a/packages/core/src/endpoints/subset.ts
+++ b/packages/core/src/endpoints/subset.ts
@@ -1,17 +1,17 @@
 /**
- * Which of many endpoints one entry uses.
+ * Selection of the endpoints that one entry uses.
  *
  * @module
  */
 import type { Endpoint, Self } from "../blackboard/index.ts";
 import { hash32 } from "../ids/index.ts";
 
-/** Most endpoints of one service that one entry uses; beyond it, each takes its own subset. */
+/** Maximum number of endpoints of one service that one entry uses. */
 export const SUBSET_SIZE = 24;
 
 /**
- * This entry's own subset, its own availability zone first. Each entry keeps to a few, so that it knows
- * their load and their caches; entries together reach all.
+ * Returns the endpoints that this entry uses, with preference for its own availability zone. If there are many, each
+ * entry uses its own subset, so that it knows their load and caches well. All entries together use all endpoints.
  */
 export function subsetOf(
   self: Self,
@@ -22,11 +22,11 @@
   }
   const ranked = serving.map((endpoint) => ({
     endpoint,
-    near: endpoint.vm.zone === self.zone ? 0 : 1,
+    zoneDistance: endpoint.vm.zone === self.zone ? 0 : 1,
     rank: hash32(`${self.id}|${endpoint.vm.id}`),
   }));
   ranked.sort((left, right) =>
-    left.near - right.near || left.rank - right.rank
+    left.zoneDistance - right.zoneDistance || left.rank - right.rank
   );
   return ranked.slice(0, SUBSET_SIZE).map(({ endpoint }) => endpoint);
 }
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The decisions of an entry, free of any input and output.
+ * The core of an entry: its decisions, without any input and output.
  *
  * @module
  */
--- a/packages/core/src/messages/events.ts
+++ b/packages/core/src/messages/events.ts
@@ -1,5 +1,5 @@
 /**
- * Inputs and outputs of the core.
+ * Inputs and outputs of the core: the shell, which does all I/O, passes events in and runs the returned effects.
  *
  * @module
  */
@@ -27,7 +27,7 @@
   RequestHead,
 } from "./request.ts";
 
-/** Something that happened. The time is given beside it. */
+/** An event for the core. Its time is passed separately. */
 export type CoreEvent =
   | { readonly kind: "tick" }
   | { readonly kind: "stop" }
@@ -50,7 +50,7 @@
   | { readonly kind: "vmListFailed" }
   | { readonly kind: "heartbeat"; readonly heartbeat: Heartbeat }
   | { readonly kind: "heartbeatReply"; readonly reply: HeartbeatReply }
-  /** A peer's control address refuses connections: its process has ended. */
+  /** A peer's control address refuses connections, so its process has ended. */
   | { readonly kind: "peerRefused"; readonly url: string }
   | { readonly kind: "outcomeCopy"; readonly copy: OutcomeCopy }
   | { readonly kind: "handOver"; readonly handOver: HandOver }
@@ -97,17 +97,17 @@
   readonly endpoint: EndpointId;
   readonly url: string;
   readonly model: string;
-  /** Fencing number: the revision of the text that asks for it. */
+  /** Fencing number: the revision of the configuration that requires the order. */
   readonly fence: number;
-  /** What the engine is thought to serve; an engine that serves something else refuses. */
+  /** Model that the engine is expected to serve now. An engine that serves another one refuses the order. */
   readonly expected: string;
 }
 
-/** Something for the shell to do. */
+/** An action for the shell to carry out. */
 export type Effect =
   | { readonly kind: "readBody"; readonly request: RequestId }
   | { readonly kind: "dispatch"; readonly attempt: Attempt }
-  /** Answer to `commit`: write the request now. Without it the shell must write nothing. */
+  /** Answer to `commit`: write the request now. Without it, the shell must write nothing. */
   | { readonly kind: "proceed"; readonly attempt: AttemptId }
   | { readonly kind: "abort"; readonly attempt: AttemptId }
   | {
@@ -126,7 +126,7 @@
     readonly url: string;
     readonly have: Revision;
   }
-  /** Read the configuration service: wait for a revision after `after`, or answer at once. */
+  /** Read the configuration service: with `wait`, wait for a revision after `after`, otherwise answer at once. */
   | {
     readonly kind: "readConfiguration";
     readonly after: Revision;
@@ -160,10 +160,10 @@
     readonly text: string;
     readonly fields: Readonly<Record<string, unknown>>;
   }
-  /** Every request has its answer and every hand-over is done: the process may end. */
+  /** The process may end: all requests have been answered, and all hand-overs have ended or timed out. */
   | { readonly kind: "exit" };
 
-/** Parts of the system that log, each with its fixed prefix. */
+/** Parts of the system that write log lines, each with a fixed prefix. */
 export type LogPart =
   | "config"
   | "member"
@@ -174,5 +174,5 @@
   | "order"
   | "stop";
 
-/** Where controllers put what the shell must do. */
+/** Adds an effect for the shell to carry out. */
 export type Emit = (effect: Effect) => void;
--- a/packages/core/src/messages/peer.ts
+++ b/packages/core/src/messages/peer.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between entries. Ages and durations travel, clock readings never do.
+ * Messages between entries. They contain ages and durations, never clock readings.
  *
  * @module
  */
@@ -20,12 +20,12 @@
 /** Whether an entry takes new requests. */
 export type MemberState = "starting" | "ready" | "stopping";
 
-/** Free capacity for one service in the sender's zone. */
+/** Spare capacity for one service in the sender's zone. */
 export interface Spare {
   readonly service: ServiceId;
-  /** Slots that could take a request now. */
+  /** Number of slots that could take a request now. */
   readonly slots: number;
-  /** Estimated time to the first token of a new cold request. */
+  /** Estimated time to the first token of a new request without a cached prefix. */
   readonly firstToken: Milliseconds;
 }
 
@@ -35,34 +35,34 @@
   readonly requestsPerSecond: number;
 }
 
-/** All that an entry says of itself. Only the entry itself makes its record; others pass it on whole. */
+/** Description of an entry, created by the entry itself and passed on unchanged by others. */
 export interface MemberRecord {
   readonly id: EntryId;
   readonly incarnation: Incarnation;
-  /** Grows whenever anything else in the record changes. */
+  /** Incremented whenever anything else in the record changes. */
   readonly version: number;
   readonly zone: ZoneId;
   readonly region: RegionId;
-  /** Where callers reach it. */
+  /** URL for callers. */
   readonly url: string;
-  /** Where peers reach it. */
+  /** URL for peers. */
   readonly controlUrl: string;
   readonly state: MemberState;
-  /** Current epoch of its owner token. */
+  /** Current epoch of the entry's owner token. */
   readonly epoch: number;
-  /** Incarnations whose idempotency keys it owns: its own, and those handed over to it. */
+  /** Incarnations whose idempotency keys the entry owns: its own, and those handed over to it. */
   readonly owns: readonly Incarnation[];
 }
 
-/** A record with the beat that its entry had reached when it was passed on. */
+/** A record with the last known `beat` of its entry. */
 export interface MemberCopy {
   readonly record: MemberRecord;
   readonly beat: number;
 }
 
 /**
- * How fresh a member is: an entry counts its own heartbeats, so that what is passed on shows its
- * freshness without a clock.
+ * Freshness of the data about a member. Each entry counts its own heartbeats in `beat`, so that the age of data
+ * that is passed on can be compared without clocks.
  */
 export interface Freshness {
   readonly incarnation: Incarnation;
@@ -70,18 +70,18 @@
   readonly version: number;
 }
 
-/** A zone's free capacity and demand, as one of its delegates counted them. */
+/** Spare capacity and demand of a zone, as reported by one of its delegates. */
 export interface ZoneNews {
   readonly zone: ZoneId;
   readonly region: RegionId;
   readonly issuer: Incarnation;
   readonly beat: number;
   readonly spare: readonly Spare[];
-  /** Only told within the region. */
+  /** Sent within the region only. */
   readonly demand: readonly Demand[];
 }
 
-/** News that an endpoint leaves, passed on until everybody in the region has it. */
+/** Message that an endpoint is leaving, passed on until all entries of the region have it. */
 export interface LeavingNews {
   readonly endpoint: EndpointId;
 }
@@ -95,9 +95,9 @@
   /** Revision that the sender read and rejected, 0 without one. */
   readonly rejected: Revision;
   readonly demand: readonly Demand[];
-  /** Other members: who has an older beat learns that they live. */
+  /** Freshness of other members. A receiver with an older `beat` learns that they are alive. */
   readonly freshness: readonly Freshness[];
-  /** Records that the receiver asked for, or does not know yet. */
+  /** Records that the receiver requested or does not know yet. */
   readonly records: readonly MemberCopy[];
   readonly news: readonly ZoneNews[];
   readonly leaving: readonly LeavingNews[];
@@ -108,14 +108,14 @@
   readonly from: Freshness;
   readonly revision: Revision;
   readonly rejected: Revision;
-  /** The receiver's own record, to a sender that introduced itself. */
+  /** Own record of the replying entry, sent to a sender that sent its own. */
   readonly record: MemberRecord | undefined;
-  /** Members of which the receiver has no record, or an old one. */
+  /** Members of which the replying entry has no record or an outdated one. */
   readonly wanted: readonly Incarnation[];
   readonly leaving: readonly LeavingNews[];
 }
 
-/** The operators' text, whole or against a revision that the asker holds. */
+/** The operators' configuration, as a whole or as a patch to a revision that the requesting entry holds. */
 export type ConfigurationCopy =
   | {
     readonly kind: "whole";
@@ -129,7 +129,7 @@
     readonly patch: TextPatch;
   };
 
-/** Answer of an endpoint to a non-repeatable call, as kept for a retry. */
+/** Answer of an endpoint. Answers to non-repeatable calls are kept for retries in this form. */
 export interface StoredAnswer {
   readonly status: number;
   readonly contentType: string;
@@ -137,17 +137,17 @@
   readonly body: string;
 }
 
-/** Larger answers are not kept, only that the call ran. */
+/** Maximum size of a kept answer. For larger ones, only the fact that the call ran is kept. */
 export const MAX_STORED_ANSWER_BYTES = 16_384;
 
-/** What the owner knows of a used key. */
+/** Outcome of a used key, as known by its owner. */
 export type Outcome =
   | { readonly kind: "ran"; readonly answer: StoredAnswer }
-  /** It ran, and its answer was too large to keep. */
+  /** The call ran, and its answer was too large to keep. */
   | { readonly kind: "ran_unkept" }
   | { readonly kind: "unknown" };
 
-/** A copy of an outcome for peers of the home region. */
+/** Copy of an outcome for peers of the home region. */
 export interface OutcomeCopy {
   readonly customer: CustomerId;
   readonly home: RegionId;
@@ -161,11 +161,11 @@
   readonly epoch: number;
 }
 
-/** The right to run keys of an incarnation, given up by the sender before it is sent. */
+/** Transfer of the right to run an incarnation's keys. The sender gives up the right before sending it. */
 export interface HandOver {
   readonly owner: Incarnation;
   readonly epoch: number;
-  /** How far into that epoch the sender was. */
+  /** Time since that epoch began. */
   readonly epochAge: Milliseconds;
   readonly used: readonly UsedKey[];
 }
--- a/packages/core/src/messages/platform.ts
+++ b/packages/core/src/messages/platform.ts
@@ -1,5 +1,5 @@
 /**
- * What the platform and the endpoints publish.
+ * Data that the platform and the endpoints publish.
  *
  * @module
  */
@@ -11,43 +11,43 @@
   ZoneId,
 } from "../ids/index.ts";
 
-/** One VM of the platform's list. */
+/** One VM in the platform's list. */
 export interface ListedVm {
-  /** Names one life of a VM: a replaced VM has another id, even at the same address. */
+  /** Identifies one lifetime of a VM: its replacement has another id, even at the same address. */
   readonly id: EndpointId;
   readonly role: "entry" | "endpoint";
   readonly zone: ZoneId;
   readonly region: RegionId;
   readonly url: string;
-  /** Peers' address of an entry. */
+  /** URL of an entry for peers. */
   readonly controlUrl?: string;
-  /** Pool of engines or name of a plain service. */
+  /** Engine pool, or name of a plain service. */
   readonly pool: string;
   readonly state: "live" | "leaving";
 }
 
-/** Load of one endpoint, as it measured it some time ago. */
+/** Load of one endpoint, measured by itself some time ago. */
 export interface LoadReport {
-  /** Age of the measurement when it was sent. */
+  /** Age of the measurement when the report was sent. */
   readonly age: Milliseconds;
   readonly running: number;
   readonly queued: number;
   readonly slots: number;
-  /** Prompt tokens a second, 0 for a plain service. */
+  /** Prompt tokens processed per second, 0 for a plain service. */
   readonly prefillRate: number;
-  /** Mean time that one request holds a slot. */
+  /** Mean time for which one request occupies a slot. */
   readonly holdTime: Milliseconds;
   readonly draining: boolean;
-  /** Model that an engine serves now. */
+  /** Model that the engine serves now. */
   readonly model: string;
-  /** Fencing number of the last order that the engine took. */
+  /** Fencing number of the last order that the engine accepted. */
   readonly fence: number;
-  /** Prefix blocks dropped lately; with `cacheGap`, events were lost and nothing is known. */
+  /** Prefix blocks recently evicted from the cache. With `cacheGap`, evictions were lost and its content is unknown. */
   readonly evicted: readonly number[];
   readonly cacheGap: boolean;
 }
 
-/** A set-up of a pool: which service's requests an endpoint takes. */
+/** Pool of the endpoints that serve a service. */
 export interface ServicePool {
   readonly service: ServiceId;
   readonly pool: string;
--- a/packages/core/src/messages/request.ts
+++ b/packages/core/src/messages/request.ts
@@ -1,5 +1,5 @@
 /**
- * What the shell tells of a request, and what the core has it do.
+ * Data about requests that the shell and the core exchange.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 import type { Refusal, Verdict } from "../verdict/index.ts";
 import type { StoredAnswer } from "./peer.ts";
 
-/** All that is known before the body is read. */
+/** Facts of a request that are known before its body is read. */
 export interface RequestHead {
   readonly id: RequestId;
   /** SHA-256 of the bearer token; `undefined` without one. */
@@ -22,27 +22,27 @@
   readonly requestClass: string | undefined;
   readonly deadline: Milliseconds | undefined;
   readonly key: string | undefined;
-  /** Incarnations of entries that the request went through. */
+  /** Incarnations of entries that the request has passed through. */
   readonly hops: readonly string[];
-  /** Whether a peer of this deployment sent it, proved by the secret. */
+  /** Whether a peer of this deployment sent the request, proved by the shared secret. */
   readonly forwarded: boolean;
-  /** Tokens that the caller already has of an interrupted stream. */
+  /** Number of tokens that the caller already has of an interrupted stream. */
   readonly resumeOffset: number;
 }
 
-/** Facts of a body; the bytes stay in the shell. */
+/** Facts of a request's body. The body itself stays in the shell. */
 export interface BodyFacts {
   readonly digest: string;
   readonly promptTokens: number;
-  /** Chain of hashes of the prompt's leading blocks. */
+  /** Chained hashes of the prompt's leading blocks. */
   readonly blocks: readonly number[];
 }
 
 /** Prompt tokens of one prefix block. */
 export const BLOCK_TOKENS = 64;
 
-/** Where an attempt goes. */
-export type Target =
+/** Target of an attempt. */
+export type AttemptTarget =
   | {
     readonly kind: "endpoint";
     readonly endpoint: EndpointId;
@@ -54,55 +54,55 @@
     readonly url: string;
   };
 
-/** One attempt for the shell to make. */
+/** One attempt to be made by the shell. */
 export interface Attempt {
   readonly id: AttemptId;
   readonly request: RequestId;
-  readonly target: Target;
-  /** Time left when it was decided. */
+  readonly target: AttemptTarget;
+  /** Time left until the deadline when the attempt was created. */
   readonly timeLeft: Milliseconds;
-  /** First token wanted, for a stream that goes on. */
+  /** Position of the first token to request, for a stream that is resumed. */
   readonly resumeOffset: number;
-  /** Use a connection of its own: a kept one may die under the request. */
+  /** Whether to use a new connection, since a kept-alive one may be closed while the request is sent. */
   readonly freshConnection: boolean;
   readonly priority: number;
 }
 
-/** What an attempt sent of a stream that no caller gets. */
-export interface DroppedPart {
-  /** Frames that came before a missing one. */
+/** Part of a stream that was received and discarded. */
+export interface DiscardedPart {
+  /** Number of frames that were received while an earlier one was missing. */
   readonly frames: number;
-  /** Characters of an event that was not whole. */
+  /** Number of characters of an incomplete event. */
   readonly characters: number;
 }
 
-/** How an attempt ended, as the shell saw it. */
+/** End of an attempt, as observed by the shell. */
 export type AttemptEnd =
-  /** No byte of the request was handed over. */
+  /** No byte of the request was written. */
   | { readonly kind: "unsent"; readonly detail: string }
-  /** Bytes were handed over and no whole answer came. */
+  /** Bytes of the request were written, and no complete answer arrived. */
   | {
     readonly kind: "lost";
     readonly detail: string;
-    readonly dropped?: DroppedPart;
+    readonly dropped?: DiscardedPart;
   }
-  /** A whole answer. `verdict` only from a peer. */
+  /** A complete answer. Only peers state a `verdict`. */
   | {
     readonly kind: "answered";
     readonly answer: StoredAnswer;
     readonly verdict?: Verdict;
     readonly retryAfter?: Milliseconds;
   }
-  /** A whole answer, or a part that shows that it is more than the entry holds. */
+  /** An answer that is too large for the entry to buffer, received completely or in part. */
   | {
     readonly kind: "oversize";
     readonly status: number;
     readonly verdict?: Verdict;
   }
-  /** A stream came to its end mark; all tokens went to the caller. */
+  /** A stream reached its end marker, and all tokens were sent to the caller. */
   | { readonly kind: "streamed" };
 
-/** The final answer to a caller, made by the core. */
+/** Final answer to a caller. */
 export type FinalAnswer =
   | { readonly kind: "refused"; readonly refusal: Refusal }
   | {
--- a/packages/core/src/requests/__tests__/endpoint_rest.test.ts
+++ b/packages/core/src/requests/__tests__/endpoint_rest.test.ts
@@ -14,7 +14,7 @@
 const ENDPOINTS = ["e1", "e2"].map((id) => ({ id, pool: "lookup" }));
 const REST_MS = 3_000;
 
-function turnedAway(): AttemptEnd {
+function refusedWithRest(): AttemptEnd {
   return {
     kind: "answered",
     answer: { status: 503, contentType: "text/plain", body: "" },
@@ -22,23 +22,23 @@
   };
 }
 
-function turnAway(core: ReadyCore, effects: readonly Effect[]): Effect[] {
+function refuseWithRest(core: ReadyCore, effects: readonly Effect[]): Effect[] {
   const attempt = effects.flatMap((effect): AttemptId[] =>
     effect.kind === "dispatch" ? [effect.attempt.id] : []
   )[0]!;
   core.tell({ kind: "commit", attempt });
-  return core.tell({ kind: "attemptEnded", attempt, end: turnedAway() });
+  return core.tell({ kind: "attemptEnded", attempt, end: refusedWithRest() });
 }
 
-describe("an endpoint that turns a request away and says for how long", () => {
-  // Guards against requests of the product's own callers in a rest that an endpoint has asked for.
-  it("gets nothing until then, as a last resort neither", () => {
+describe("an endpoint that refuses a request with a retry time", () => {
+  // Guards against sending requests to an endpoint during a time for which it asked for none by `Retry-After`.
+  it("gets no requests until then, even if no other endpoint is available", () => {
     const core = new ReadyCore(ENDPOINTS);
     const first = core.send({ service: "lookup" }).effects;
-    const second = turnAway(core, first);
+    const second = refuseWithRest(core, first);
     expect(new Set([...dispatched(first), ...dispatched(second)]))
       .toEqual(new Set(["e1", "e2"]));
-    turnAway(core, second);
+    refuseWithRest(core, second);
     core.pass(REST_MS - 100);
     const { effects } = core.send({ service: "lookup" });
     expect(dispatched(effects)).toEqual([]);
--- a/packages/core/src/requests/__tests__/forwarding.test.ts
+++ b/packages/core/src/requests/__tests__/forwarding.test.ts
@@ -8,24 +8,23 @@
 import { type Incarnation, sha256 } from "../../index.ts";
 
 const ENDPOINTS = [{ id: "p1", pool: "print" }, { id: "e1", pool: "pool" }];
-const OTHER = "bbbbbbbbbbbb" as Incarnation;
-const KEY = `n2.${OTHER}.0.abcdefgh`;
+const OTHER_INCARNATION = "bbbbbbbbbbbb" as Incarnation;
+const KEY = `n2.${OTHER_INCARNATION}.0.abcdefgh`;
 
 describe("forwarding", () => {
   describe("a key that another entry owns", () => {
-    it("goes to the owner by one hop", () => {
+    it("is forwarded directly to the owner", () => {
       const core = new ReadyCore(ENDPOINTS);
-      core.hear({ incarnation: OTHER });
+      core.hear({ incarnation: OTHER_INCARNATION });
       expect(dispatched(core.send({ service: "print", key: KEY }).effects))
         .toEqual(["peer http://n2"]);
     });
 
-    it("ends here when it was forwarded", () => {
-      // Symptom: a call travels between two entries until its deadline.
-      // Sequence: n2 holds n1 for the owner and forwards; n1 holds n2 for the owner.
-      // Cause: two views of one hand-over.
+    it("is refused if the call was already forwarded", () => {
+      // Guards against a call that two entries pass back and forth until its deadline. This happens when they see
+      // a hand-over differently: n2 takes n1 for the owner and forwards the call, n1 takes n2 for the owner.
       const core = new ReadyCore(ENDPOINTS);
-      core.hear({ incarnation: OTHER });
+      core.hear({ incarnation: OTHER_INCARNATION });
       const { effects } = core.send({
         service: "print",
         key: KEY,
@@ -38,10 +37,10 @@
       });
     });
 
-    it("never leaves a bound customer's home", () => {
+    it("is not forwarded out of a home-bound customer's region", () => {
       const core = new ReadyCore(ENDPOINTS);
       core.hear({
-        incarnation: OTHER,
+        incarnation: OTHER_INCARNATION,
         id: "s1" as never,
         region: "south" as never,
         zone: "south-a" as never,
@@ -57,14 +56,14 @@
     });
   });
 
-  describe("a forwarded question", () => {
-    it("is refused rather than sent on to a third region", () => {
+  describe("a forwarded request", () => {
+    it("is refused instead of being forwarded to a third region", () => {
       const core = new ReadyCore([]);
       core.list([{ id: "p1", pool: "print" }]);
       const spare = [{ service: "pool", slots: 50, firstToken: 10 }] as never;
       core.hear({
         id: "s1" as never,
-        incarnation: OTHER,
+        incarnation: OTHER_INCARNATION,
         region: "south" as never,
         zone: "south-a" as never,
       }, { spare });
--- a/packages/core/src/requests/__tests__/rest_of_stream.test.ts
+++ b/packages/core/src/requests/__tests__/rest_of_stream.test.ts
@@ -17,8 +17,8 @@
   };
 }
 
-/** Writes the attempt among effects, and ends it after so many tokens of the whole answer. */
-function end(
+/** Commits the dispatched attempt, reports progress up to the given token, and ends the attempt. */
+function endAttempt(
   core: ReadyCore,
   effects: readonly Effect[],
   { upTo, how }: { upTo: number; how: AttemptEnd },
@@ -31,35 +31,38 @@
   return core.tell({ kind: "attemptEnded", attempt, end: how });
 }
 
-describe("the rest of an answer that has begun", () => {
-  // An engine broke off, and what the next one said instead of the rest was taken for the answer to the
-  // whole request: the caller's stream ended in order in the middle.
+describe("the rest of a stream that has started", () => {
+  // Guards against streams that end in the middle without an error: an engine broke off, and the next one's
+  // answer, which was not the rest of the stream, was taken for the answer to the whole request.
   it.each([200, 204, 400, 404, 429, 500, 503])(
-    "is asked for elsewhere where an engine says %i instead",
+    "is requested from another engine after an answer with status %i",
     (status) => {
       const core = new ReadyCore(ENGINES);
       const first = core.send({ service: "pool" }).effects;
-      const second = end(core, first, { upTo: 3, how: LOST });
-      const third = end(core, second, { upTo: 3, how: answered(status) });
+      const second = endAttempt(core, first, { upTo: 3, how: LOST });
+      const third = endAttempt(core, second, {
+        upTo: 3,
+        how: answered(status),
+      });
       expect(answers(third)).toEqual([]);
       expect(dispatched(third).length).toBe(1);
     },
   );
 
-  it("is refused where each engine says something else", () => {
+  it("is refused if no engine answers with a stream", () => {
     const core = new ReadyCore(ENGINES);
     let effects: readonly Effect[] = core.send({ service: "pool" }).effects;
-    effects = end(core, effects, { upTo: 3, how: LOST });
+    effects = endAttempt(core, effects, { upTo: 3, how: LOST });
     while (dispatched(effects).length > 0) {
-      effects = end(core, effects, { upTo: 3, how: answered(404) });
+      effects = endAttempt(core, effects, { upTo: 3, how: answered(404) });
     }
     expect(refusedFor(effects)).toBe("endpoint_failed");
   });
 
-  it("leaves the answer of an engine alone that was asked for all of it", () => {
+  it("does not replace the answer of an engine to the whole request", () => {
     const core = new ReadyCore(ENGINES);
     const { effects } = core.send({ service: "pool" });
-    expect(answers(end(core, effects, { upTo: 0, how: answered(404) })))
+    expect(answers(endAttempt(core, effects, { upTo: 0, how: answered(404) })))
       .toMatchObject([{ kind: "answered", answer: { status: 404 } }]);
   });
 });
--- a/packages/core/src/requests/__tests__/service_queue.test.ts
+++ b/packages/core/src/requests/__tests__/service_queue.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from "vitest";
 import { type CustomerId, instant, type RequestId } from "../../ids/index.ts";
 import type { RequestClass } from "../../text/index.ts";
-import { LOW_CLASS_TURN, RetryBudget, ServiceQueue } from "../index.ts";
+import { LOW_CLASS_INTERVAL, RetryBudget, ServiceQueue } from "../index.ts";
 
 function fill(
   queue: ServiceQueue,
@@ -28,28 +28,28 @@
 }
 
 describe("a service's queue", () => {
-  it("serves the screens before the summaries", () => {
+  it("serves the class screen before the class summary", () => {
     const queue = new ServiceQueue();
     fill(queue, ["a-1"], { requestClass: "summary" });
     fill(queue, ["a-2", "a-3"]);
     expect(drain(queue, 3)).toEqual(["a-2", "a-3", "a-1"]);
   });
 
-  it("gives the summaries their turn under a steady stream of screens", () => {
+  it("does not starve the class summary under steady load of the class screen", () => {
     const queue = new ServiceQueue();
     fill(queue, ["s-1"], { requestClass: "summary" });
     fill(queue, Array.from({ length: 20 }, (_, index) => `a-${index}`));
-    expect(drain(queue, LOW_CLASS_TURN)).toContain("s-1");
+    expect(drain(queue, LOW_CLASS_INTERVAL)).toContain("s-1");
   });
 
-  it("is fair between a customer with a rush and one with a single request", () => {
+  it("is fair between a customer with a burst and one with a single request", () => {
     const queue = new ServiceQueue();
     fill(queue, Array.from({ length: 50 }, (_, index) => `rush-${index}`));
     fill(queue, ["small-1"]);
     expect(drain(queue, 6)).toContain("small-1");
   });
 
-  it("counts the work, not only the requests", () => {
+  it("weighs requests by their cost", () => {
     const queue = new ServiceQueue();
     fill(queue, Array.from({ length: 10 }, (_, index) => `heavy-${index}`), {
       cost: 8,
@@ -60,7 +60,7 @@
       .toBeGreaterThan(first.length / 2);
   });
 
-  it("forgets a removed request, and is empty in the end", () => {
+  it("does not return a removed request, and ends up empty", () => {
     const queue = new ServiceQueue();
     fill(queue, ["a-1", "a-2", "b-1"]);
     expect(queue.remove("a-1" as RequestId)).toBe(true);
@@ -70,13 +70,18 @@
 });
 
 describe("the retry budget", () => {
-  it("allows a few at once, and then one for every ten successes", () => {
+  it("allows a burst, then one retry for every ten successes", () => {
     const budget = new RetryBudget();
     const burst =
-      Array.from({ length: 15 }, () => budget.spend()).filter(Boolean).length;
+      Array.from({ length: 15 }, () => budget.trySpend()).filter(Boolean)
+        .length;
     for (let success = 0; success < 10; success++) {
-      budget.earn();
+      budget.recordSuccess();
     }
-    expect([burst, budget.spend(), budget.spend()]).toEqual([10, true, false]);
+    expect([burst, budget.trySpend(), budget.trySpend()]).toEqual([
+      10,
+      true,
+      false,
+    ]);
   });
 });
--- a/packages/core/src/requests/active_request.ts
+++ b/packages/core/src/requests/active_request.ts
@@ -1,5 +1,5 @@
 /**
- * One request while this entry has to do with it.
+ * State of one request while this entry handles it.
  *
  * @module
  */
@@ -11,14 +11,19 @@
 import type { Interruption } from "./interruption.ts";
 
 /**
- * Where a request stands.
+ * Stage of a request's processing.
  * - `body`: admitted, its body is being read.
- * - `confirming`: waits until the text in force is confirmed.
+ * - `confirming`: waits until the configuration in force is confirmed.
  * - `queued`: waits for an endpoint.
- * - `running`: an attempt is under way.
- * - `joined`: waits for the outcome of an earlier send of the same key.
+ * - `running`: an attempt is in progress.
+ * - `joined`: waits for the outcome of an earlier send with the same idempotency key.
  */
-export type Phase = "body" | "confirming" | "queued" | "running" | "joined";
+export type RequestPhase =
+  | "body"
+  | "confirming"
+  | "queued"
+  | "running"
+  | "joined";
 
 /** A request that was admitted. */
 export interface ActiveRequest {
@@ -31,25 +36,25 @@
   readonly deadlineAt: Instant;
   readonly attempts: AttemptLog;
   readonly tried: Set<string>;
-  phase: Phase;
+  phase: RequestPhase;
   phaseSince: Instant;
   facts: BodyFacts | undefined;
   current: Attempt | undefined;
-  /** Why a stream that has begun is to go on elsewhere. */
+  /** Why a stream that has started must be resumed at another target. */
   interruption: Interruption | undefined;
-  /** Tokens handed to the caller, of the whole stream. */
+  /** Position in the whole stream up to which the caller has received tokens. */
   offset: number;
   firstTokenAt: Instant | undefined;
   lastTokenAt: Instant | undefined;
-  /** Whether this send began an action under a key that this entry owns. */
+  /** Whether this send started an action under a key that this entry owns. */
   ownsAction: boolean;
-  /** Whether the key's owner is known to have ended. */
+  /** Whether the process that owns the key is known to have ended. */
   ownerGone: boolean;
-  /** Whether the caller has its final answer or has gone; an action may still run. */
-  closed: boolean;
+  /** Whether the caller has received its final answer or has disconnected. An action may still run. */
+  callerDone: boolean;
 }
 
-/** What admission found out of a head. */
+/** Result of admission, determined from the request's head. */
 export type Admission = Pick<
   ActiveRequest,
   | "head"
@@ -61,7 +66,7 @@
   | "deadlineAt"
 >;
 
-/** A fresh request whose body is to be read. */
+/** Creates the state of an admitted request whose body has not been read yet. */
 export function newActiveRequest(admission: Admission): ActiveRequest {
   return {
     ...admission,
@@ -77,22 +82,22 @@
     lastTokenAt: undefined,
     ownsAction: false,
     ownerGone: false,
-    closed: false,
+    callerDone: false,
   };
 }
 
-/** Whether a part of the answer is with the caller, or held for it, so that attempts go on after it. */
-export function hasBegun({ head, offset }: ActiveRequest): boolean {
+/** Whether part of the stream has been sent to the caller or buffered for it. Later attempts continue after it. */
+export function hasStreamedTokens({ head, offset }: ActiveRequest): boolean {
   return offset > head.resumeOffset;
 }
 
-/** Whether a second run of the request does no harm. */
+/** Whether a request to the service may safely run twice. */
 export function isRepeatable(service: Service): boolean {
   return service.kind === "model" || service.repeatable;
 }
 
-/** Whether a mistake about the text in force would break a promise. */
-export function needsConfirmedText(
+/** Whether the request must not be processed with an outdated configuration: it is home-bound or not repeatable. */
+export function needsConfirmedConfiguration(
   { customer, service }: Pick<ActiveRequest, "customer" | "service">,
 ): boolean {
   return customer.bound || !isRepeatable(service);
--- a/packages/core/src/requests/admission.ts
+++ b/packages/core/src/requests/admission.ts
@@ -1,5 +1,5 @@
 /**
- * Everything that is decided from the request line and headers, before any of the body is read.
+ * Admission: decisions that are made from the request line and headers, before the body is read.
  *
  * @module
  */
@@ -29,10 +29,10 @@
 
 /** Longest deadline that a caller may ask for. */
 export const MAX_DEADLINE_MS = 3_600_000;
-/** When to come back to an entry that has just started. */
+/** Retry time for an entry that has just started, or a service whose dependency is down. */
 const NOT_READY_RETRY_MS = 1_000;
 
-/** Either a request to go on with or the refusal. */
+/** Either the admitted request or the refusal. */
 export type AdmissionResult =
   | { readonly ok: true; readonly admission: Admission }
   | { readonly ok: false; readonly refusal: Refusal };
@@ -40,15 +40,18 @@
 type Refuse = (
   reason: RefusalReason,
   detail: string,
-  rest?: Partial<Refusal>,
+  options?: Partial<Refusal>,
 ) => AdmissionResult;
 
-const refuse: Refuse = (reason, detail, rest = {}) => ({
+const refuse: Refuse = (reason, detail, options = {}) => ({
   ok: false,
-  refusal: refusal(reason, { detail, verdict: NOT_RUN, ...rest }),
+  refusal: refusal(reason, { detail, verdict: NOT_RUN, ...options }),
 });
 
-/** Decides on a head. The verdict of its refusals is about this send; a key's history is added later. */
+/**
+ * Admits or refuses a request by its head. The verdict of a refusal covers this send only. Earlier sends with
+ * the same key are taken into account later.
+ */
 export function admit(
   board: Blackboard,
   head: RequestHead,
@@ -88,9 +91,9 @@
 ): AdmissionResult {
   const { self } = board;
   /*
-   * A home-bound request at an entry of another region must end here, with its body unread: reading
-   * it would already have taken the data out of its home. One would notice by nothing at all, which
-   * is why it is decided from the head alone and before anything else about the request.
+   * A home-bound request at an entry of another region must be refused with its body unread: reading the
+   * body would already take the data out of the home region. Nothing would reveal such a mistake, so the
+   * decision needs the head alone and comes before all others about the request.
    */
   if (customer.bound && customer.home !== self.region) {
     return refuse(
@@ -128,17 +131,17 @@
   if (!customer.classes.includes(requestClass)) {
     return refuse("invalid_request", "The customer has no such class", {});
   }
-  const time = head.deadline ?? service.deadline;
-  if (!Number.isFinite(time) || time > MAX_DEADLINE_MS) {
+  const timeout = head.deadline ?? service.deadline;
+  if (!Number.isFinite(timeout) || timeout > MAX_DEADLINE_MS) {
     return refuse(
       "invalid_request",
       `A deadline is a number of milliseconds, at most ${MAX_DEADLINE_MS}`,
     );
   }
-  if (time <= 0) {
+  if (timeout <= 0) {
     return refuse("deadline", "No time was left when the request came");
   }
-  const keyOwner = readKey(head, service);
+  const keyOwner = parseKeyOwner(head, service);
   if (typeof keyOwner === "string") {
     const detail = keyOwner === "key_required"
       ? "The service may not repeat calls: get an owner token by GET /v1/entries and send Idempotency-Key"
@@ -152,16 +155,16 @@
     requestClass,
     keyOwner,
     arrivedAt: now,
-    deadlineAt: after(now, time),
+    deadlineAt: after(now, timeout),
   };
-  const down = service.dependsOn.find((dependency) =>
+  const unavailable = service.dependsOn.find((dependency) =>
     !hasLiveEndpoint(board, dependency)
   );
-  // An action's earlier send may have an outcome to tell, so a dead dependency does not end it here.
-  if (down !== undefined && keyOwner === undefined) {
+  // The outcome of a keyed call's earlier send may be known, so a missing dependency does not refuse it here.
+  if (unavailable !== undefined && keyOwner === undefined) {
     return refuse(
       "dependency_down",
-      `Service "${down}" has no live endpoint, and "${service.id}" depends on it`,
+      `Service "${unavailable}" has no live endpoint, and "${service.id}" depends on it`,
       {
         retryAfter: milliseconds(NOT_READY_RETRY_MS),
       },
@@ -170,7 +173,7 @@
   return { ok: true, admission };
 }
 
-function readKey(
+function parseKeyOwner(
   head: RequestHead,
   service: Service,
 ): KeyOwner | undefined | "key_required" | "key_invalid" {
@@ -183,12 +186,12 @@
   return parseKey(head.key) ?? "key_invalid";
 }
 
-/** Whether a service has an endpoint that takes work. */
+/** Whether a service has a live endpoint that is not leaving. */
 export function hasLiveEndpoint(
   board: Blackboard,
   service: ServiceId,
 ): boolean {
-  return board.endpoints.of(service).some((endpoint) =>
+  return board.endpoints.forService(service).some((endpoint) =>
     endpoint.state === "live" && endpoint.leaving === undefined
   );
 }
--- a/packages/core/src/requests/answers.ts
+++ b/packages/core/src/requests/answers.ts
@@ -1,5 +1,5 @@
 /**
- * Final answers, and the only place where a verdict is told to a caller.
+ * Final answers to callers. Verdicts are sent to callers from here only.
  *
  * @module
  */
@@ -28,16 +28,17 @@
 import { type ActiveRequest, isRepeatable } from "./active_request.ts";
 import type { RequestTable } from "./request_table.ts";
 
-const UNKEPT_DETAIL = "The call ran, and its answer was too large to keep";
+const ANSWER_NOT_KEPT_DETAIL =
+  "The call ran, and its answer was too large to keep";
 
-/** What a refusal says besides its reason. Without a verdict, the attempts decide. */
+/** Details of a refusal. Without a verdict, it is derived from the request's attempts. */
 export interface RefusalDetail
   extends Partial<Pick<Refusal, "retryAfter" | "goTo" | "verdict">> {
   readonly detail: string;
   readonly now: Instant;
 }
 
-/** What answering works with. */
+/** Dependencies of `AnswerSender`. */
 export interface AnswerDependencies {
   readonly emit: Emit;
   readonly actions: ActionController;
@@ -46,19 +47,19 @@
   readonly table: RequestTable;
 }
 
-/** Ends requests. */
-export class Answers {
+/** Sends final answers and removes the requests. */
+export class AnswerSender {
   readonly #board: Blackboard;
-  readonly #with: AnswerDependencies;
+  readonly #dependencies: AnswerDependencies;
 
   constructor(board: Blackboard, dependencies: AnswerDependencies) {
     this.#board = board;
-    this.#with = dependencies;
+    this.#dependencies = dependencies;
   }
 
   /**
-   * Ends a request with a refusal. Removal from every queue and the refusal are one step on the one
-   * thread, so a request that was told `not_run` cannot run later.
+   * Ends a request with a refusal. The request is refused and removed from all queues in one synchronous
+   * step, so a request that was answered with `not_run` cannot run later.
    */
   refuse(
     request: ActiveRequest,
@@ -66,14 +67,14 @@
     detail: RefusalDetail,
   ): void {
     const { now } = detail;
-    const made = this.refusalOf(request, reason, detail);
+    const refused = this.refusalOf(request, reason, detail);
     if (request.ownsAction) {
-      this.#endAction(request, made, now);
+      this.#endAction(request, refused, now);
     }
-    this.finish(request, { kind: "refused", refusal: made }, now);
+    this.finish(request, { kind: "refused", refusal: refused }, now);
   }
 
-  /** The refusal of a request as things stand. */
+  /** Returns the refusal of a request in its current state. */
   refusalOf(
     request: ActiveRequest,
     reason: RefusalReason,
@@ -89,54 +90,57 @@
     });
   }
 
-  /** Refuses from the head alone. For a key, an earlier send may have run, whatever this one did. */
-  refuseHead(head: RequestHead, made: Refusal, now: Instant): void {
-    const verdict = this.#keyVerdict(head, now);
-    const told = verdict === undefined
-      ? made
-      : { ...made, verdict, thisSend: NOT_RUN };
-    this.#with.explanations.note(head.id, now, {
+  /** Refuses a request by its head alone. With a key, an earlier send may have run even though this one did not. */
+  refuseHead(head: RequestHead, refused: Refusal, now: Instant): void {
+    const verdict = this.#earlierSendVerdict(head, now);
+    const finalRefusal = verdict === undefined
+      ? refused
+      : { ...refused, verdict, thisSend: NOT_RUN };
+    this.#dependencies.explanations.note(head.id, now, {
       text: "Refused",
-      reason: told.reason,
-      verdict: told.verdict.kind,
+      reason: finalRefusal.reason,
+      verdict: finalRefusal.verdict.kind,
     });
-    this.#emit(head, { kind: "refused", refusal: told });
+    this.#emit(head, { kind: "refused", refusal: finalRefusal });
   }
 
-  /** Gives a request its final answer, unless its caller has one or has gone, and forgets it. */
+  /** Sends the final answer, unless the caller already has one or has disconnected, and removes the request. */
   finish(request: ActiveRequest, answer: FinalAnswer, now: Instant): void {
-    this.#with.explanations.note(request.head.id, now, {
+    this.#dependencies.explanations.note(request.head.id, now, {
       text: "Answered",
-      ...describe(answer),
+      ...describeAnswer(answer),
     });
-    if (!request.closed) {
+    if (!request.callerDone) {
       this.#emit(request.head, answer);
     }
-    this.#with.table.remove(request);
+    this.#dependencies.table.remove(request);
   }
 
-  /** Answers a caller now, while its action goes on. */
-  answerEarly(request: ActiveRequest, made: Refusal, now: Instant): void {
-    this.#with.explanations.note(request.head.id, now, {
+  /** Answers the caller now while its action continues to run. */
+  answerEarly(request: ActiveRequest, refused: Refusal, now: Instant): void {
+    this.#dependencies.explanations.note(request.head.id, now, {
       text: "Answered while the action runs on",
-      reason: made.reason,
+      reason: refused.reason,
     });
-    this.#emit(request.head, { kind: "refused", refusal: made });
-    request.closed = true;
+    this.#emit(request.head, { kind: "refused", refusal: refused });
+    request.callerDone = true;
   }
 
-  /** Ends a request that ran and whose answer is more than this entry holds: no endpoint would do better. */
-  answerUnkept(request: ActiveRequest, now: Instant): void {
-    this.settle(request, { kind: "ran_unkept" }, now);
-    const made = this.refusalOf(request, "answer_not_kept", {
-      detail: UNKEPT_DETAIL,
+  /**
+   * Ends a request that ran and whose answer is larger than this entry can buffer. It is not repeated, since
+   * another endpoint's answer would be as large.
+   */
+  answerOversize(request: ActiveRequest, now: Instant): void {
+    this.recordOutcome(request, { kind: "ran_unkept" }, now);
+    const refused = this.refusalOf(request, "answer_not_kept", {
+      detail: ANSWER_NOT_KEPT_DETAIL,
       verdict: RAN,
       now,
     });
-    this.finish(request, { kind: "refused", refusal: made }, now);
+    this.finish(request, { kind: "refused", refusal: refused }, now);
   }
 
-  /** Answers with what is known of a used key. */
+  /** Answers a request whose key was already used, with the outcome of the earlier send. */
   answerOutcome(request: ActiveRequest, outcome: Outcome, now: Instant): void {
     if (outcome.kind === "ran") {
       this.finish(request, {
@@ -149,7 +153,7 @@
     }
     if (outcome.kind === "ran_unkept") {
       this.refuse(request, "answer_not_kept", {
-        detail: UNKEPT_DETAIL,
+        detail: ANSWER_NOT_KEPT_DETAIL,
         verdict: RAN,
         now,
       });
@@ -162,33 +166,36 @@
     });
   }
 
-  /** Notes an action's outcome and answers every send that waits for it. */
-  settle(request: ActiveRequest, outcome: Outcome, now: Instant): void {
+  /** Records an action's outcome and answers all sends that wait for it. */
+  recordOutcome(request: ActiveRequest, outcome: Outcome, now: Instant): void {
     if (!request.ownsAction) {
       return;
     }
-    this.#with.actions.settle(
+    this.#dependencies.actions.recordOutcome(
       request.customer.id,
       request.keyOwner!.key,
-      keepable(outcome),
+      toStorableOutcome(outcome),
     );
-    this.#with.table.takeJoined(request).forEach((joined) =>
+    this.#dependencies.table.takeJoined(request).forEach((joined) =>
       this.answerOutcome(joined, outcome, now)
     );
   }
 
-  #endAction(request: ActiveRequest, made: Refusal, now: Instant): void {
+  #endAction(request: ActiveRequest, refused: Refusal, now: Instant): void {
     if (request.attempts.verdict().kind !== "not_run") {
-      this.settle(request, { kind: "unknown" }, now);
+      this.recordOutcome(request, { kind: "unknown" }, now);
       return;
     }
-    this.#with.actions.release(request.customer.id, request.keyOwner!.key);
-    for (const joined of this.#with.table.takeJoined(request)) {
-      this.finish(joined, { kind: "refused", refusal: made }, now);
+    this.#dependencies.actions.release(
+      request.customer.id,
+      request.keyOwner!.key,
+    );
+    for (const joined of this.#dependencies.table.takeJoined(request)) {
+      this.finish(joined, { kind: "refused", refusal: refused }, now);
     }
   }
 
-  /** What a request's attempts, and for a key its other sends, allow to be said. */
+  /** Derives the verdict from a request's attempts and, with a key, from its other sends. */
   #verdictOf(request: ActiveRequest, now: Instant): Verdict {
     const verdict = request.attempts.verdict();
     const { keyOwner, ownsAction } = request;
@@ -205,11 +212,11 @@
       : NOT_RUN;
   }
 
-  #keyVerdict(head: RequestHead, now: Instant): Verdict | undefined {
+  #earlierSendVerdict(head: RequestHead, now: Instant): Verdict | undefined {
     return this.#mayHaveRunBefore(head, now) ? MAY_HAVE_RUN_OPEN : undefined;
   }
 
-  /** Whether another send of the request's key may have run, as far as this entry can tell. */
+  /** Whether another send with the request's key may have run, as far as this entry knows. */
   #mayHaveRunBefore(head: RequestHead, now: Instant): boolean {
     const { deployment } = this.#board.configuration;
     const service = deployment?.services.get(head.service as ServiceId);
@@ -225,29 +232,30 @@
     if (customer === undefined) {
       return true;
     }
-    const standing = this.#with.actions.standing(customer.id, owner, now).kind;
-    return standing !== "unused" && standing !== "invalid";
+    const status =
+      this.#dependencies.actions.keyStatus(customer.id, owner, now).kind;
+    return status !== "unused" && status !== "invalid";
   }
 
   #emit(head: RequestHead, answer: FinalAnswer): void {
     const verdict = answer.kind === "refused"
       ? answer.refusal.verdict
       : answer.verdict;
-    this.#with.metrics.count("verdicts", verdict.kind);
+    this.#dependencies.metrics.count("verdicts", verdict.kind);
     if (answer.kind === "refused") {
-      this.#with.metrics.count("refusals", answer.refusal.reason);
+      this.#dependencies.metrics.count("refusals", answer.refusal.reason);
     }
-    this.#with.emit({ kind: "finish", request: head.id, answer });
+    this.#dependencies.emit({ kind: "finish", request: head.id, answer });
   }
 }
 
-function keepable(outcome: Outcome): Outcome {
-  const large = outcome.kind === "ran" &&
+function toStorableOutcome(outcome: Outcome): Outcome {
+  const tooLarge = outcome.kind === "ran" &&
     Buffer.byteLength(outcome.answer.body, "base64") > MAX_STORED_ANSWER_BYTES;
-  return large ? { kind: "ran_unkept" } : outcome;
+  return tooLarge ? { kind: "ran_unkept" } : outcome;
 }
 
-function describe(answer: FinalAnswer): Record<string, unknown> {
+function describeAnswer(answer: FinalAnswer): Record<string, unknown> {
   return answer.kind === "refused"
     ? { reason: answer.refusal.reason, verdict: answer.refusal.verdict.kind }
     : {
--- a/packages/core/src/requests/attempt_tracker.ts
+++ b/packages/core/src/requests/attempt_tracker.ts
@@ -1,5 +1,5 @@
 /**
- * Follows attempts from the last check before the first byte to their end.
+ * Attempts in progress, from the last check before the first byte is written to their end.
  *
  * @module
  */
@@ -18,102 +18,106 @@
 } from "../verdict/index.ts";
 import {
   type ActiveRequest,
-  hasBegun,
+  hasStreamedTokens,
   isRepeatable,
-  needsConfirmedText,
+  needsConfirmedConfiguration,
 } from "./active_request.ts";
-import type { Answers } from "./answers.ts";
-import { describeGoingOn, interruptionOf } from "./interruption.ts";
-import { judgeEnd } from "./judge_end.ts";
+import type { AnswerSender } from "./answers.ts";
+import { interruptionOf, resumptionFields } from "./interruption.ts";
+import { attemptStateOf } from "./judge_end.ts";
 import type { RequestTable } from "./request_table.ts";
 import type { RequestQuarantine } from "./request_quarantine.ts";
 import { RetryBudget } from "./retry_budget.ts";
-import { DEFAULT_RETRY, type Router } from "./router.ts";
-import type { Spills } from "./spills.ts";
+import { DEFAULT_RETRY_MS, type Router } from "./router.ts";
+import type { SpillTracker } from "./spills.ts";
 
-/** Attempts of one request, the first included. */
+/** Maximum number of attempts of one request, including the first. */
 export const MAX_ATTEMPTS = 3;
-/** The same for a stream that has begun: each attempt goes on where the one before broke off. */
+/** Maximum for a stream that has started: each attempt continues where the one before broke off. */
 const MAX_STREAM_ATTEMPTS = 6;
 
-/** With these an endpoint says when it wants requests again. */
-const TURNED_AWAY: ReadonlySet<number> = new Set([429, 503]);
+/** Statuses with which `Retry-After` states how long an endpoint wants no requests. */
+const REST_STATUSES: ReadonlySet<number> = new Set([429, 503]);
 
-/** What tracking works with. */
+/** Dependencies of `AttemptTracker`. */
 export interface TrackerDependencies {
   readonly emit: Emit;
   readonly actions: ActionController;
-  readonly answers: Answers;
+  readonly answers: AnswerSender;
   readonly endpoints: EndpointController;
   readonly explanations: Explanations;
   readonly metrics: Metrics;
   readonly router: Router;
-  readonly spills: Spills;
+  readonly spills: SpillTracker;
   readonly table: RequestTable;
   readonly quarantine: RequestQuarantine;
 }
 
-/** Judges and recovers attempts. */
+/** Tracks attempts in progress, and retries or refuses requests whose attempt failed. */
 export class AttemptTracker {
   readonly #board: Blackboard;
-  readonly #with: TrackerDependencies;
-  readonly #budget = new RetryBudget();
+  readonly #dependencies: TrackerDependencies;
+  readonly #retryBudget = new RetryBudget();
 
   constructor(board: Blackboard, dependencies: TrackerDependencies) {
     this.#board = board;
-    this.#with = dependencies;
+    this.#dependencies = dependencies;
   }
 
   /**
-   * The shell is about to write an attempt's first byte. Returns a request that has to be routed anew
-   * because the attempt was withdrawn.
+   * Performs the last check before the shell writes an attempt's first byte. Returns the request if the
+   * attempt was withdrawn and the request has to be routed again.
    *
-   * The process may have been frozen between the decision and this moment: the caller was answered,
-   * the endpoint left, the customer moved home, or the keys were handed over. One would notice by a
-   * badge that is printed minutes after its visitor has gone. All that the decision relied on is
-   * looked at again right before the first byte; without `proceed` nothing is written, so the attempt
-   * is known not to have run.
+   * The process may have been frozen since the attempt was dispatched. Meanwhile the caller may have been
+   * answered, the endpoint may have left, the customer's home region may have changed, or the keys may have
+   * been handed over. Without this check, an action could run minutes after its caller has left. Every
+   * condition of the dispatch is therefore checked again. Without the effect `proceed` nothing is written,
+   * so the attempt is known not to have run.
    */
   commit(id: AttemptId, now: Instant): ActiveRequest | undefined {
-    const request = this.#with.table.ofAttempt(id);
+    const request = this.#dependencies.table.findByAttempt(id);
     if (request === undefined) {
       return undefined;
     }
-    const obstacle = this.#obstacle(request, now);
+    const obstacle = this.#findObstacle(request, now);
     if (obstacle === undefined) {
       request.attempts.record(id, "sent");
-      this.#with.quarantine.began(request, request.current!, now);
-      this.#tellGoingOn(request);
-      this.#with.emit({ kind: "proceed", attempt: id });
+      this.#dependencies.quarantine.attemptStarted(
+        request,
+        request.current!,
+        now,
+      );
+      this.#logResumption(request);
+      this.#dependencies.emit({ kind: "proceed", attempt: id });
       return undefined;
     }
-    this.#with.explanations.note(request.head.id, now, {
+    this.#dependencies.explanations.note(request.head.id, now, {
       text: "Withdrew the attempt",
       obstacle,
     });
-    this.#close(request, "unsent", now);
+    this.#closeAttempt(request, "unsent", now);
     return request;
   }
 
-  /** An attempt's first token came. */
+  /** Handles the first token of an attempt. */
   firstToken(id: AttemptId, now: Instant): void {
-    const request = this.#with.table.ofAttempt(id);
-    this.#noteHeard(request, now);
+    const request = this.#dependencies.table.findByAttempt(id);
+    this.#recordResponse(request, now);
     if (request !== undefined && request.firstTokenAt === undefined) {
       request.firstTokenAt = now;
-      this.#record("first_token", request, now - request.arrivedAt);
+      this.#recordLatency("first_token", request, now - request.arrivedAt);
     }
   }
 
-  /** Tokens up to `offset` went to the caller. */
+  /** Handles progress: tokens up to `offset` have been sent to the caller. */
   progress(id: AttemptId, offset: number, now: Instant): void {
-    const request = this.#with.table.ofAttempt(id);
-    this.#noteHeard(request, now);
+    const request = this.#dependencies.table.findByAttempt(id);
+    this.#recordResponse(request, now);
     if (request === undefined || offset <= request.offset) {
       return;
     }
     if (request.lastTokenAt !== undefined) {
-      this.#record(
+      this.#recordLatency(
         "between_tokens",
         request,
         (now - request.lastTokenAt) / (offset - request.offset),
@@ -123,44 +127,48 @@
     request.lastTokenAt = now;
   }
 
-  /** With another status, a time to return is meant for the caller. */
-  #noteRest({ target }: Attempt, end: AttemptEnd, now: Instant): void {
-    const turnedAway = end.kind === "answered" &&
-      TURNED_AWAY.has(end.answer.status);
+  /** Records how long the endpoint wants no requests. With other statuses, `Retry-After` is meant for the caller. */
+  #recordRest({ target }: Attempt, end: AttemptEnd, now: Instant): void {
+    const isRestStatus = end.kind === "answered" &&
+      REST_STATUSES.has(end.answer.status);
     if (
-      target.kind === "endpoint" && turnedAway && end.retryAfter !== undefined
+      target.kind === "endpoint" && isRestStatus && end.retryAfter !== undefined
     ) {
-      this.#with.endpoints.rests(target.endpoint, end.retryAfter, now);
+      this.#dependencies.endpoints.recordRest(
+        target.endpoint,
+        end.retryAfter,
+        now,
+      );
     }
   }
 
-  #noteHeard(request: ActiveRequest | undefined, now: Instant): void {
+  #recordResponse(request: ActiveRequest | undefined, now: Instant): void {
     const target = request?.current?.target;
     if (target?.kind === "endpoint") {
-      this.#with.quarantine.heard(target.endpoint, now);
+      this.#dependencies.quarantine.endpointResponded(target.endpoint, now);
     }
   }
 
-  /** An attempt ended. Returns a keyed request whose peer was never reached, to be routed anew. */
+  /** Handles the end of an attempt. Returns a keyed request whose peer was not reached, to be routed again. */
   ended(
     id: AttemptId,
     end: AttemptEnd,
     now: Instant,
   ): ActiveRequest | undefined {
-    const request = this.#with.table.ofAttempt(id);
+    const request = this.#dependencies.table.findByAttempt(id);
     if (request === undefined) {
       return undefined;
     }
     const attempt = request.current!;
-    const begun = hasBegun(request);
-    const state = judgeEnd(request.service, end, { begun });
+    const streamStarted = hasStreamedTokens(request);
+    const state = attemptStateOf(request.service, end, { streamStarted });
     const failed = end.kind === "unsent" || end.kind === "lost";
     if (failed && attempt.target.kind === "endpoint") {
-      this.#with.endpoints.failed(attempt.target.endpoint, now);
+      this.#dependencies.endpoints.markSuspect(attempt.target.endpoint, now);
     }
-    this.#noteRest(attempt, end, now);
-    this.#close(request, state, now);
-    this.#with.explanations.note(request.head.id, now, {
+    this.#recordRest(attempt, end, now);
+    this.#closeAttempt(request, state, now);
+    this.#dependencies.explanations.note(request.head.id, now, {
       text: "Attempt ended",
       end: end.kind,
       state,
@@ -175,33 +183,33 @@
     return undefined;
   }
 
-  /** Ends the current attempt from this side; the shell drops its connection. */
+  /** Aborts the current attempt, if there is one. The shell closes its connection. */
   abort(request: ActiveRequest, now: Instant): void {
     const { current } = request;
     if (current !== undefined) {
       const sent = request.attempts.stateOf(current.id) === "sent";
-      this.#with.emit({ kind: "abort", attempt: current.id });
-      this.#close(request, sent ? "lost" : "unsent", now);
+      this.#dependencies.emit({ kind: "abort", attempt: current.id });
+      this.#closeAttempt(request, sent ? "lost" : "unsent", now);
     }
   }
 
-  /** Leaves a line where a stream goes on: that it was made by two engines is seen nowhere else. */
-  #tellGoingOn(request: ActiveRequest): void {
+  /** Logs that a stream continues at another engine, which is recorded nowhere else. */
+  #logResumption(request: ActiveRequest): void {
     const { interruption, current, offset } = request;
     if (interruption === undefined || current === undefined) {
       return;
     }
     request.interruption = undefined;
-    this.#with.metrics.count("streams_resumed");
-    this.#with.emit({
+    this.#dependencies.metrics.count("streams_resumed");
+    this.#dependencies.emit({
       kind: "log",
       part: "route",
       text: "Stream goes on elsewhere.",
-      fields: describeGoingOn(interruption, { ...current, offset }),
+      fields: resumptionFields(interruption, { ...current, offset }),
     });
   }
 
-  #obstacle(request: ActiveRequest, now: Instant): string | undefined {
+  #findObstacle(request: ActiveRequest, now: Instant): string | undefined {
     const { configuration, endpoints, self } = this.#board;
     const { target } = request.current!;
     const customer = configuration.deployment?.customers.get(
@@ -210,41 +218,41 @@
     if (now >= request.deadlineAt) {
       return "deadline";
     }
-    if (configuration.unconfirmed && needsConfirmedText(request)) {
+    if (configuration.unconfirmed && needsConfirmedConfiguration(request)) {
       return "configuration not confirmed";
     }
     if (
       customer === undefined ||
       (customer.bound && customer.home !== self.region)
     ) {
-      return "home moved";
+      return "home region changed";
     }
     if (target.kind === "peer") {
       return undefined;
     }
     const endpoint = endpoints.endpoints.get(target.endpoint);
     if (endpoint === undefined || endpoint.state === "draining") {
-      return "endpoint leaves";
+      return "endpoint is leaving";
     }
-    if (this.#with.quarantine.judge(request, now) !== undefined) {
+    if (this.#dependencies.quarantine.waitIfHeld(request, now) !== undefined) {
       return "held";
     }
     const { keyOwner } = request;
-    const givenUp = keyOwner !== undefined &&
-      !this.#with.actions.mayRun(customer.id, keyOwner);
-    return givenUp ? "key given up" : undefined;
+    const isHandedOver = keyOwner !== undefined &&
+      !this.#dependencies.actions.mayRun(customer.id, keyOwner);
+    return isHandedOver ? "key handed over" : undefined;
   }
 
   #complete(request: ActiveRequest, end: AttemptEnd, now: Instant): void {
-    this.#budget.earn();
-    this.#record("whole_answer", request, now - request.arrivedAt);
+    this.#retryBudget.recordSuccess();
+    this.#recordLatency("whole_answer", request, now - request.arrivedAt);
     if (end.kind === "answered") {
-      this.#with.answers.settle(
+      this.#dependencies.answers.recordOutcome(
         request,
         { kind: "ran", answer: end.answer },
         now,
       );
-      this.#with.answers.finish(request, {
+      this.#dependencies.answers.finish(request, {
         kind: "answered",
         answer: end.answer,
         verdict: RAN,
@@ -253,67 +261,68 @@
       return;
     }
     if (end.kind === "oversize") {
-      this.#with.answers.answerUnkept(request, now);
+      this.#dependencies.answers.answerOversize(request, now);
       return;
     }
-    this.#with.metrics.count("verdicts", "ran");
-    this.#with.explanations.note(request.head.id, now, {
+    this.#dependencies.metrics.count("verdicts", "ran");
+    this.#dependencies.explanations.note(request.head.id, now, {
       text: "Streamed to the end",
       tokens: request.offset,
     });
-    this.#with.table.remove(request);
+    this.#dependencies.table.remove(request);
   }
 
-  /** An attempt did not complete: tries again where that is safe, and refuses otherwise. */
+  /** Retries a request whose attempt did not complete if that is safe, and refuses it otherwise. */
   #recover(
     request: ActiveRequest,
     { attempt, end }: { attempt: Attempt; end: AttemptEnd },
     now: Instant,
   ): void {
-    if (this.#relay(request, { attempt, end }, now)) {
+    if (this.#relayPeerVerdict(request, { attempt, end }, now)) {
       return;
     }
     if (this.#mayRetry(request, end, now)) {
-      if (hasBegun(request)) {
+      if (hasStreamedTokens(request)) {
         request.interruption = interruptionOf(attempt, end) ??
           request.interruption;
       }
-      this.#with.metrics.count("retries");
-      this.#with.router.route(request, now);
+      this.#dependencies.metrics.count("retries");
+      this.#dependencies.router.route(request, now);
       return;
     }
-    const declared = end.kind === "answered" &&
+    const isDeclaredNotRun = end.kind === "answered" &&
       request.attempts.verdict().kind === "not_run";
-    const reason: RefusalReason = declared
+    const reason: RefusalReason = isDeclaredNotRun
       ? "endpoint_refused"
       : "endpoint_failed";
     const retryAfter = (end.kind === "answered" ? end.retryAfter : undefined) ??
-      DEFAULT_RETRY;
-    this.#with.answers.refuse(request, reason, {
+      DEFAULT_RETRY_MS;
+    this.#dependencies.answers.refuse(request, reason, {
       detail: "No endpoint gave a whole answer",
       retryAfter,
       now,
     });
   }
 
-  /** A forward that never reached the key's owner says nothing of earlier sends. */
+  /** Whether the request was forwarded for its key and not received: that reveals nothing about earlier sends. */
   #isUnreachedOwner(request: ActiveRequest): boolean {
-    const forwardedKey = request.keyOwner !== undefined && !request.ownsAction;
-    return forwardedKey && request.attempts.verdict().kind === "not_run";
+    const isForwardedKey = request.keyOwner !== undefined &&
+      !request.ownsAction;
+    return isForwardedKey && request.attempts.verdict().kind === "not_run";
   }
 
   /**
-   * Passes a peer's own word on: a key's owner knows best, and a second region is not asked. What it says
-   * of the rest of an answer is no word on the whole.
+   * Passes a peer's verdict on to the caller: the owner of a key knows its outcome, and no second region is
+   * tried. A peer's verdict on the rest of a stream does not apply to the whole request, so it is not passed on.
    */
-  #relay(
+  #relayPeerVerdict(
     request: ActiveRequest,
     { attempt, end }: { attempt: Attempt; end: AttemptEnd },
     now: Instant,
   ): boolean {
     if (
       attempt.target.kind !== "peer" || end.kind !== "answered" ||
-      end.verdict === undefined || hasBegun(request)
+      end.verdict === undefined || hasStreamedTokens(request)
     ) {
       return false;
     }
@@ -322,7 +331,7 @@
     }
     if (request.ownerGone && end.verdict.kind === "may_have_run") {
       const detail = "The key's owner has ended, nothing more can be learnt";
-      this.#with.answers.refuse(request, "owner_gone", {
+      this.#dependencies.answers.refuse(request, "owner_gone", {
         detail,
         verdict: MAY_HAVE_RUN_SETTLED,
         now,
@@ -330,7 +339,7 @@
       return true;
     }
     const { answer, verdict, retryAfter } = end;
-    this.#with.answers.finish(request, {
+    this.#dependencies.answers.finish(request, {
       kind: "answered",
       answer,
       verdict,
@@ -341,49 +350,65 @@
   }
 
   /**
-   * A second attempt of a call that may have run could run it twice: one would notice by two badges.
-   * Only what did not run, or may be repeated, is tried again. A forward to a key's owner never is:
-   * the owner's answer may only be late.
+   * Whether the request may be tried again. Another attempt of a call that may have run could run it twice,
+   * so only a call that did not run or may be repeated is retried. A forward to the owner of a key is never
+   * retried, because the owner's answer may just be late.
    */
   #mayRetry(request: ActiveRequest, end: AttemptEnd, now: Instant): boolean {
-    const forwardedKey = request.keyOwner !== undefined && !request.ownsAction;
-    const safe = request.attempts.verdict().kind === "not_run" ||
+    const isForwardedKey = request.keyOwner !== undefined &&
+      !request.ownsAction;
+    const isSafe = request.attempts.verdict().kind === "not_run" ||
       isRepeatable(request.service);
-    const most = hasBegun(request) ? MAX_STREAM_ATTEMPTS : MAX_ATTEMPTS;
-    const inTime = now < request.deadlineAt && request.attempts.size < most;
-    const allowed = safe && !forwardedKey && inTime &&
-      this.#with.quarantine.mayRepeat(request);
-    return allowed && this.#isAffordable(request, end);
+    const maxAttempts = hasStreamedTokens(request)
+      ? MAX_STREAM_ATTEMPTS
+      : MAX_ATTEMPTS;
+    const isWithinLimits = now < request.deadlineAt &&
+      request.attempts.size < maxAttempts;
+    const isAllowed = isSafe && !isForwardedKey && isWithinLimits &&
+      this.#dependencies.quarantine.mayRepeat(request);
+    return isAllowed && this.#isAffordable(request, end);
   }
 
   /**
-   * An attempt that was never sent cost no endpoint anything, and a stream that goes on where it broke
-   * off saves the work already done: when an engine with many streams dies, each of them goes on.
-   * Every other retry comes out of the budget.
+   * Whether the retry budget allows another attempt. Two kinds of retry don't use the budget: an attempt that
+   * was not sent caused no load, and resuming a stream preserves the work already done, so that all streams
+   * of an engine that fails can continue.
    */
   #isAffordable(request: ActiveRequest, end: AttemptEnd): boolean {
-    return end.kind === "unsent" || hasBegun(request) || this.#budget.spend();
+    return end.kind === "unsent" || hasStreamedTokens(request) ||
+      this.#retryBudget.trySpend();
   }
 
-  #close(request: ActiveRequest, state: AttemptState, now: Instant): void {
+  #closeAttempt(
+    request: ActiveRequest,
+    state: AttemptState,
+    now: Instant,
+  ): void {
     const attempt = request.current!;
-    this.#with.quarantine.ended(request, { attempt, state }, now);
+    this.#dependencies.quarantine.attemptEnded(
+      request,
+      { attempt, state },
+      now,
+    );
     request.attempts.record(attempt.id, state);
     request.current = undefined;
-    this.#with.table.endAttempt(attempt.id);
+    this.#dependencies.table.endAttempt(attempt.id);
     if (attempt.target.kind === "endpoint") {
-      this.#with.endpoints.ended(attempt.target.endpoint, attempt.id);
+      this.#dependencies.endpoints.attemptEnded(
+        attempt.target.endpoint,
+        attempt.id,
+      );
     } else {
-      this.#with.spills.ended(request);
+      this.#dependencies.spills.recordSpillEnd(request);
     }
   }
 
-  #record(
+  #recordLatency(
     measure: Measure,
     { customer, requestClass }: ActiveRequest,
     ms: number,
   ): void {
-    this.#with.metrics.record(measure, {
+    this.#dependencies.metrics.record(measure, {
       customer: customer.id,
       requestClass,
       ms,
--- a/packages/core/src/requests/capacity.ts
+++ b/packages/core/src/requests/capacity.ts
@@ -1,5 +1,5 @@
 /**
- * How much a region's endpoints can take, and how long a new request would wait.
+ * Endpoints that can serve a request, and the predicted wait of a new request.
  *
  * @module
  */
@@ -8,89 +8,96 @@
 import { activeAt, holdTimeOf, roomAt } from "../routing/index.ts";
 import type { Service } from "../text/index.ts";
 
-/** Endpoints that take new work. */
+/** Returns the endpoints of a service that accept new requests. */
 export function usableEndpoints(
   board: Blackboard,
   service: Service,
 ): Endpoint[] {
-  return board.endpoints.of(service.id).filter((endpoint) =>
-    endpoint.state === "live" && mayTake(endpoint)
+  return board.endpoints.forService(service.id).filter((endpoint) =>
+    endpoint.state === "live" && acceptsRequests(endpoint)
   );
 }
 
 /**
- * Endpoints that failed lately, and are better than none.
+ * Returns endpoints that failed recently, to be used when there is no other.
  *
- * A region may have a single runner of a service. One broken connection would have every call refused
- * until its next report, with a line at the door; one would notice by refusals right after each reset.
+ * A region may have a single endpoint of a service. Without this fallback, one broken connection would
+ * cause all requests to be refused until the endpoint's next load report.
  */
-export function doubtfulEndpoints(
+export function suspectEndpoints(
   board: Blackboard,
   service: Service,
 ): Endpoint[] {
-  return board.endpoints.of(service.id).filter((endpoint) =>
+  return board.endpoints.forService(service.id).filter((endpoint) =>
     endpoint.state === "suspect" && endpoint.load !== undefined &&
-    mayTake(endpoint)
+    acceptsRequests(endpoint)
   );
 }
 
-/** Whether an endpoint neither leaves nor has asked for rest. */
-function mayTake({ leaving, restsUntil }: Endpoint): boolean {
-  return leaving === undefined && restsUntil === undefined;
+/** Whether an endpoint is neither leaving nor in a time for which it asked for no requests. */
+function acceptsRequests(
+  { leaving, restUntil }: Endpoint,
+): boolean {
+  return leaving === undefined && restUntil === undefined;
 }
 
 /**
- * Wait until `ahead` requests and one more have found a slot.
+ * Predicts the wait until `ahead` requests and one more have been given a slot.
  *
- * Slots that this entry filled become free when their requests have held them for the usual time;
- * those filled by others are taken to be anywhere in theirs, and this entry gets its part of them.
- * A mean drain alone would promise a slot soon while all have only just been taken, and the request
- * would wait out its deadline in the queue.
+ * A slot that this entry uses is expected to become free after the mean hold time. The remaining times of
+ * slots that other entries use are assumed to be evenly distributed, and this entry is assumed to get an
+ * equal share of those slots. The mean rate at which slots become free would not be enough: right after all
+ * slots have been taken, it would predict a slot soon, and the request would spend its deadline in the queue.
  */
 export function predictWait(
   board: Blackboard,
   { endpoints, ahead }: { endpoints: readonly Endpoint[]; ahead: number },
   now: Instant,
 ): Milliseconds {
-  const entries = entriesOfRegion(board);
+  const entries = countReadyEntries(board);
   const waits = endpoints.flatMap((endpoint) =>
     slotWaits(endpoint, { entries, now })
   );
   if (waits.length === 0) {
     return milliseconds(
-      endpoints.length === 0 ? Infinity : longestHold(endpoints) * (ahead + 1),
+      endpoints.length === 0
+        ? Infinity
+        : longestHoldTime(endpoints) * (ahead + 1),
     );
   }
   waits.sort((left, right) => left - right);
   const rounds = Math.floor(ahead / waits.length);
   return milliseconds(
-    waits[ahead % waits.length]! + rounds * longestHold(endpoints),
+    waits[ahead % waits.length]! + rounds * longestHoldTime(endpoints),
   );
 }
 
-/** Times until slots of one endpoint become free for this entry. */
+/** Returns the times until slots of one endpoint become free for this entry. */
 function slotWaits(
   endpoint: Endpoint,
   { entries, now }: { entries: number; now: Instant },
 ): number[] {
-  const hold = holdTimeOf(endpoint);
+  const holdTime = holdTimeOf(endpoint);
   const waits = [...endpoint.inFlight.values()].map((startedAt) =>
-    Math.max(0, startedAt + hold - now)
+    Math.max(0, startedAt + holdTime - now)
   );
-  const others = Math.max(0, activeAt(endpoint) - endpoint.inFlight.size);
-  const share = Math.ceil(others / entries);
-  for (let index = 1; index <= share; index++) {
-    waits.push((hold * index) / (share + 1));
+  const inFlightOfOthers = Math.max(
+    0,
+    activeAt(endpoint) - endpoint.inFlight.size,
+  );
+  const expectedSlots = Math.ceil(inFlightOfOthers / entries);
+  for (let index = 1; index <= expectedSlots; index++) {
+    waits.push((holdTime * index) / (expectedSlots + 1));
   }
   const free = Math.max(0, roomAt(endpoint));
   return [...waits, ...new Array<number>(free).fill(0)];
 }
 
-function longestHold(endpoints: readonly Endpoint[]): number {
+function longestHoldTime(endpoints: readonly Endpoint[]): number {
   return Math.max(...endpoints.map(holdTimeOf));
 }
 
-function entriesOfRegion(board: Blackboard): number {
+function countReadyEntries(board: Blackboard): number {
   let entries = 1;
   for (const { health, record } of board.membership.members.values()) {
     entries += health === "live" && record.region === board.self.region &&
--- a/packages/core/src/requests/demand_parts.ts
+++ b/packages/core/src/requests/demand_parts.ts
@@ -1,6 +1,6 @@
 /**
- * Customers' limits without shared state: each entry enforces its part of a customer's rate, by the
- * demand that heartbeats tell of.
+ * Customers' rate limits without shared state: each entry enforces a share of a customer's limit, calculated
+ * from the demand that entries report in heartbeats.
  *
  * @module
  */
@@ -18,22 +18,22 @@
 import type { Demand } from "../messages/index.ts";
 import type { HomedCustomer } from "../text/index.ts";
 
-/** Time constant of the demand average. */
+/** Time constant of the moving average of demand. */
 const DEMAND_WINDOW_MS = 5_000;
-/** A customer whose whole demand stays below this share of its limit is not divided at all. */
-const UNDIVIDED_SHARE = 0.5;
-/** An account unused for so long is full again and need not be kept. */
-const IDLE_MS = 60_000;
+/** The limit is not divided between entries while the total demand is below this fraction of it. */
+const UNDIVIDED_DEMAND_FRACTION = 0.5;
+/** Accounts without requests for this time are removed: their bucket is full again. */
+const ACCOUNT_LIFETIME_MS = 60_000;
 
 interface Account {
   readonly bucket: LimitBucket;
-  /** Requests, fading. */
-  readonly asked: FadingSum;
-  askedAt: Instant;
+  /** Exponentially decaying count of requests. */
+  readonly requests: FadingSum;
+  lastRequestAt: Instant;
 }
 
-/** One entry's limits. */
-export class DemandParts {
+/** Rate limits of customers at one entry. */
+export class CustomerRateLimits {
   readonly #board: Blackboard;
   readonly #accounts = new Map<CustomerId, Account>();
 
@@ -41,7 +41,7 @@
     this.#board = board;
   }
 
-  /** Takes one request of a customer's part; otherwise the time until there is one. */
+  /** Charges one request against the customer's share. Returns the time to wait if the share is used up. */
   take(customer: HomedCustomer, now: Instant): Milliseconds | undefined {
     const { limit } = customer;
     if (limit === undefined) {
@@ -49,21 +49,21 @@
     }
     const account = this.#accounts.get(customer.id) ?? newAccount(limit, now);
     this.#accounts.set(customer.id, account);
-    account.askedAt = now;
-    account.asked.add(1, now);
+    account.lastRequestAt = now;
+    account.requests.add(1, now);
     account.bucket.rebound(limit);
-    const part = this.#share({ customer, limit }, rateOf(account, now));
-    account.bucket.refill(part, now);
+    const share = this.#shareOf({ customer, limit }, rateOf(account, now));
+    account.bucket.refill(share, now);
     return account.bucket.take(1)
       ? undefined
-      : account.bucket.waitFor(1, part, now);
+      : account.bucket.waitFor(1, share, now);
   }
 
-  /** Requests a second by customer, for heartbeats. */
+  /** Returns the requests per second of each customer, for heartbeats. */
   demand(now: Instant): Map<CustomerId, number> {
     const rates = new Map<CustomerId, number>();
     for (const [customer, account] of this.#accounts) {
-      if (now - account.askedAt > IDLE_MS) {
+      if (now - account.lastRequestAt > ACCOUNT_LIFETIME_MS) {
         this.#accounts.delete(customer);
       } else {
         rates.set(customer, rateOf(account, now));
@@ -73,15 +73,15 @@
   }
 
   /**
-   * This entry's part of a customer's rate.
+   * Returns this entry's share of a customer's limit.
    *
-   * When entries cannot hear each other, each would think itself alone and allow the whole rate: two
-   * halves of a split region would let twice the limit through. A member that is not heard therefore
-   * counts as taking its equal part.
+   * In a network partition, each side would see no demand at the other and allow the whole limit, twice the
+   * limit in total for two halves of a region. While a member is suspect, the limit is therefore divided
+   * equally between all members.
    */
-  #share(
+  #shareOf(
     { customer, limit }: { customer: HomedCustomer; limit: CustomerLimit },
-    own: number,
+    ownDemand: number,
   ): number {
     const members = [...this.#board.membership.members.values()].filter((
       member,
@@ -89,19 +89,21 @@
     if (members.some((member) => member.health === "suspect")) {
       return 1 / (members.length + 1);
     }
-    let others = 0;
+    let otherDemand = 0;
     for (const { record, demand } of members) {
-      others += record.zone === this.#board.self.zone
+      otherDemand += record.zone === this.#board.self.zone
         ? demandOf(demand, customer)
         : 0;
     }
     for (const { news } of this.#board.membership.zones.values()) {
-      others += !customer.bound || news.region === customer.home
+      otherDemand += !customer.bound || news.region === customer.home
         ? demandOf(news.demand, customer)
         : 0;
     }
-    const whole = own + others;
-    return whole < limit.perSecond * UNDIVIDED_SHARE ? 1 : own / whole;
+    const totalDemand = ownDemand + otherDemand;
+    return totalDemand < limit.perSecond * UNDIVIDED_DEMAND_FRACTION
+      ? 1
+      : ownDemand / totalDemand;
   }
 
   #mayServe(member: Member, customer: HomedCustomer): boolean {
@@ -117,12 +119,12 @@
 function newAccount(limit: CustomerLimit, now: Instant): Account {
   return {
     bucket: new LimitBucket(limit, { level: limit.burst, now }),
-    asked: new FadingSum(DEMAND_WINDOW_MS),
-    askedAt: now,
+    requests: new FadingSum(DEMAND_WINDOW_MS),
+    lastRequestAt: now,
   };
 }
 
-/** Requests a second. */
-function rateOf({ asked }: Account, now: Instant): number {
-  return asked.of(now) * 1_000 / DEMAND_WINDOW_MS;
+/** Returns the requests per second. */
+function rateOf({ requests }: Account, now: Instant): number {
+  return requests.of(now) * 1_000 / DEMAND_WINDOW_MS;
 }
--- a/packages/core/src/requests/entry_list.ts
+++ b/packages/core/src/requests/entry_list.ts
@@ -1,5 +1,5 @@
 /**
- * Which entries a caller should use.
+ * Lists of entries that a caller should use.
  *
  * @module
  */
@@ -15,12 +15,12 @@
 import type { MemberRecord } from "../messages/index.ts";
 import type { HomedCustomer, Service } from "../text/index.ts";
 
-/** How long callers may go by one answer. */
-export const ENTRY_LIST_HOLD_MS = 10_000;
-/** Entries that a refusal names. */
-const MAX_GO_TO = 3;
-/** Entries of one answer. */
-const MAX_LISTED = 16;
+/** Time for which callers may use a list. */
+export const ENTRY_LIST_LIFETIME_MS = 10_000;
+/** Maximum number of entries that a refusal names. */
+const MAX_ALTERNATIVE_ENTRIES = 3;
+/** Maximum number of entries in one list. */
+const MAX_LISTED_ENTRIES = 16;
 
 /** One entry for a caller to use. */
 export interface ListedEntry {
@@ -28,24 +28,26 @@
   readonly url: string;
   readonly region: string;
   readonly zone: string;
-  /** Keys for non-repeatable calls are made from it. */
+  /** Token from which callers make idempotency keys for non-repeatable calls. */
   readonly ownerToken: string;
 }
 
-/** Ordered entries, and how long the order holds. */
+/** Entries in order of preference. */
 export interface EntryList {
   readonly entries: readonly ListedEntry[];
+  /** Time for which the list may be used. */
   readonly holdsFor: Milliseconds;
 }
 
-type Place = Pick<
+type EntryCandidate = Pick<
   MemberRecord,
   "id" | "incarnation" | "url" | "region" | "zone" | "epoch"
 >;
 
 /**
- * Entries for a customer's calls, best first: its home region, in an order that differs from customer
- * to customer, so that their load spreads and each stays with an entry that knows its prefixes.
+ * Returns the entries for a customer's calls in order of preference: those of its home region first. Within
+ * a region the order depends on the customer, which spreads the load and keeps each customer at an entry that
+ * knows which endpoints have cached its prefixes.
  */
 export function listEntries(
   board: Blackboard,
@@ -55,23 +57,27 @@
   },
   now: Instant,
 ): EntryList {
-  const regions = regionsFor(customer, service);
-  const places = readyPlaces(board, now);
-  const near = places.filter((place) => place.region === customer.home);
-  const far = customer.bound
+  const regions = allowedRegions(customer, service);
+  const candidates = readyEntries(board, now);
+  const inHomeRegion = candidates.filter((candidate) =>
+    candidate.region === customer.home
+  );
+  const inOtherRegions = customer.bound
     ? []
-    : places.filter((place) => place.region !== customer.home);
+    : candidates.filter((candidate) => candidate.region !== customer.home);
   const ordered = [
-    ...rendezvous(customer.id, near, (place) => place.id),
-    ...rendezvous(customer.id, far, (place) => place.id),
-  ].filter((place) => regions === undefined || regions.includes(place.region));
+    ...rendezvous(customer.id, inHomeRegion, (candidate) => candidate.id),
+    ...rendezvous(customer.id, inOtherRegions, (candidate) => candidate.id),
+  ].filter((candidate) =>
+    regions === undefined || regions.includes(candidate.region)
+  );
   return {
-    entries: ordered.slice(0, MAX_LISTED).map(toListedEntry),
-    holdsFor: milliseconds(ENTRY_LIST_HOLD_MS),
+    entries: ordered.slice(0, MAX_LISTED_ENTRIES).map(toListedEntry),
+    holdsFor: milliseconds(ENTRY_LIST_LIFETIME_MS),
   };
 }
 
-/** Base URLs of other entries of a region, for a refusal. */
+/** Returns base URLs of other entries of a region, to be named in a refusal. */
 export function otherEntries(board: Blackboard, region: RegionId): string[] {
   const urls: string[] = [];
   for (const { health, record } of board.membership.members.values()) {
@@ -81,10 +87,13 @@
       urls.push(record.url);
     }
   }
-  return rendezvous(board.self.id, urls, (url) => url).slice(0, MAX_GO_TO);
+  return rendezvous(board.self.id, urls, (url) => url).slice(
+    0,
+    MAX_ALTERNATIVE_ENTRIES,
+  );
 }
 
-function regionsFor(
+function allowedRegions(
   customer: HomedCustomer,
   service: Service | undefined,
 ): readonly RegionId[] | undefined {
@@ -96,22 +105,22 @@
     : service.regions;
 }
 
-function readyPlaces(board: Blackboard, now: Instant): Place[] {
+function readyEntries(board: Blackboard, now: Instant): EntryCandidate[] {
   const { self, lifecycle, membership, actions } = board;
-  const places: Place[] = [];
+  const candidates: EntryCandidate[] = [];
   if (lifecycle.phase === "ready") {
-    places.push({ ...self, epoch: actions.epoch(now) });
+    candidates.push({ ...self, epoch: actions.epoch(now) });
   }
   for (const { health, record } of membership.members.values()) {
     if (health === "live" && record.state === "ready") {
-      places.push(record);
+      candidates.push(record);
     }
   }
-  return places;
+  return candidates;
 }
 
 function toListedEntry(
-  { id, url, region, zone, incarnation, epoch }: Place,
+  { id, url, region, zone, incarnation, epoch }: EntryCandidate,
 ): ListedEntry {
   return {
     id,
--- a/packages/core/src/requests/index.ts
+++ b/packages/core/src/requests/index.ts
@@ -13,9 +13,16 @@
   listEntries,
   otherEntries,
 } from "./entry_list.ts";
-export { judgeEnd } from "./judge_end.ts";
+export { attemptStateOf } from "./judge_end.ts";
 export { RequestQuarantine } from "./request_quarantine.ts";
 export { RequestController } from "./request_controller.ts";
-export { ACTION_GRACE_MS, CONFIRMING_MS } from "./request_dependencies.ts";
+export {
+  ACTION_GRACE_MS,
+  CONFIRMATION_TIMEOUT_MS,
+} from "./request_dependencies.ts";
 export { RetryBudget } from "./retry_budget.ts";
-export { LOW_CLASS_TURN, ServiceQueue, type Waiting } from "./service_queue.ts";
+export {
+  LOW_CLASS_INTERVAL,
+  type QueuedRequest,
+  ServiceQueue,
+} from "./service_queue.ts";
--- a/packages/core/src/requests/interruption.ts
+++ b/packages/core/src/requests/interruption.ts
@@ -1,29 +1,29 @@
 /**
- * Attempts that were left after their answer had begun.
+ * Interruptions: attempts that failed after their stream had started.
  *
  * @module
  */
 import type {
   Attempt,
   AttemptEnd,
-  DroppedPart,
-  Target,
+  AttemptTarget,
+  DiscardedPart,
 } from "../messages/index.ts";
 
-/** Why a stream that has begun is to go on elsewhere. */
+/** Why a stream that has started must be resumed at another target. */
 export interface Interruption {
-  /** Endpoint, or entry. */
+  /** Id of the endpoint, or incarnation of the entry, at which the stream was interrupted. */
   readonly from: string;
   readonly leftFor: string;
-  readonly dropped: DroppedPart | undefined;
+  readonly dropped: DiscardedPart | undefined;
 }
 
-/** What the end of an attempt interrupted; one that was never sent interrupts nothing. */
+/** Returns the interruption caused by the end of an attempt, `undefined` for an attempt that was not sent. */
 export function interruptionOf(
   { target }: Attempt,
   end: AttemptEnd,
 ): Interruption | undefined {
-  const from = nameOf(target);
+  const from = targetName(target);
   switch (end.kind) {
     case "lost":
       return { from, leftFor: end.detail, dropped: end.dropped };
@@ -36,8 +36,8 @@
   }
 }
 
-/** Fields of the line about a stream that goes on at another target. */
-export function describeGoingOn(
+/** Returns the log fields for a stream that is resumed at another target. */
+export function resumptionFields(
   { from, leftFor, dropped }: Interruption,
   { request, target, offset }: Pick<Attempt, "request" | "target"> & {
     readonly offset: number;
@@ -46,7 +46,7 @@
   return {
     request,
     from,
-    endpoint: nameOf(target),
+    endpoint: targetName(target),
     afterToken: offset,
     leftFor,
     droppedFrames: dropped?.frames ?? 0,
@@ -54,6 +54,6 @@
   };
 }
 
-function nameOf(target: Target): string {
+function targetName(target: AttemptTarget): string {
   return target.kind === "endpoint" ? target.endpoint : target.incarnation;
 }
--- a/packages/core/src/requests/judge_end.ts
+++ b/packages/core/src/requests/judge_end.ts
@@ -1,5 +1,5 @@
 /**
- * What the end of an attempt proves.
+ * Determines from the end of an attempt whether the request ran.
  *
  * @module
  */
@@ -7,20 +7,21 @@
 import type { Service } from "../text/index.ts";
 import type { AttemptState, Verdict } from "../verdict/index.ts";
 
-const FIRST_SERVER_ERROR = 500;
-/** By the engines' contract, these statuses come before any work was done. */
+const FIRST_SERVER_ERROR_STATUS = 500;
+/** By their contract, engines answer with these statuses only before any work was done. */
 const ENGINE_NOT_RUN_STATUSES: readonly number[] = [429, 503];
 
 /**
- * The final state of an attempt. Whatever is not proved is `lost`.
+ * Returns the final state of an attempt. It is `lost` if nothing proves that the request ran or did not run.
  *
- * Of an answer that has begun only the rest is asked for, as a stream. Whatever else is said then is no
- * answer to the request: taken for one, the caller's stream would end in the middle and count as served.
+ * For an answer that has begun, an attempt requests only the rest of the stream. An answer that is not a
+ * stream is then not an answer to the whole request. If it were accepted, the caller's stream would end in
+ * the middle and count as complete.
  */
-export function judgeEnd(
+export function attemptStateOf(
   service: Service,
   end: AttemptEnd,
-  { begun }: { begun: boolean },
+  { streamStarted }: { streamStarted: boolean },
 ): AttemptState {
   switch (end.kind) {
     case "unsent":
@@ -30,18 +31,18 @@
     case "streamed":
       return "completed";
     case "answered": {
-      const state = judgeAnswer(service, {
+      const state = stateOfAnswer(service, {
         status: end.answer.status,
         verdict: end.verdict,
       });
-      return begun && state === "completed" ? "lost" : state;
+      return streamStarted && state === "completed" ? "lost" : state;
     }
     case "oversize":
-      return judgeAnswer(service, end);
+      return stateOfAnswer(service, end);
   }
 }
 
-function judgeAnswer(
+function stateOfAnswer(
   service: Service,
   { status, verdict }: {
     readonly status: number;
@@ -62,6 +63,6 @@
   if (notRun.includes(status)) {
     return "refused";
   }
-  // An undeclared server error says nothing about whether the call took effect.
-  return status >= FIRST_SERVER_ERROR ? "lost" : "completed";
+  // A server error that is not declared as `not_run` does not tell whether the call took effect.
+  return status >= FIRST_SERVER_ERROR_STATUS ? "lost" : "completed";
 }
--- a/packages/core/src/requests/key_router.ts
+++ b/packages/core/src/requests/key_router.ts
@@ -1,9 +1,9 @@
 /**
- * Routes calls that may not be repeated by what is known of their key.
+ * Routes calls that must not be repeated, by the status of their idempotency key.
  *
  * @module
  */
-import type { ActionController, Standing } from "../actions/index.ts";
+import type { ActionController, KeyStatus } from "../actions/index.ts";
 import type { Blackboard, Member } from "../blackboard/index.ts";
 import type { Explanations } from "../explain/index.ts";
 import type { Instant } from "../ids/index.ts";
@@ -14,65 +14,69 @@
   NOT_RUN,
 } from "../verdict/index.ts";
 import type { ActiveRequest } from "./active_request.ts";
-import type { Answers } from "./answers.ts";
+import type { AnswerSender } from "./answers.ts";
 import type { RequestTable } from "./request_table.ts";
-import { DEFAULT_RETRY, type Router } from "./router.ts";
+import { DEFAULT_RETRY_MS, type Router } from "./router.ts";
 
-/** Peers asked about one key: its owner, and one that may keep a copy. */
+/** Maximum number of peers asked about one key: its owner, and one that may keep a copy of the outcome. */
 const MAX_PEERS_ASKED = 2;
 
-/** What key routing works with. */
+/** Dependencies of `KeyRouter`. */
 export interface KeyRouterDependencies {
   readonly actions: ActionController;
-  readonly answers: Answers;
+  readonly answers: AnswerSender;
   readonly explanations: Explanations;
   readonly router: Router;
   readonly table: RequestTable;
 }
 
-/** Begins, joins, replays, forwards or refuses a keyed call. */
+/** Starts, joins, replays, forwards or refuses calls with an idempotency key. */
 export class KeyRouter {
   readonly #board: Blackboard;
-  readonly #with: KeyRouterDependencies;
+  readonly #dependencies: KeyRouterDependencies;
 
   constructor(board: Blackboard, dependencies: KeyRouterDependencies) {
     this.#board = board;
-    this.#with = dependencies;
+    this.#dependencies = dependencies;
   }
 
-  /** Routes any request: one without a key, or one that already owns its action, goes straight on. */
+  /** Routes a request. One without a key, or one whose action has already started here, needs no key lookup. */
   route(request: ActiveRequest, now: Instant): void {
     if (request.keyOwner === undefined || request.ownsAction) {
-      this.#with.router.route(request, now);
+      this.#dependencies.router.route(request, now);
       return;
     }
-    const standing = this.#with.actions.standing(
+    const status = this.#dependencies.actions.keyStatus(
       request.customer.id,
       request.keyOwner,
       now,
     );
-    this.#with.explanations.note(request.head.id, now, {
+    this.#dependencies.explanations.note(request.head.id, now, {
       text: "Looked up the key",
-      standing: standing.kind,
+      standing: status.kind,
     });
-    this.#follow(request, standing, now);
+    this.#routeByStatus(request, status, now);
   }
 
-  #follow(request: ActiveRequest, standing: Standing, now: Instant): void {
-    const { answers } = this.#with;
-    switch (standing.kind) {
+  #routeByStatus(
+    request: ActiveRequest,
+    status: KeyStatus,
+    now: Instant,
+  ): void {
+    const { answers } = this.#dependencies;
+    switch (status.kind) {
       case "unused":
-        this.#begin(request, now);
+        this.#beginAction(request, now);
         return;
       case "running":
       case "known":
-        this.#useEarlierSend(request, standing, now);
+        this.#useEarlierSend(request, status, now);
         return;
       case "elsewhere":
-        this.#forward(request, standing.member.record, now);
+        this.#forwardToOwner(request, status.member.record, now);
         return;
       case "perhaps_kept":
-        this.#askKeeper(request, standing, now);
+        this.#askKeeper(request, status, now);
         return;
       case "unreachable":
         this.#refuseUnreachable(request, now);
@@ -100,9 +104,9 @@
     }
   }
 
-  /** The owner or keeper that was asked is not there: asks the keeper, once. */
-  routeUnreached(request: ActiveRequest, now: Instant): void {
-    const member = this.#with.actions.keeperOf(request.keyOwner!);
+  /** Routes a request whose owner or keeper was not reached: asks the keeper, unless it was asked before. */
+  rerouteUnreached(request: ActiveRequest, now: Instant): void {
+    const member = this.#dependencies.actions.keeperOf(request.keyOwner!);
     if (member !== undefined) {
       this.#askKeeper(request, { member, ownerGone: request.ownerGone }, now);
     } else {
@@ -110,8 +114,8 @@
     }
   }
 
-  #begin(request: ActiveRequest, now: Instant): void {
-    const { actions, answers, router } = this.#with;
+  #beginAction(request: ActiveRequest, now: Instant): void {
+    const { actions, answers, router } = this.#dependencies;
     const { self, lifecycle } = this.#board;
     if (lifecycle.phase !== "ready") {
       answers.refuse(request, "stopping", {
@@ -142,11 +146,11 @@
 
   #useEarlierSend(
     request: ActiveRequest,
-    standing: Extract<Standing, { bodyDigest: string }>,
+    status: Extract<KeyStatus, { bodyDigest: string }>,
     now: Instant,
   ): void {
-    const { answers, table } = this.#with;
-    if (standing.bodyDigest !== request.facts!.digest) {
+    const { answers, table } = this.#dependencies;
+    if (status.bodyDigest !== request.facts!.digest) {
       const detail =
         "The key was used with another body, this body never runs under it";
       answers.refuse(request, "key_conflict", {
@@ -156,8 +160,8 @@
       });
       return;
     }
-    if (standing.kind === "known") {
-      answers.answerOutcome(request, standing.outcome, now);
+    if (status.kind === "known") {
+      answers.answerOutcome(request, status.outcome, now);
       return;
     }
     request.phase = "joined";
@@ -166,24 +170,31 @@
   }
 
   /**
-   * One hop to the owner. A forwarded call that arrives where the key is not owned ends there: two
-   * entries with opposite views of who owns it would otherwise pass it to and fro until its deadline.
+   * Forwards a call to the owner of its key, by one hop only. A call that was already forwarded is refused:
+   * two entries that each take the other for the owner would otherwise pass it back and forth until its deadline.
    */
-  #forward(request: ActiveRequest, owner: MemberRecord, now: Instant): void {
+  #forwardToOwner(
+    request: ActiveRequest,
+    owner: MemberRecord,
+    now: Instant,
+  ): void {
     const leavesHome = request.customer.bound &&
       owner.region !== this.#board.self.region;
     if (request.head.forwarded || leavesHome || request.attempts.size > 0) {
       this.#refuseUnreachable(request, now);
       return;
     }
-    this.#with.router.dispatch(request, {
+    this.#dependencies.router.dispatch(request, {
       kind: "peer",
       incarnation: owner.incarnation,
       url: owner.url,
     }, now);
   }
 
-  /** The owner is silent or gone: a peer may have kept the outcome. A forwarded call goes no further. */
+  /**
+   * Asks a peer that may have kept the outcome, since the owner is unreachable or has ended. A call that was
+   * already forwarded is refused instead.
+   */
   #askKeeper(
     request: ActiveRequest,
     { member, ownerGone }: { member: Member; ownerGone: boolean },
@@ -196,7 +207,7 @@
       !request.tried.has(incarnation)
     ) {
       request.tried.add(incarnation);
-      this.#with.router.dispatch(
+      this.#dependencies.router.dispatch(
         request,
         { kind: "peer", incarnation, url },
         now,
@@ -210,7 +221,7 @@
 
   #refuseGone(request: ActiveRequest, now: Instant): void {
     const detail = "The key's owner has ended, nothing more can be learnt";
-    this.#with.answers.refuse(request, "owner_gone", {
+    this.#dependencies.answers.refuse(request, "owner_gone", {
       detail,
       verdict: MAY_HAVE_RUN_SETTLED,
       now,
@@ -221,10 +232,10 @@
     const detail =
       "The key's owner does not answer now, ask again with the same key";
     const verdict = MAY_HAVE_RUN_OPEN;
-    this.#with.answers.refuse(request, "owner_unreachable", {
+    this.#dependencies.answers.refuse(request, "owner_unreachable", {
       detail,
       verdict,
-      retryAfter: DEFAULT_RETRY,
+      retryAfter: DEFAULT_RETRY_MS,
       now,
     });
   }
--- a/packages/core/src/requests/request_controller.ts
+++ b/packages/core/src/requests/request_controller.ts
@@ -1,5 +1,5 @@
 /**
- * The way of a request: admission, body, confirmation, key, queue, attempt, answer.
+ * Life cycle of requests: admission, body, confirmation, key, queue, attempts and answer.
  *
  * @module
  */
@@ -25,46 +25,46 @@
 } from "../verdict/index.ts";
 import {
   type ActiveRequest,
-  needsConfirmedText,
+  needsConfirmedConfiguration,
   newActiveRequest,
 } from "./active_request.ts";
 import { admit } from "./admission.ts";
-import { Answers } from "./answers.ts";
+import { AnswerSender } from "./answers.ts";
 import { AttemptTracker } from "./attempt_tracker.ts";
 import { predictWait, usableEndpoints } from "./capacity.ts";
-import { DemandParts } from "./demand_parts.ts";
+import { CustomerRateLimits } from "./demand_parts.ts";
 import { otherEntries } from "./entry_list.ts";
 import { KeyRouter } from "./key_router.ts";
 import {
   ACTION_GRACE_MS,
-  CONFIRMING_MS,
+  CONFIRMATION_TIMEOUT_MS,
   type RequestDependencies,
 } from "./request_dependencies.ts";
 import { RequestTable } from "./request_table.ts";
-import { DEFAULT_RETRY, Router } from "./router.ts";
-import { measureSpare } from "./spare.ts";
-import { Spills } from "./spills.ts";
+import { DEFAULT_RETRY_MS, Router } from "./router.ts";
+import { measureSpareCapacity } from "./spare.ts";
+import { SpillTracker } from "./spills.ts";
 
-/** Writes the `requests` section, and is its view. */
+/** Handles requests. Implements the `requests` section of the blackboard. */
 export class RequestController implements RequestsView {
   readonly #board: Blackboard;
-  readonly #with: RequestDependencies;
+  readonly #dependencies: RequestDependencies;
   readonly #table = new RequestTable();
-  readonly #limits: DemandParts;
-  readonly #spills: Spills;
-  readonly #answers: Answers;
+  readonly #customerLimits: CustomerRateLimits;
+  readonly #spills: SpillTracker;
+  readonly #answers: AnswerSender;
   readonly #router: Router;
-  readonly #keys: KeyRouter;
-  readonly #tracker: AttemptTracker;
+  readonly #keyRouter: KeyRouter;
+  readonly #attemptTracker: AttemptTracker;
 
   constructor(board: Blackboard, dependencies: RequestDependencies) {
     this.#board = board;
-    this.#with = dependencies;
-    this.#limits = new DemandParts(board);
-    this.#spills = new Spills(board);
+    this.#dependencies = dependencies;
+    this.#customerLimits = new CustomerRateLimits(board);
+    this.#spills = new SpillTracker(board);
     const table = this.#table;
     const spills = this.#spills;
-    const answers = new Answers(board, { ...dependencies, table });
+    const answers = new AnswerSender(board, { ...dependencies, table });
     const router = new Router(board, {
       ...dependencies,
       table,
@@ -73,13 +73,13 @@
     });
     this.#answers = answers;
     this.#router = router;
-    this.#keys = new KeyRouter(board, {
+    this.#keyRouter = new KeyRouter(board, {
       ...dependencies,
       table,
       answers,
       router,
     });
-    this.#tracker = new AttemptTracker(board, {
+    this.#attemptTracker = new AttemptTracker(board, {
       ...dependencies,
       table,
       answers,
@@ -101,34 +101,34 @@
   }
 
   demand(now: Instant): ReadonlyMap<CustomerId, number> {
-    return this.#limits.demand(now);
+    return this.#customerLimits.demand(now);
   }
 
   spare(now: Instant): readonly Spare[] {
-    return measureSpare(
+    return measureSpareCapacity(
       this.#board,
       (service) => this.#table.queueOf(service).size,
       now,
     );
   }
 
-  /** A request's head came. */
-  arrive(head: RequestHead, now: Instant): void {
-    this.#with.metrics.count("requests");
+  /** Handles the head of a new request. */
+  receive(head: RequestHead, now: Instant): void {
+    this.#dependencies.metrics.count("requests");
     const result = admit(this.#board, head, now);
     if (!result.ok) {
       this.#answers.refuseHead(head, result.refusal, now);
       return;
     }
     const request = newActiveRequest(result.admission);
-    const refused = this.#refusedBeforeBody(request, now);
+    const refused = this.#findRefusalBeforeBody(request, now);
     if (refused !== undefined) {
       this.#answers.refuseHead(head, refused, now);
       return;
     }
     this.#table.add(request);
     const { service, requestClass } = request;
-    this.#with.explanations.note(head.id, now, {
+    this.#dependencies.explanations.note(head.id, now, {
       text: "Admitted",
       service: service.id,
       class: requestClass,
@@ -136,7 +136,7 @@
     this.#confirmThenProceed(request, now);
   }
 
-  /** A request's body is complete. */
+  /** Handles a body that was read completely. */
   bodyRead(id: RequestId, facts: BodyFacts, now: Instant): void {
     const request = this.#table.get(id);
     if (request !== undefined && request.phase === "body") {
@@ -145,7 +145,7 @@
     }
   }
 
-  /** The body never came whole, so this send ran nothing. */
+  /** Handles a body that could not be read completely. This send ran nothing. */
   bodyFailed(id: RequestId, detail: string, now: Instant): void {
     const request = this.#table.get(id);
     if (request !== undefined && request.phase === "body") {
@@ -156,24 +156,24 @@
     }
   }
 
-  /** The caller hung up. An action goes on, and its outcome is kept for the caller's retry. */
+  /** Handles a caller that disconnected. An action continues, and its outcome is kept for the caller's retry. */
   callerGone(id: RequestId, now: Instant): void {
     const request = this.#table.get(id);
-    if (request === undefined || request.closed) {
+    if (request === undefined || request.callerDone) {
       return;
     }
-    this.#with.explanations.note(id, now, { text: "Caller gone" });
-    request.closed = true;
+    this.#dependencies.explanations.note(id, now, { text: "Caller gone" });
+    request.callerDone = true;
     if (!request.ownsAction) {
-      this.#tracker.abort(request, now);
+      this.#attemptTracker.abort(request, now);
       this.#table.remove(request);
-      this.#router.pump(now);
+      this.#router.dispatchQueued(now);
     }
   }
 
-  /** The shell is about to write an attempt's first byte. */
+  /** Handles the shell's question whether it may write an attempt's first byte. */
   commit(id: AttemptId, now: Instant): void {
-    const withdrawn = this.#tracker.commit(id, now);
+    const withdrawn = this.#attemptTracker.commit(id, now);
     if (withdrawn === undefined) {
       return;
     }
@@ -184,26 +184,26 @@
     }
   }
 
-  /** An attempt's first token came. */
+  /** Handles the first token of an attempt. */
   firstToken(id: AttemptId, now: Instant): void {
-    this.#tracker.firstToken(id, now);
+    this.#attemptTracker.firstToken(id, now);
   }
 
-  /** Tokens up to `offset` went to the caller. */
+  /** Handles progress: tokens up to `offset` have been sent to the caller. */
   progress(id: AttemptId, offset: number, now: Instant): void {
-    this.#tracker.progress(id, offset, now);
+    this.#attemptTracker.progress(id, offset, now);
   }
 
-  /** An attempt ended. */
+  /** Handles the end of an attempt. */
   attemptEnded(id: AttemptId, end: AttemptEnd, now: Instant): void {
-    const unreached = this.#tracker.ended(id, end, now);
+    const unreached = this.#attemptTracker.ended(id, end, now);
     if (unreached !== undefined) {
-      this.#keys.routeUnreached(unreached, now);
+      this.#keyRouter.rerouteUnreached(unreached, now);
     }
-    this.#router.pump(now);
+    this.#router.dispatchQueued(now);
   }
 
-  /** Ends what is over time, and gives waiting requests to endpoints. */
+  /** Ends requests whose deadline has passed, and dispatches queued requests to endpoints. */
   tick(now: Instant): void {
     for (const request of this.#table.all()) {
       if (now >= request.deadlineAt) {
@@ -212,10 +212,10 @@
         this.#confirmThenProceed(request, now);
       }
     }
-    this.#router.pump(now);
+    this.#router.dispatchQueued(now);
   }
 
-  #refusedBeforeBody(
+  #findRefusalBeforeBody(
     request: ActiveRequest,
     now: Instant,
   ): Refusal | undefined {
@@ -231,21 +231,21 @@
         goTo: otherEntries(this.#board, this.#board.self.region),
       });
     }
-    // A forwarded request was counted by the entry that it came to.
-    const limited = head.forwarded
+    // A forwarded request was already charged by the entry that received it from the caller.
+    const limitWait = head.forwarded
       ? undefined
-      : this.#limits.take(customer, now);
-    if (limited !== undefined) {
+      : this.#customerLimits.take(customer, now);
+    if (limitWait !== undefined) {
       const detail = "The customer's requests a second are used up";
       return refusal("customer_limit", {
         detail,
         verdict: NOT_RUN,
-        retryAfter: limited,
+        retryAfter: limitWait,
       });
     }
     const queue = this.#table.queueOf(service.id);
     const full = queue.size > 0 && queue.size >= service.queueLimit;
-    if (!full || keyOwner !== undefined || this.#spills.mayTravel(request)) {
+    if (!full || keyOwner !== undefined || this.#spills.maySpill(request)) {
       return undefined;
     }
     const wait = predictWait(this.#board, {
@@ -263,19 +263,19 @@
     { customer, keyOwner }: ActiveRequest,
     now: Instant,
   ): boolean {
-    const standing = keyOwner === undefined
+    const status = keyOwner === undefined
       ? undefined
-      : this.#with.actions.standing(customer.id, keyOwner, now);
-    return standing?.kind === "known" || standing?.kind === "running";
+      : this.#dependencies.actions.keyStatus(customer.id, keyOwner, now);
+    return status?.kind === "known" || status?.kind === "running";
   }
 
   /**
-   * Goes on with a request once the text in force is known to be in force. A body is not read before
-   * that: the customer's home may have moved while this process stood still.
+   * Continues with a request once the configuration in force is confirmed. Its body is not read before, since
+   * the customer's home region may have changed while this process was paused.
    */
   #confirmThenProceed(request: ActiveRequest, now: Instant): void {
     const unconfirmed = this.#board.configuration.unconfirmed &&
-      needsConfirmedText(request);
+      needsConfirmedConfiguration(request);
     if (!unconfirmed) {
       this.#proceed(request, now);
       return;
@@ -283,12 +283,12 @@
     if (request.phase !== "confirming") {
       request.phase = "confirming";
       request.phaseSince = now;
-    } else if (now - request.phaseSince >= CONFIRMING_MS) {
+    } else if (now - request.phaseSince >= CONFIRMATION_TIMEOUT_MS) {
       const detail = "The configuration in force could not be confirmed";
       const goTo = otherEntries(this.#board, this.#board.self.region);
       this.#answers.refuse(request, "configuration_unconfirmed", {
         detail,
-        retryAfter: DEFAULT_RETRY,
+        retryAfter: DEFAULT_RETRY_MS,
         goTo,
         now,
       });
@@ -297,10 +297,10 @@
 
   #proceed(request: ActiveRequest, now: Instant): void {
     if (request.facts !== undefined) {
-      this.#keys.route(request, now);
+      this.#keyRouter.route(request, now);
     } else if (this.#router.isStillAllowed(request, now)) {
       request.phase = "body";
-      this.#with.emit({ kind: "readBody", request: request.head.id });
+      this.#dependencies.emit({ kind: "readBody", request: request.head.id });
     }
   }
 
@@ -312,32 +312,32 @@
       this.#expireAction(request, now);
       return;
     }
-    this.#tracker.abort(request, now);
+    this.#attemptTracker.abort(request, now);
     this.#answers.refuse(request, "deadline", {
       detail: "The deadline passed",
-      retryAfter: DEFAULT_RETRY,
+      retryAfter: DEFAULT_RETRY_MS,
       now,
     });
   }
 
-  /** The caller is told now; the action may end later, and a retry with the key then learns how. */
+  /** Answers the caller now. The action may end later, and a retry with the same key then returns its outcome. */
   #expireAction(request: ActiveRequest, now: Instant): void {
-    if (!request.closed) {
+    if (!request.callerDone) {
       const detail = "The deadline passed, the call may still run";
-      const rest = {
+      const options = {
         detail,
         verdict: MAY_HAVE_RUN_OPEN,
-        retryAfter: DEFAULT_RETRY,
+        retryAfter: DEFAULT_RETRY_MS,
         now,
       };
       this.#answers.answerEarly(
         request,
-        this.#answers.refusalOf(request, "deadline", rest),
+        this.#answers.refusalOf(request, "deadline", options),
         now,
       );
     }
     if (now - request.deadlineAt >= ACTION_GRACE_MS) {
-      this.#tracker.abort(request, now);
+      this.#attemptTracker.abort(request, now);
       this.#answers.refuse(request, "endpoint_failed", {
         detail: "The endpoint never answered",
         now,
--- a/packages/core/src/requests/request_dependencies.ts
+++ b/packages/core/src/requests/request_dependencies.ts
@@ -1,5 +1,5 @@
 /**
- * What requests are worked on with, and how long some of them wait.
+ * Dependencies and time limits of request handling.
  *
  * @module
  */
@@ -11,12 +11,12 @@
 import type { Balancer } from "../routing/index.ts";
 import type { RequestQuarantine } from "./request_quarantine.ts";
 
-/** How long a request waits for the text in force to be confirmed. */
-export const CONFIRMING_MS = 2_000;
-/** How long past its deadline an action may take to end before its answer counts as lost. */
+/** How long a request waits for the configuration in force to be confirmed. */
+export const CONFIRMATION_TIMEOUT_MS = 2_000;
+/** How long an action may run past its deadline before its answer counts as lost. */
 export const ACTION_GRACE_MS = 30_000;
 
-/** What the controller works with. */
+/** Dependencies of `RequestController`. */
 export interface RequestDependencies {
   readonly emit: Emit;
   readonly actions: ActionController;
--- a/packages/core/src/requests/request_quarantine.ts
+++ b/packages/core/src/requests/request_quarantine.ts
@@ -1,9 +1,10 @@
 /**
- * The quarantine's view of requests that name a service: its endpoints' lives by their load reports, and
- * the other entries of the region.
+ * Quarantine for requests that name a service: connects the quarantine controller to the endpoints, whose
+ * lives are known from their load reports, and to the other entries of the region.
  *
- * A home-bound customer's requests run in its home alone, so that a region adds up for itself and no digest
- * of a body leaves it; what a region's entries pass on to another one is counted there.
+ * Requests of a home-bound customer run in its home region only. Evidence is therefore collected for each
+ * region on its own, and no digest of a body leaves the region. Requests that are forwarded to another region
+ * are counted there.
  *
  * @module
  */
@@ -32,33 +33,33 @@
 import type { AttemptState } from "../verdict/index.ts";
 import type { ActiveRequest } from "./active_request.ts";
 
-/** Characters of a digest that is told. */
-const DIGEST_LENGTH = 16;
-/** When a copy of a request that is tried just now may be asked for again: its end is known by then. */
-const TRIED_WAIT_MS = 2_000;
-/** Between two tellings of holds to one entry in turn: who starts anew learns of them so. */
-const TELL_PERIOD_MS = 2_000;
-/** The list of endpoints is made anew after so long. */
+/** Number of characters of a content digest that is sent to peers. */
+const SENT_DIGEST_CHARACTERS = 16;
+/** Retry time for a request while a copy of it runs as a trial, whose outcome is known by then. */
+const TRIAL_WAIT_MS = 2_000;
+/** Time between two messages with current holds, each to the next peer in turn, so that restarted entries get them. */
+const HOLDS_SEND_PERIOD_MS = 2_000;
+/** Time after which the map of endpoint records is built again. */
 const RECORDS_LIFETIME_MS = 250;
 
-/** News name no sender: claims are not made here. */
-const NOBODY = "" as Incarnation;
+/** Placeholder for the sender of received news, which is not named. Only claims need it, and none are made here. */
+const NO_SENDER = "" as Incarnation;
 
-type Watched = {
+type MutableWatchedEndpoint = {
   -readonly [Field in keyof WatchedEndpoint]: WatchedEndpoint[Field];
 };
 
-/** Holds back requests that crash what runs them. */
+/** Holds back requests that crash the endpoints that run them. */
 export class RequestQuarantine {
   readonly #board: Blackboard;
   readonly #emit: Emit;
   readonly #controller: QuarantineController;
-  readonly #watched = new Map<EndpointId, Watched>();
+  readonly #watched = new Map<EndpointId, MutableWatchedEndpoint>();
   #records: ReadonlyMap<EndpointId, EndpointRecord> = new Map();
   #recordsAt = -Infinity;
   #now: Instant;
-  #nextTellAt = -Infinity;
-  #turn = 0;
+  #nextHoldsAt = -Infinity;
+  #peerIndex = 0;
 
   constructor(
     board: Blackboard,
@@ -75,26 +76,26 @@
       self: board.self,
       listened,
       claimTime: milliseconds(0),
-      endpoints: () => this.#present(),
+      endpoints: () => this.#listedEndpoints(),
       carriers: () => [
         board.self.incarnation,
-        ...this.#members().map(({ incarnation }) => incarnation),
+        ...this.#livePeers().map(({ incarnation }) => incarnation),
       ],
-      // A poll of its load tells whether an endpoint is there.
+      // A load poll shows whether the endpoint is running.
       knock: ({ id, address: url }) =>
         emit({ kind: "pollLoad", endpoint: id, url }),
-      tell: (news) => this.#tell(news),
+      tell: (news) => this.#broadcast(news),
       log: (part, text, fields) => emit({ kind: "log", part, text, fields }),
     });
   }
 
-  /** Requests held back. */
+  /** Number of requests that are held back. */
   get held(): number {
     return this.#controller.holds.size;
   }
 
-  /** When a request may be asked for again, `undefined` where it may go to an endpoint now. */
-  judge(request: ActiveRequest, now: Instant): Milliseconds | undefined {
+  /** Returns the time after which to retry a request that is held back, `undefined` if it may run now. */
+  waitIfHeld(request: ActiveRequest, now: Instant): Milliseconds | undefined {
     this.#now = now;
     const verdict = this.#controller.judge({
       id: request.head.id,
@@ -105,21 +106,25 @@
       case "held":
         return verdict.wait;
       case "wait":
-        return milliseconds(TRIED_WAIT_MS);
+        return milliseconds(TRIAL_WAIT_MS);
       default:
         return undefined;
     }
   }
 
-  /** Whether a request that was lost with its endpoint may be sent to another. */
+  /** Whether a request whose attempt was lost may be sent to another endpoint. */
   mayRepeat(request: ActiveRequest): boolean {
     return !this.#controller.isSuspect(fingerprintOf(request));
   }
 
-  /** An attempt is written to its endpoint. */
-  began(request: ActiveRequest, { id, target }: Attempt, now: Instant): void {
+  /** Records that an attempt is being written to its endpoint. */
+  attemptStarted(
+    request: ActiveRequest,
+    { id, target }: Attempt,
+    now: Instant,
+  ): void {
     const watched = target.kind === "endpoint"
-      ? this.#watch(target.endpoint)
+      ? this.#findOrWatch(target.endpoint)
       : undefined;
     if (watched !== undefined) {
       const fingerprint = fingerprintOf(request);
@@ -129,8 +134,8 @@
     }
   }
 
-  /** An attempt is over. */
-  ended(
+  /** Records the end of an attempt. */
+  attemptEnded(
     request: ActiveRequest,
     { attempt, state }: { attempt: Attempt; state: AttemptState },
     now: Instant,
@@ -155,54 +160,54 @@
     }
   }
 
-  /** Bytes or a load report came from an endpoint. */
-  heard(endpoint: EndpointId, now: Instant): void {
+  /** Records that bytes or a load report arrived from an endpoint. */
+  endpointResponded(endpoint: EndpointId, now: Instant): void {
     const watched = this.#watched.get(endpoint);
     if (watched !== undefined) {
       watched.heardAt = now;
     }
   }
 
-  /** An endpoint does not report its load. */
-  silent(endpoint: EndpointId): void {
+  /** Records that an endpoint did not answer a load poll. */
+  loadPollFailed(endpoint: EndpointId): void {
     this.#controller.refused({ id: endpoint, life: undefined });
   }
 
-  /** Takes a peer's news. */
+  /** Applies a peer's quarantine news. */
   learn(news: QuarantineNews, now: Instant): void {
     this.#now = now;
-    this.#controller.learn(news, NOBODY, now);
+    this.#controller.learn(news, NO_SENDER, now);
   }
 
   tick(now: Instant): void {
     this.#now = now;
     this.#controller.tick(now);
-    if (now >= this.#nextTellAt) {
-      this.#nextTellAt = now + TELL_PERIOD_MS;
-      this.#tellHolds(now);
-      this.#forgetGone();
+    if (now >= this.#nextHoldsAt) {
+      this.#nextHoldsAt = now + HOLDS_SEND_PERIOD_MS;
+      this.#sendHolds(now);
+      this.#forgetRemovedEndpoints();
     }
   }
 
-  #tellHolds(now: Instant): void {
-    const members = this.#members();
+  #sendHolds(now: Instant): void {
+    const peers = this.#livePeers();
     const holds = this.#controller.holds.next(now);
-    if (holds.length > 0 && members.length > 0) {
-      this.#turn++;
-      const { controlUrl: url } = members[this.#turn % members.length]!;
+    if (holds.length > 0 && peers.length > 0) {
+      this.#peerIndex++;
+      const { controlUrl: url } = peers[this.#peerIndex % peers.length]!;
       const news = { ...NOTHING_NEW, holds };
       this.#emit({ kind: "sendQuarantine", url, news });
     }
   }
 
-  #tell(news: QuarantineNews): void {
-    for (const { controlUrl: url } of this.#members()) {
+  #broadcast(news: QuarantineNews): void {
+    for (const { controlUrl: url } of this.#livePeers()) {
       this.#emit({ kind: "sendQuarantine", url, news });
     }
   }
 
-  /** Other entries of the region that are heard. */
-  #members(): MemberRecord[] {
+  /** Returns the live other entries of the region. */
+  #livePeers(): MemberRecord[] {
     const { membership, self } = this.#board;
     return [...membership.members.values()]
       .filter(({ health, record }) =>
@@ -211,7 +216,7 @@
       .map(({ record }) => record);
   }
 
-  #watch(id: EndpointId): Watched | undefined {
+  #findOrWatch(id: EndpointId): MutableWatchedEndpoint | undefined {
     const endpoint = this.#board.endpoints.endpoints.get(id);
     if (endpoint === undefined) {
       return this.#watched.get(id);
@@ -227,7 +232,7 @@
     return watched;
   }
 
-  #forgetGone(): void {
+  #forgetRemovedEndpoints(): void {
     const { endpoints } = this.#board.endpoints;
     for (const id of this.#watched.keys()) {
       if (!endpoints.has(id)) {
@@ -236,7 +241,7 @@
     }
   }
 
-  #present(): ReadonlyMap<EndpointId, EndpointRecord> {
+  #listedEndpoints(): ReadonlyMap<EndpointId, EndpointRecord> {
     if (this.#now - this.#recordsAt >= RECORDS_LIFETIME_MS) {
       this.#recordsAt = this.#now;
       this.#records = new Map(
@@ -249,7 +254,7 @@
   }
 }
 
-/** Whether the platform's list has it; one that leaves is there until it has ended. */
+/** Whether the platform's list contains the endpoint. A leaving endpoint is listed until it has ended. */
 function isListed({ state, leaving }: Endpoint): boolean {
   return state !== "draining" || leaving !== undefined;
 }
@@ -260,7 +265,7 @@
     service: vm.pool as ServiceId,
     address: vm.url,
     zone: vm.zone,
-    // The list of VMs tells none.
+    // The VM list has no software version.
     softwareVersion: "",
     slots: load?.slots ?? 0,
     state: leaving === undefined ? "ready" : "draining",
@@ -280,7 +285,7 @@
 ): RequestFingerprint {
   const content = sha256(`${service.id} ${facts?.digest ?? ""}`);
   return {
-    content: content.slice(0, DIGEST_LENGTH) as ContentDigest,
+    content: content.slice(0, SENT_DIGEST_CHARACTERS) as ContentDigest,
     caller: customer.id as string as CallerDigest,
   };
 }
--- a/packages/core/src/requests/request_table.ts
+++ b/packages/core/src/requests/request_table.ts
@@ -1,5 +1,5 @@
 /**
- * The requests that this entry has to do with, and the queues and keys that they wait on.
+ * Active requests of this entry, with the queues and idempotency keys that they wait for.
  *
  * @module
  */
@@ -12,7 +12,7 @@
   readonly #requests = new Map<RequestId, ActiveRequest>();
   readonly #byAttempt = new Map<AttemptId, ActiveRequest>();
   readonly #queues = new Map<ServiceId, ServiceQueue>();
-  /** Sends that wait for the outcome of their key's first send. */
+  /** Requests that wait for the outcome of an earlier send, by customer and key. */
   readonly #joined = new Map<string, Set<RequestId>>();
 
   get size(): number {
@@ -31,7 +31,7 @@
     return this.#queues;
   }
 
-  /** A copy, so that the table may change while it is gone through. */
+  /** Returns a copy of all requests, so that the table may change during iteration. */
   all(): ActiveRequest[] {
     return [...this.#requests.values()];
   }
@@ -40,8 +40,8 @@
     return this.#requests.get(id);
   }
 
-  /** The request whose current attempt this is. */
-  ofAttempt(id: AttemptId): ActiveRequest | undefined {
+  /** Returns the request with this current attempt. */
+  findByAttempt(id: AttemptId): ActiveRequest | undefined {
     return this.#byAttempt.get(id);
   }
 
@@ -49,7 +49,7 @@
     this.#requests.set(request.head.id, request);
   }
 
-  /** Forgets a request wherever it waits. */
+  /** Removes a request from the table, its queue and its key. */
   remove(request: ActiveRequest): void {
     this.#requests.delete(request.head.id);
     this.#queues.get(request.service.id)?.remove(request.head.id);
@@ -74,7 +74,7 @@
     return queue;
   }
 
-  /** Lets a send wait for the outcome of its key. */
+  /** Makes a request wait for the outcome of the earlier send with its key. */
   join(request: ActiveRequest): void {
     const key = keyOf(request);
     this.#joined.set(
@@ -83,7 +83,7 @@
     );
   }
 
-  /** Takes out all sends that wait for a key. */
+  /** Removes all requests that wait for the same key from the waiting ones, and returns them. */
   takeJoined(request: ActiveRequest): ActiveRequest[] {
     const key = keyOf(request);
     const ids = this.#joined.get(key) ?? new Set();
--- a/packages/core/src/requests/retry_budget.ts
+++ b/packages/core/src/requests/retry_budget.ts
@@ -1,33 +1,36 @@
 /**
- * Bounds retries to a share of successes.
+ * Limits retries to a fraction of successful requests.
  *
  * @module
  */
 
-/** Successes that earn one retry. Whole numbers: ten tenths added up fall short of one. */
+/** Successes needed for one retry. The budget counts whole successes, since ten times 0.1 adds up to less than 1. */
 const SUCCESSES_PER_RETRY = 10;
-/** Retries that may be saved up. */
-const MOST_SAVED = 10;
+/** Maximum number of retries that can be saved up. */
+const MAX_SAVED_RETRIES = 10;
 
 /**
- * When endpoints fail under load, each retry adds to the load that makes them fail; one would notice
- * by traffic that doubles at the worst moment. Only a tenth of successes may be spent on retries.
+ * Budget of retries: one for every ten successes. When endpoints fail under load, each retry adds to that load,
+ * and unlimited retries could double the traffic while the endpoints are overloaded.
  */
 export class RetryBudget {
-  /** In successes. */
-  #saved = MOST_SAVED * SUCCESSES_PER_RETRY;
+  /** Saved budget, as a number of successes. */
+  #savedSuccesses = MAX_SAVED_RETRIES * SUCCESSES_PER_RETRY;
 
-  /** Notes a success. */
-  earn(): void {
-    this.#saved = Math.min(MOST_SAVED * SUCCESSES_PER_RETRY, this.#saved + 1);
+  /** Records a success. */
+  recordSuccess(): void {
+    this.#savedSuccesses = Math.min(
+      MAX_SAVED_RETRIES * SUCCESSES_PER_RETRY,
+      this.#savedSuccesses + 1,
+    );
   }
 
-  /** Takes one retry; `false` where none is left. */
-  spend(): boolean {
-    if (this.#saved < SUCCESSES_PER_RETRY) {
+  /** Takes one retry from the budget. Returns `false` if none is left. */
+  trySpend(): boolean {
+    if (this.#savedSuccesses < SUCCESSES_PER_RETRY) {
       return false;
     }
-    this.#saved -= SUCCESSES_PER_RETRY;
+    this.#savedSuccesses -= SUCCESSES_PER_RETRY;
     return true;
   }
 }
