--- a/packages/core/src/requests/router.ts
+++ b/packages/core/src/requests/router.ts
@@ -13,7 +13,7 @@
   milliseconds,
   type ServiceId,
 } from "../ids/index.ts";
-import type { Attempt, Emit, Target } from "../messages/index.ts";
+import type { Attempt, AttemptTarget, Emit } from "../messages/index.ts";
 import type { Metrics } from "../metrics/index.ts";
 import {
   type Balancer,
@@ -21,23 +21,23 @@
   roomAt,
 } from "../routing/index.ts";
 import { type ActiveRequest, isRepeatable } from "./active_request.ts";
-import type { Answers } from "./answers.ts";
-import { doubtfulEndpoints, predictWait, usableEndpoints } from "./capacity.ts";
+import type { AnswerSender } from "./answers.ts";
+import { predictWait, suspectEndpoints, usableEndpoints } from "./capacity.ts";
 import { otherEntries } from "./entry_list.ts";
 import type { RequestQuarantine } from "./request_quarantine.ts";
 import type { RequestTable } from "./request_table.ts";
 import type { ServiceQueue } from "./service_queue.ts";
-import type { Spills } from "./spills.ts";
-import { WaitMemory } from "./wait_memory.ts";
+import type { SpillTracker } from "./spills.ts";
+import { RecentWaits } from "./wait_memory.ts";
 
-/** When to come back where nothing better is known. */
-export const DEFAULT_RETRY: Milliseconds = milliseconds(1_000);
-/** Prompt tokens of one unit of a queue's deficit. */
-const TOKENS_PER_COST = 512;
+/** Retry time where no better estimate is known. */
+export const DEFAULT_RETRY_MS: Milliseconds = milliseconds(1_000);
+/** Prompt tokens per unit of cost in a service's queue. */
+const TOKENS_PER_COST_UNIT = 512;
 const SCREEN_PRIORITY = 0;
 const SUMMARY_PRIORITY = 1;
 
-/** What routing works with. */
+/** Dependencies of `Router`. */
 export interface RouterDependencies {
   readonly emit: Emit;
   readonly endpoints: EndpointController;
@@ -45,33 +45,35 @@
   readonly explanations: Explanations;
   readonly metrics: Metrics;
   readonly table: RequestTable;
-  readonly answers: Answers;
-  readonly spills: Spills;
+  readonly answers: AnswerSender;
+  readonly spills: SpillTracker;
   readonly quarantine: RequestQuarantine;
 }
 
-/** Routes requests whose body is read. */
+/** Routes requests whose body has been read. */
 export class Router {
   readonly #board: Blackboard;
-  readonly #with: RouterDependencies;
-  readonly #waits = new WaitMemory();
+  readonly #dependencies: RouterDependencies;
+  readonly #recentWaits = new RecentWaits();
 
   constructor(board: Blackboard, dependencies: RouterDependencies) {
     this.#board = board;
-    this.#with = dependencies;
+    this.#dependencies = dependencies;
   }
 
-  /** Sends a request to where it is answered first, or queues or refuses it. */
+  /** Sends a request to an endpoint or region where it is expected to start soonest, or queues or refuses it. */
   route(request: ActiveRequest, now: Instant): void {
     if (!this.isStillAllowed(request, now) || this.#isHeld(request, now)) {
       return;
     }
-    const { spills, table } = this.#with;
+    const { spills, table } = this.#dependencies;
     const usable = usableEndpoints(this.#board, request.service);
-    const ahead = table.queueOf(request.service.id).ahead(request.requestClass);
-    const free = this.#freeFor(request, usable);
-    if (free.length > 0 && (request.phase === "queued" || ahead === 0)) {
-      this.#sendToEndpoint(request, free, now);
+    const ahead = table.queueOf(request.service.id).countAhead(
+      request.requestClass,
+    );
+    const available = this.#endpointsWithRoom(request, usable);
+    if (available.length > 0 && (request.phase === "queued" || ahead === 0)) {
+      this.#sendToEndpoint(request, available, now);
       return;
     }
     const predicted = predictWait(
@@ -79,22 +81,24 @@
       { endpoints: usable, ahead },
       now,
     );
-    const learned = ahead > 0 ? this.#waits.recent(request.service.id, now) : 0;
-    const wait = milliseconds(Math.max(predicted, learned));
+    const recentWait = ahead > 0
+      ? this.#recentWaits.averageOf(request.service.id, now)
+      : 0;
+    const wait = milliseconds(Math.max(predicted, recentWait));
     const remote = spills.choose(request, wait, now);
     if (remote !== undefined) {
       this.#sendToRegion(request, remote, now);
     } else if (usable.length > 0) {
       this.#enqueue(request, wait, now);
     } else {
-      this.#tryDoubtful(request, now);
+      this.#trySuspects(request, now);
     }
   }
 
-  /** Refuses what has ended the endpoints that ran it: sent on, it would end the next. */
+  /** Refuses a request that is held back because endpoints crashed while running it, and so may the next one. */
   #isHeld(request: ActiveRequest, now: Instant): boolean {
-    const { answers, quarantine } = this.#with;
-    const retryAfter = quarantine.judge(request, now);
+    const { answers, quarantine } = this.#dependencies;
+    const retryAfter = quarantine.waitIfHeld(request, now);
     if (retryAfter === undefined) {
       return false;
     }
@@ -103,32 +107,32 @@
     return true;
   }
 
-  #tryDoubtful(request: ActiveRequest, now: Instant): void {
-    const doubtful = doubtfulEndpoints(this.#board, request.service)
+  #trySuspects(request: ActiveRequest, now: Instant): void {
+    const suspects = suspectEndpoints(this.#board, request.service)
       .filter((endpoint) => !request.tried.has(endpoint.vm.id));
-    if (doubtful.length > 0) {
-      this.#sendToEndpoint(request, doubtful, now);
+    if (suspects.length > 0) {
+      this.#sendToEndpoint(request, suspects, now);
       return;
     }
     const detail = `Service "${request.service.id}" has no live endpoint here`;
-    this.#with.answers.refuse(request, "no_endpoint", {
+    this.#dependencies.answers.refuse(request, "no_endpoint", {
       detail,
-      retryAfter: DEFAULT_RETRY,
+      retryAfter: DEFAULT_RETRY_MS,
       now,
     });
   }
 
-  /** Gives waiting requests to endpoints with room. */
-  pump(now: Instant): void {
-    for (const [service, queue] of this.#with.table.queues) {
-      while (queue.size > 0 && this.#pumpOne(service, queue, now)) {
-        // Goes on until the queue is empty or no endpoint has room.
+  /** Dispatches queued requests to endpoints with free capacity. */
+  dispatchQueued(now: Instant): void {
+    for (const [service, queue] of this.#dependencies.table.queues) {
+      while (queue.size > 0 && this.#dispatchNext(service, queue, now)) {
+        // Repeats until the queue is empty or no endpoint has free capacity.
       }
     }
   }
 
-  /** Starts an attempt; the shell asks by `commit` before it writes anything. */
-  dispatch(request: ActiveRequest, target: Target, now: Instant): void {
+  /** Starts an attempt. The shell sends the event `commit` and waits for `proceed` before it writes anything. */
+  dispatch(request: ActiveRequest, target: AttemptTarget, now: Instant): void {
     const attempt: Attempt = {
       id: `${request.head.id}.${request.attempts.size + 1}` as AttemptId,
       request: request.head.id,
@@ -144,22 +148,25 @@
     request.current = attempt;
     request.phase = "running";
     request.phaseSince = now;
-    this.#with.table.startAttempt(attempt.id, request);
-    this.#with.explanations.note(request.head.id, now, {
+    this.#dependencies.table.startAttempt(attempt.id, request);
+    this.#dependencies.explanations.note(request.head.id, now, {
       text: "Dispatched",
       target,
     });
-    this.#with.emit({ kind: "dispatch", attempt });
+    this.#dependencies.emit({ kind: "dispatch", attempt });
   }
 
-  /** Whether the text in force still lets the request go on here: its home may have moved since. */
+  /**
+   * Whether the configuration in force still allows the request here. The customer may have been removed, or its
+   * home region may have changed. Refuses the request otherwise.
+   */
   isStillAllowed(request: ActiveRequest, now: Instant): boolean {
     const { self, configuration } = this.#board;
     const customer = configuration.deployment?.customers.get(
       request.customer.id,
     );
     if (customer === undefined) {
-      this.#with.answers.refuse(request, "unknown_customer", {
+      this.#dependencies.answers.refuse(request, "unknown_customer", {
         detail: "The customer was removed",
         now,
       });
@@ -169,7 +176,11 @@
       const detail =
         `Requests of this customer are served in region "${customer.home}" only`;
       const goTo = otherEntries(this.#board, customer.home);
-      this.#with.answers.refuse(request, "wrong_region", { detail, goTo, now });
+      this.#dependencies.answers.refuse(request, "wrong_region", {
+        detail,
+        goTo,
+        now,
+      });
       return false;
     }
     return true;
@@ -177,15 +188,15 @@
 
   #sendToEndpoint(
     request: ActiveRequest,
-    free: readonly Endpoint[],
+    available: readonly Endpoint[],
     now: Instant,
   ): void {
-    const { balancer, endpoints, spills } = this.#with;
-    const { id, url } = balancer.choose(free, request.facts!, now).vm;
+    const { balancer, endpoints, spills } = this.#dependencies;
+    const { id, url } = balancer.choose(available, request.facts!, now).vm;
     request.tried.add(id);
-    spills.stayed();
+    spills.recordLocal();
     this.dispatch(request, { kind: "endpoint", endpoint: id, url }, now);
-    endpoints.started(id, {
+    endpoints.attemptStarted(id, {
       attempt: request.current!.id,
       blocks: request.facts!.blocks,
       now,
@@ -197,28 +208,31 @@
     remote: RemoteCapacity,
     now: Instant,
   ): void {
-    const { metrics, spills } = this.#with;
+    const { metrics, spills } = this.#dependencies;
     const { incarnation, url } = remote.member.record;
     metrics.count("spills");
-    spills.sent(request, remote.region);
+    spills.recordSpill(request, remote.region);
     this.dispatch(request, { kind: "peer", incarnation, url }, now);
   }
 
-  /** Endpoints with room: one that was not tried yet, where there is one. */
-  #freeFor(request: ActiveRequest, usable: readonly Endpoint[]): Endpoint[] {
-    const fresh = usable.filter((endpoint) =>
+  /** Returns endpoints with free capacity, only untried ones unless all have been tried. */
+  #endpointsWithRoom(
+    request: ActiveRequest,
+    usable: readonly Endpoint[],
+  ): Endpoint[] {
+    const untried = usable.filter((endpoint) =>
       !request.tried.has(endpoint.vm.id)
     );
-    const candidates = fresh.length > 0 ? fresh : usable;
+    const candidates = untried.length > 0 ? untried : usable;
     return candidates.filter((endpoint) => roomAt(endpoint) > 0);
   }
 
   #enqueue(request: ActiveRequest, wait: Milliseconds, now: Instant): void {
-    const { answers, explanations, table } = this.#with;
+    const { answers, explanations, table } = this.#dependencies;
     const queue = table.queueOf(request.service.id);
-    const late = now + wait >= request.deadlineAt;
-    if (late || queue.size >= request.service.queueLimit) {
-      const detail = late
+    const missesDeadline = now + wait >= request.deadlineAt;
+    if (missesDeadline || queue.size >= request.service.queueLimit) {
+      const detail = missesDeadline
         ? "The queue would outlast the deadline"
         : "The queue is full";
       answers.refuse(request, "overloaded", { detail, retryAfter: wait, now });
@@ -236,13 +250,13 @@
       requestClass: request.requestClass,
       cost: Math.max(
         1,
-        Math.ceil(request.facts!.promptTokens / TOKENS_PER_COST),
+        Math.ceil(request.facts!.promptTokens / TOKENS_PER_COST_UNIT),
       ),
       since: now,
     });
   }
 
-  #pumpOne(id: ServiceId, queue: ServiceQueue, now: Instant): boolean {
+  #dispatchNext(id: ServiceId, queue: ServiceQueue, now: Instant): boolean {
     const service = this.#board.configuration.deployment?.services.get(id);
     const usable = service === undefined
       ? []
@@ -250,18 +264,18 @@
     if (!usable.some((endpoint) => roomAt(endpoint) > 0)) {
       return false;
     }
-    const request = this.#with.table.get(queue.take()!.request);
+    const request = this.#dependencies.table.get(queue.take()!.request);
     if (request !== undefined) {
       const { customer, requestClass, phaseSince } = request;
-      this.#with.metrics.record("queue_wait", {
+      this.#dependencies.metrics.record("queue_wait", {
         customer: customer.id,
         requestClass,
         ms: now - phaseSince,
       });
-      this.#waits.note(id, now - phaseSince, now);
+      this.#recentWaits.record(id, now - phaseSince, now);
       this.route(request, now);
     }
-    // A request that found only tried endpoints full is back in the queue: the next turn is for later.
+    // The request is queued again if all endpoints that it may use are full. Dispatching then continues later.
     return request === undefined || request.phase !== "queued";
   }
 }
--- a/packages/core/src/requests/service_queue.ts
+++ b/packages/core/src/requests/service_queue.ts
@@ -1,35 +1,35 @@
 /**
- * Requests of one service that wait for an endpoint: by class, and fair between customers.
+ * Queue of one service's requests, ordered by class and fair between customers.
  *
  * @module
  */
 import type { CustomerId, Instant, RequestId } from "../ids/index.ts";
 import { REQUEST_CLASSES, type RequestClass } from "../text/index.ts";
 
-/** One request that waits. */
-export interface Waiting {
+/** One queued request. */
+export interface QueuedRequest {
   readonly request: RequestId;
   readonly customer: CustomerId;
   readonly requestClass: RequestClass;
-  /** Work in units of deficit, at least 1. */
+  /** Estimated work in cost units, at least 1. */
   readonly cost: number;
   readonly since: Instant;
 }
 
-/** One of so many dispatches goes to the lower class while it waits, so that it never starves. */
-export const LOW_CLASS_TURN = 5;
-/** Deficit that a customer gains a round. */
-const QUANTUM = 4;
+/** Number of dispatches after which the lower class goes first once, so that it never starves. */
+export const LOW_CLASS_INTERVAL = 5;
+/** Cost units added to a customer's deficit each round. */
+const DEFICIT_QUANTUM = 4;
 
-/** Deficit round robin over the customers of one class. */
+/** Queue of one class, by deficit round robin over its customers. */
 class FairQueue {
   readonly #byCustomer = new Map<
     CustomerId,
-    { items: Waiting[]; deficit: number }
+    { items: QueuedRequest[]; deficit: number }
   >();
   size = 0;
 
-  add(item: Waiting): void {
+  add(item: QueuedRequest): void {
     const queue = this.#byCustomer.get(item.customer);
     this.size++;
     if (queue === undefined) {
@@ -40,16 +40,16 @@
   }
 
   /**
-   * The next request. One customer's morning rush would hold up everybody's screens in a plain
-   * queue; here each customer's turn is as long as its deficit allows.
+   * Removes and returns the next request. In a first-in-first-out queue, a burst of one customer would delay
+   * the interactive requests (class `screen`) of all others. Here each customer is served as far as its deficit allows.
    */
-  take(): Waiting | undefined {
+  take(): QueuedRequest | undefined {
     while (this.size > 0) {
       const [customer, queue] = this.#byCustomer.entries().next().value!;
       const head = queue.items[0]!;
       if (queue.deficit < head.cost) {
-        queue.deficit += QUANTUM;
-        this.#moveBack(customer, queue);
+        queue.deficit += DEFICIT_QUANTUM;
+        this.#moveToEnd(customer, queue);
         continue;
       }
       queue.deficit -= head.cost;
@@ -74,9 +74,9 @@
     return false;
   }
 
-  #moveBack(
+  #moveToEnd(
     customer: CustomerId,
-    queue: { items: Waiting[]; deficit: number },
+    queue: { items: QueuedRequest[]; deficit: number },
   ): void {
     this.#byCustomer.delete(customer);
     this.#byCustomer.set(customer, queue);
@@ -84,7 +84,7 @@
 
   #dropIfEmpty(
     customer: CustomerId,
-    queue: { items: Waiting[]; deficit: number },
+    queue: { items: QueuedRequest[]; deficit: number },
   ): void {
     if (queue.items.length === 0) {
       this.#byCustomer.delete(customer);
@@ -92,7 +92,7 @@
   }
 }
 
-/** All waiting requests of one service. */
+/** All queued requests of one service. */
 export class ServiceQueue {
   readonly #classes = new Map<RequestClass, FairQueue>(
     REQUEST_CLASSES.map((name) => [name, new FairQueue()]),
@@ -107,24 +107,24 @@
     return size;
   }
 
-  /** Waiting requests that go before a new one of a class. */
-  ahead(requestClass: RequestClass): number {
+  /** Returns the number of queued requests that are served before a new one of the given class. */
+  countAhead(requestClass: RequestClass): number {
     return requestClass === "screen"
       ? this.#classes.get("screen")!.size
       : this.size;
   }
 
-  add(item: Waiting): void {
+  add(item: QueuedRequest): void {
     this.#classes.get(item.requestClass)!.add(item);
   }
 
-  /** Takes the next request: the higher class first, every few times the lower one. */
-  take(): Waiting | undefined {
+  /** Removes and returns the next request: every `LOW_CLASS_INTERVAL`-th of the lower class, others of the higher one. */
+  take(): QueuedRequest | undefined {
     const [high, low] = REQUEST_CLASSES.map((name) =>
       this.#classes.get(name)!
     ) as [FairQueue, FairQueue];
     this.#dispatches++;
-    const lowTurn = this.#dispatches % LOW_CLASS_TURN === 0;
+    const lowTurn = this.#dispatches % LOW_CLASS_INTERVAL === 0;
     return lowTurn ? low.take() ?? high.take() : high.take() ?? low.take();
   }
 
--- a/packages/core/src/requests/spare.ts
+++ b/packages/core/src/requests/spare.ts
@@ -1,5 +1,5 @@
 /**
- * What this entry tells others about free capacity.
+ * Spare capacity that this entry reports to its peers.
  *
  * @module
  */
@@ -9,11 +9,11 @@
 import { estimateFirstToken, roomAt, type Work } from "../routing/index.ts";
 import { usableEndpoints } from "./capacity.ts";
 
-/** A common cold request, to state a time to the first token for. */
+/** Typical request without a cached prefix, for which the time to the first token is reported. */
 const COLD_WORK: Work = { promptTokens: 512, blocks: [] };
 
-/** Free slots and time to the first token of each service of the region. */
-export function measureSpare(
+/** Returns free slots and the time to the first token for each service of the region. */
+export function measureSpareCapacity(
   board: Blackboard,
   queuedFor: (service: ServiceId) => number,
   now: Instant,
--- a/packages/core/src/requests/spills.ts
+++ b/packages/core/src/requests/spills.ts
@@ -1,5 +1,5 @@
 /**
- * Requests that this entry sends to other regions.
+ * Spills: requests that this entry forwards to other regions.
  *
  * @module
  */
@@ -12,35 +12,35 @@
 } from "../routing/index.ts";
 import type { ActiveRequest } from "./active_request.ts";
 
-/** Requests over which the spilled share is averaged. */
-const SHARE_WINDOW = 100;
+/** Number of requests over which the spilled share is averaged. */
+const SHARE_WINDOW_REQUESTS = 100;
 
-/** Decides on spills and keeps count of them. */
-export class Spills {
+/** Decides which requests are forwarded to other regions, and counts them. */
+export class SpillTracker {
   readonly #board: Blackboard;
   readonly #sentTo = new Map<RegionId, number>();
-  readonly #regionOf = new Map<ActiveRequest, RegionId>();
-  #share = 0;
+  readonly #regionByRequest = new Map<ActiveRequest, RegionId>();
+  #spilledShare = 0;
 
   constructor(board: Blackboard) {
     this.#board = board;
   }
 
-  /** Whether a request is free to travel at all. */
-  mayTravel(request: ActiveRequest): boolean {
+  /** Whether a request may be forwarded to another region at all. */
+  maySpill(request: ActiveRequest): boolean {
     const { customer, head, keyOwner, tried } = request;
     return !customer.bound && !head.forwarded && keyOwner === undefined &&
-      !tried.has(SPILLED);
+      !tried.has(SPILLED_MARK);
   }
 
-  /** A better region for a request that would wait `wait` here. */
+  /** Returns a region that serves a request sooner than this one, where it would wait for the time `wait`. */
   choose(
     request: ActiveRequest,
     wait: Milliseconds,
     now: Instant,
   ): RemoteCapacity | undefined {
     const { deployment } = this.#board.configuration;
-    if (deployment === undefined || !this.mayTravel(request)) {
+    if (deployment === undefined || !this.maySpill(request)) {
       return undefined;
     }
     const { self, membership } = this.#board;
@@ -48,41 +48,44 @@
       objective: deployment.objective,
       localMs: wait,
       timeLeftMs: request.deadlineAt - now,
-      spilledShare: this.#share,
+      spilledShare: this.#spilledShare,
       spillLimit: deployment.spillLimit,
       remotes: remoteCapacities(membership, {
         service: request.service.id,
         home: self.region,
       }, now),
       sentTo: this.#sentTo,
-      senders: this.#senders(),
+      senders: this.#countSenders(),
     }, now);
   }
 
-  /** Notes a request that stays. */
-  stayed(): void {
-    this.#share -= this.#share / SHARE_WINDOW;
+  /** Records a request that is served in this region. */
+  recordLocal(): void {
+    this.#spilledShare -= this.#spilledShare / SHARE_WINDOW_REQUESTS;
   }
 
-  /** Notes a request that goes to another region. */
-  sent(request: ActiveRequest, region: RegionId): void {
-    this.#share += (1 - this.#share) / SHARE_WINDOW;
+  /** Records a request that is forwarded to another region. */
+  recordSpill(request: ActiveRequest, region: RegionId): void {
+    this.#spilledShare += (1 - this.#spilledShare) / SHARE_WINDOW_REQUESTS;
     this.#sentTo.set(region, (this.#sentTo.get(region) ?? 0) + 1);
-    this.#regionOf.set(request, region);
-    request.tried.add(SPILLED);
+    this.#regionByRequest.set(request, region);
+    request.tried.add(SPILLED_MARK);
   }
 
-  /** Notes that a forwarded attempt ended. */
-  ended(request: ActiveRequest): void {
-    const region = this.#regionOf.get(request);
+  /** Records the end of an attempt at a peer. */
+  recordSpillEnd(request: ActiveRequest): void {
+    const region = this.#regionByRequest.get(request);
     if (region !== undefined) {
-      this.#regionOf.delete(request);
+      this.#regionByRequest.delete(request);
       this.#sentTo.set(region, this.#sentTo.get(region)! - 1);
     }
   }
 
-  /** Entries that may use one region's spare capacity: all outside it, as far as they are known. */
-  #senders(): number {
+  /**
+   * Estimates how many entries may use one region's spare capacity, which are all entries of the other regions:
+   * each region is assumed to have as many as this one.
+   */
+  #countSenders(): number {
     let senders = 1;
     for (const { health, record } of this.#board.membership.members.values()) {
       senders += health === "live" && record.region === this.#board.self.region
@@ -94,5 +97,5 @@
   }
 }
 
-/** Mark among the tried places: a request travels once. */
-const SPILLED = "another region";
+/** Marks in `tried` that a request has been forwarded to another region, which it is only once. */
+const SPILLED_MARK = "another region";
--- a/packages/core/src/requests/wait_memory.ts
+++ b/packages/core/src/requests/wait_memory.ts
@@ -1,39 +1,42 @@
 /**
- * How long requests really waited lately.
+ * Measured queue waits of recent requests.
  *
  * @module
  */
 import type { Instant, Milliseconds, ServiceId } from "../ids/index.ts";
 import { milliseconds } from "../ids/index.ts";
 
-/** Weight of the newest wait in the average. */
-const NEWEST_WEIGHT = 0.2;
-/** How long waits say something about the next one. */
-const MEMORY_MS = 3_000;
+/** Weight of the newest wait in the moving average. */
+const NEWEST_WAIT_WEIGHT = 0.2;
+/** Time after which an average is too old to be used. */
+const WAIT_LIFETIME_MS = 3_000;
 
 /**
- * The prediction knows this entry's requests and lagging reports. Under overload all entries queue for
- * the same slots, and each would promise waits that are too short: requests would wait here that
- * another region serves sooner. What was really waited corrects it.
+ * Moving averages of the measured waits of each service. Predicted waits are based on this entry's requests and
+ * on delayed load reports. Under overload all entries queue for the same slots and each predicts waits that are
+ * too short, so requests would wait here although another region would serve them sooner. The measured waits
+ * correct the prediction.
  */
-export class WaitMemory {
+export class RecentWaits {
   readonly #waits = new Map<ServiceId, { average: number; at: Instant }>();
 
-  /** Notes the wait of a request that leaves its queue. */
-  note(service: ServiceId, wait: number, now: Instant): void {
+  /** Records the wait of a request that leaves its queue. */
+  record(service: ServiceId, wait: number, now: Instant): void {
     const known = this.#waits.get(service);
-    const fresh = known !== undefined && now - known.at <= MEMORY_MS;
-    const average = fresh
-      ? known.average + (wait - known.average) * NEWEST_WEIGHT
+    const isRecent = known !== undefined && now - known.at <= WAIT_LIFETIME_MS;
+    const average = isRecent
+      ? known.average + (wait - known.average) * NEWEST_WAIT_WEIGHT
       : wait;
     this.#waits.set(service, { average, at: now });
   }
 
-  /** Average of lately noted waits, 0 where there are none. */
-  recent(service: ServiceId, now: Instant): Milliseconds {
+  /** Returns the average of recent waits, 0 if there are none. */
+  averageOf(service: ServiceId, now: Instant): Milliseconds {
     const known = this.#waits.get(service);
     return milliseconds(
-      known !== undefined && now - known.at <= MEMORY_MS ? known.average : 0,
+      known !== undefined && now - known.at <= WAIT_LIFETIME_MS
+        ? known.average
+        : 0,
     );
   }
 }
--- a/playground/src/guards/guards.ts
+++ b/playground/src/guards/guards.ts
@@ -23,14 +23,14 @@
     point: "at most once",
     name: "only the owner runs a key",
     file: `${CORE}/actions/action_controller.ts`,
-    find: "return this.#foreignStanding(customer, owner);",
+    find: "return this.#foreignKeyStatus(customer, owner);",
     replace: 'return { kind: "unused" };',
   },
   {
     point: "at most once",
     name: "rights are given up before the hand-over is sent",
     file: `${CORE}/actions/owner_rights.ts`,
-    find: "this.#zeros.clear();",
+    find: "this.#epochZeroStarts.clear();",
     replace: "",
   },
   {
@@ -52,8 +52,8 @@
     point: "at most once",
     name: "what may have run is not tried again",
     file: `${CORE}/requests/attempt_tracker.ts`,
-    find: 'const safe = request.attempts.verdict().kind === "not_run" ||',
-    replace: "const safe = Date.now() > 0 ||",
+    find: 'const isSafe = request.attempts.verdict().kind === "not_run" ||',
+    replace: "const isSafe = Date.now() > 0 ||",
   },
   {
     point: "at most once",
@@ -66,7 +66,7 @@
     point: "at most once",
     name: "the same key with another body is refused",
     file: `${CORE}/requests/key_router.ts`,
-    find: "if (standing.bodyDigest !== request.facts!.digest) {",
+    find: "if (status.bodyDigest !== request.facts!.digest) {",
     replace: "if (Date.now() < 0) {",
   },
   {
@@ -87,8 +87,9 @@
     point: "not run is true",
     name: "an undeclared server error is no refusal",
     file: `${CORE}/requests/judge_end.ts`,
-    find: 'return status >= FIRST_SERVER_ERROR ? "lost" : "completed";',
-    replace: 'return status >= FIRST_SERVER_ERROR ? "refused" : "completed";',
+    find: 'return status >= FIRST_SERVER_ERROR_STATUS ? "lost" : "completed";',
+    replace:
+      'return status >= FIRST_SERVER_ERROR_STATUS ? "refused" : "completed";',
   },
   {
     point: "not run is true",
@@ -101,8 +102,8 @@
     point: "not run is true",
     name: "a key's earlier sends count in a refusal",
     file: `${CORE}/requests/answers.ts`,
-    find: 'return standing !== "unused" && standing !== "invalid";',
-    replace: "return standing === undefined;",
+    find: 'return status !== "unused" && status !== "invalid";',
+    replace: "return status === undefined;",
   },
   {
     point: "not run is true",
@@ -219,7 +220,7 @@
     point: "whole answers",
     name: "only a stream is the rest of an answer that has begun",
     file: `${CORE}/requests/judge_end.ts`,
-    find: 'return begun && state === "completed" ? "lost" : state;',
+    find: 'return streamStarted && state === "completed" ? "lost" : state;',
     replace: "return state;",
   },
   {
@@ -255,8 +256,8 @@
     point: "whole answers",
     name: "a broken stream goes on at another engine",
     file: `${CORE}/requests/attempt_tracker.ts`,
-    find: "isRepeatable(request.service);\n    const most",
-    replace: "Date.now() < 0;\n    const most",
+    find: "isRepeatable(request.service);\n    const maxAttempts",
+    replace: "Date.now() < 0;\n    const maxAttempts",
   },
   {
     point: "leaving endpoints",
@@ -290,7 +291,7 @@
     point: "graceful stop",
     name: "a stopping entry says where to go",
     file: `${CORE}/core.ts`,
-    find: "now - this.#stopAt < STOP_LINGER_MS",
+    find: "now - this.#stopAt < STOP_REFUSAL_MS",
     replace: "now < this.#stopAt",
   },
   {
@@ -339,14 +340,14 @@
     point: "limits",
     name: "a request that would wait out its deadline is refused at once",
     file: `${CORE}/requests/router.ts`,
-    find: "const late = now + wait >= request.deadlineAt;",
-    replace: "const late = Date.now() < 0;",
+    find: "const missesDeadline = now + wait >= request.deadlineAt;",
+    replace: "const missesDeadline = Date.now() < 0;",
   },
   {
     point: "limits",
     name: "a dead dependency refuses early",
     file: `${CORE}/requests/admission.ts`,
-    find: "if (down !== undefined && keyOwner === undefined) {",
+    find: "if (unavailable !== undefined && keyOwner === undefined) {",
     replace: "if (Date.now() < 0) {",
   },
   {
