--- a/packages/core/src/configuration/configuration_controller.ts
+++ b/packages/core/src/configuration/configuration_controller.ts
@@ -1,5 +1,6 @@
 /**
- * The operators' text: reads it, adopts it, passes it on, and never goes back.
+ * Reads the configuration text that operators publish, adopts newer revisions and passes them on to peers.
+ * The adopted revision never decreases.
  *
  * @module
  */
@@ -25,29 +26,29 @@
 import {
   CONFIRMATION_WAIT_MS,
   COPY_TIMEOUT_MS,
-  FAILED_READ_PAUSE_MS,
   FALLBACK_READ_PERIOD_MS,
-  FIRST_READ_PERIOD_MS,
-  foreignName,
-  LEAST_WATCH_PAUSE_MS,
+  INITIAL_READ_PERIOD_MS,
+  MIN_WATCH_INTERVAL_MS,
+  nameMismatchFault,
+  READ_RETRY_DELAY_MS,
   REJECTED_READ_SPREAD_MS,
 } from "./configuration_section.ts";
-import { newestHolder } from "./newest_holder.ts";
-import { hasWatchDuty, liveZone, watchInterval } from "./watch_duty.ts";
+import { findNewestPeer } from "./newest_holder.ts";
+import { isWatcher, liveZoneMembers, watchInterval } from "./watch_duty.ts";
 
-/** Writes the `configuration` section. */
+/** Maintains the `configuration` section of the blackboard. */
 export class ConfigurationController {
   readonly #board: Blackboard;
   readonly #section: Writable<ConfigurationView>;
   readonly #emit: Emit;
   readonly #random: Randomness;
-  /** The accepted text before the one in force, to answer peers with a difference. */
+  /** The text adopted before the current one, so that peers that still hold it can be sent a patch. */
   #previous: { readonly revision: Revision; readonly text: string } | undefined;
-  #reading = false;
+  #isReading = false;
   #nextReadAt: Instant;
   #lastWatchAt: Instant | undefined;
   #adoptedAt: Instant | undefined;
-  #copyAskedAt: Instant | undefined;
+  #copyRequestedAt: Instant | undefined;
   #unconfirmedSince: Instant | undefined;
   #handledWakeAt: Instant | undefined;
 
@@ -63,42 +64,45 @@
     this.#nextReadAt = now;
   }
 
-  /** Starts reads and copies that are due. */
+  /** Starts the reads and peer copies that are due. */
   tick(now: Instant): void {
-    this.#findMissing(now);
-    this.#endConfirmation(now);
-    this.#read(now);
+    this.#requestMissingRevision(now);
+    this.#endConfirmationWait(now);
+    this.#startRead(now);
   }
 
-  /** A text from the configuration service. */
+  /** Handles a text that the configuration service returned. */
   read(revision: Revision, text: string, now: Instant): void {
-    this.#readEnded(now);
+    this.#finishRead(now);
     this.#section.platformReachable = true;
-    this.#offer(revision, text, now);
-    // An older value comes from a stale service: it confirms nothing.
+    this.#adoptIfNewer(revision, text, now);
+    // An older revision comes from a stale service and confirms nothing.
     if (revision >= this.#section.revision) {
       this.#confirm(now);
     }
   }
 
-  /** A watch ended with no newer revision. */
+  /** Handles a watch that ended without a newer revision. */
   unchanged(now: Instant): void {
-    this.#readEnded(now);
+    this.#finishRead(now);
     this.#section.platformReachable = true;
     this.#confirm(now);
   }
 
-  /** The configuration service did not answer. */
+  /** Handles a read that the configuration service did not answer. */
   failed(now: Instant): void {
-    this.#reading = false;
+    this.#isReading = false;
     this.#section.platformReachable = false;
     this.#nextReadAt = after(
       now,
-      FAILED_READ_PAUSE_MS * (1 + this.#random.next()),
+      READ_RETRY_DELAY_MS * (1 + this.#random.next()),
     );
   }
 
-  /** A peer's copy, or its word that it has nothing newer, or no answer. */
+  /**
+   * Handles the outcome of a copy request to a peer. `copy` is missing if the peer has no newer text, and
+   * `answered` is false if the peer did not answer.
+   */
   copied(
     { copy, answered }: {
       copy: ConfigurationCopy | undefined;
@@ -106,46 +110,46 @@
     },
     now: Instant,
   ): void {
-    this.#copyAskedAt = undefined;
-    const text = copy === undefined ? undefined : this.#textOf(copy);
+    this.#copyRequestedAt = undefined;
+    const text = copy === undefined ? undefined : this.#resolveText(copy);
     if (copy !== undefined && text !== undefined) {
-      this.#offer(copy.revision, text, now);
+      this.#adoptIfNewer(copy.revision, text, now);
     }
-    this.#findMissing(now);
+    this.#requestMissingRevision(now);
     if (answered && (copy === undefined || text !== undefined)) {
       this.#confirm(now);
     }
   }
 
-  /** A heartbeat of a peer came: learn of its revision at once. */
+  /** Handles a peer's heartbeat, whose revision may be newer than the one held here. */
   heard(now: Instant): void {
-    this.#findMissing(now);
+    this.#requestMissingRevision(now);
   }
 
   /**
-   * A peer has read a revision and rejected it.
+   * Brings the next read forward when a peer reports a revision that it has read and rejected.
    *
-   * One entry a zone waits for changes of the text. The others would learn of a faulty one only by their
-   * own read, up to a minute and a half later, and `status` would say of them that all is well.
+   * Only one entry per zone watches for changes. Without this read, the others would learn of a faulty text only
+   * by their own periodic read, up to a minute and a half later, and `status` would report them as healthy.
    */
   heardRejected(revision: Revision, now: Instant): void {
-    if (revision > this.#triedRevision()) {
-      const soon = after(now, REJECTED_READ_SPREAD_MS * this.#random.next());
-      this.#nextReadAt = soon < this.#nextReadAt ? soon : this.#nextReadAt;
+    if (revision > this.#highestCheckedRevision()) {
+      const readAt = after(now, REJECTED_READ_SPREAD_MS * this.#random.next());
+      this.#nextReadAt = readAt < this.#nextReadAt ? readAt : this.#nextReadAt;
     }
   }
 
-  /** What to answer a peer that holds `have`. */
-  copyFor(have: Revision): ConfigurationCopy | undefined {
+  /** Returns the copy for a peer that holds `peerRevision`, or `undefined` if nothing newer is held here. */
+  copyFor(peerRevision: Revision): ConfigurationCopy | undefined {
     const { revision, text } = this.#section;
-    if (have >= revision) {
+    if (peerRevision >= revision) {
       return undefined;
     }
-    if (this.#previous?.revision === have) {
+    if (this.#previous?.revision === peerRevision) {
       return {
         kind: "patch",
         revision,
-        base: have,
+        base: peerRevision,
         patch: diffText(this.#previous.text, text),
       };
     }
@@ -153,9 +157,9 @@
   }
 
   /**
-   * After a pause, requests that must not go wrong wait until a peer or the platform confirms the
-   * text: a home may have changed while the process stood still, and the first request after waking
-   * would be served in the wrong region.
+   * Marks the configuration as unconfirmed after a pause of the process. Requests that depend on an up-to-date
+   * home wait until a peer or the platform confirms the text: the home may have changed during the pause, and
+   * the first request after it would be served in the wrong region.
    */
   noteWake(now: Instant): void {
     const { wokeAt } = this.#board.lifecycle;
@@ -165,13 +169,13 @@
     this.#handledWakeAt = wokeAt;
     this.#section.unconfirmed = true;
     this.#unconfirmedSince = now;
-    this.#reading = false;
+    this.#isReading = false;
     this.#nextReadAt = now;
-    this.#copyAskedAt = undefined;
-    this.#askAnyPeer(now);
+    this.#copyRequestedAt = undefined;
+    this.#requestCopyFromAnyPeer(now);
   }
 
-  #textOf(copy: ConfigurationCopy): string | undefined {
+  #resolveText(copy: ConfigurationCopy): string | undefined {
     if (copy.kind === "whole") {
       return copy.text;
     }
@@ -181,15 +185,15 @@
   }
 
   /**
-   * Takes a text if it is newer and acceptable.
+   * Adopts a text if its revision is newer and the text is valid.
    *
-   * A stale service, a peer that was cut off or a rebooted entry may offer an older text. Taking it
-   * would bring back an old home or an old limit; one would notice by an entry whose revision goes
-   * down. The comparison is the only way in, so no source can take a revision back.
+   * A stale service, a peer that was cut off or a rebooted entry may offer an older text. Adopting it would
+   * restore an old home or limit, visible as an entry whose revision decreases. All sources pass this
+   * comparison, so none can lower the revision.
    */
-  #offer(revision: Revision, text: string, now: Instant): void {
-    const tried = this.#triedRevision();
-    if (!Number.isSafeInteger(revision) || revision <= tried) {
+  #adoptIfNewer(revision: Revision, text: string, now: Instant): void {
+    const highestChecked = this.#highestCheckedRevision();
+    if (!Number.isSafeInteger(revision) || revision <= highestChecked) {
       return;
     }
     const result = parseText(text);
@@ -199,7 +203,7 @@
     }
     if (result.deployment.name !== this.#board.self.deployment) {
       this.#reject(revision, [
-        foreignName(result.deployment.name, this.#board.self.deployment),
+        nameMismatchFault(result.deployment.name, this.#board.self.deployment),
       ]);
       return;
     }
@@ -218,7 +222,7 @@
       text: "Adopted a revision.",
       fields: { revision },
     });
-    this.#findMissing(now);
+    this.#requestMissingRevision(now);
   }
 
   #reject(revision: Revision, faults: readonly TextFault[]): void {
@@ -237,8 +241,8 @@
     this.#section.unconfirmed = this.#section.missing !== undefined;
   }
 
-  #readEnded(now: Instant): void {
-    this.#reading = false;
+  #finishRead(now: Instant): void {
+    this.#isReading = false;
     this.#section.platformReads++;
     this.#nextReadAt = after(
       now,
@@ -246,60 +250,63 @@
     );
   }
 
-  #endConfirmation(now: Instant): void {
+  #endConfirmationWait(now: Instant): void {
     const since = this.#unconfirmedSince;
     if (since === undefined || now - since < CONFIRMATION_WAIT_MS) {
       return;
     }
-    // Cut off from the platform and from every peer: the zone goes on serving, and status says so.
+    // Neither the platform nor a peer is reachable: the zone continues to serve, and `status` reports it.
     this.#unconfirmedSince = undefined;
     this.#section.unconfirmed = this.#section.missing !== undefined;
   }
 
   /**
-   * Looks for a live peer with a newer revision and asks it for the text. Until the text is here,
-   * home-bound requests are not dispatched: the missing revision may move their home.
+   * Requests the text from a live peer that holds a newer revision. Until it arrives, requests that are bound
+   * to a home region are not dispatched, because the missing revision may change their home.
    */
-  #findMissing(now: Instant): void {
-    const holder = newestHolder(this.#board, this.#triedRevision());
+  #requestMissingRevision(now: Instant): void {
+    const newestPeer = findNewestPeer(
+      this.#board,
+      this.#highestCheckedRevision(),
+    );
     const wasMissing = this.#section.missing !== undefined;
-    this.#section.missing = holder?.revision;
-    if (holder === undefined) {
+    this.#section.missing = newestPeer?.revision;
+    if (newestPeer === undefined) {
       if (wasMissing && this.#unconfirmedSince === undefined) {
         this.#section.unconfirmed = false;
       }
       return;
     }
     this.#section.unconfirmed = true;
-    this.#ask(holder, now);
+    this.#requestCopy(newestPeer, now);
   }
 
-  /** Highest revision that was accepted or rejected. */
-  #triedRevision(): Revision {
+  /** Returns the highest revision that was accepted or rejected. */
+  #highestCheckedRevision(): Revision {
     const { revision, rejected } = this.#section;
     return Math.max(revision, rejected?.revision ?? 0) as Revision;
   }
 
-  #askAnyPeer(now: Instant): void {
+  #requestCopyFromAnyPeer(now: Instant): void {
     for (const member of this.#board.membership.members.values()) {
       if (
         member.health === "live" &&
         member.record.region === this.#board.self.region
       ) {
-        this.#ask(member, now);
+        this.#requestCopy(member, now);
         return;
       }
     }
   }
 
-  #ask(member: Member, now: Instant): void {
+  #requestCopy(member: Member, now: Instant): void {
     if (
-      this.#copyAskedAt !== undefined &&
-      now - this.#copyAskedAt < COPY_TIMEOUT_MS
+      this.#copyRequestedAt !== undefined &&
+      now - this.#copyRequestedAt < COPY_TIMEOUT_MS
     ) {
       return;
     }
-    this.#copyAskedAt = now;
+    this.#copyRequestedAt = now;
     const { incarnation, controlUrl } = member.record;
     this.#emit({
       kind: "copyConfiguration",
@@ -309,42 +316,45 @@
     });
   }
 
-  #read(now: Instant): void {
-    if (this.#reading) {
+  #startRead(now: Instant): void {
+    if (this.#isReading) {
       return;
     }
-    const first = this.#section.deployment === undefined ||
+    const urgent = this.#section.deployment === undefined ||
       this.#unconfirmedSince !== undefined;
-    const watch = !first && this.#mayWatch(now);
+    const watch = !urgent && this.#canWatch(now);
     if (!watch && now < this.#nextReadAt) {
       return;
     }
-    this.#reading = true;
-    if (first) {
-      this.#nextReadAt = after(now, FIRST_READ_PERIOD_MS);
+    this.#isReading = true;
+    if (urgent) {
+      this.#nextReadAt = after(now, INITIAL_READ_PERIOD_MS);
     }
     this.#lastWatchAt = watch ? now : this.#lastWatchAt;
     this.#emit({
       kind: "readConfiguration",
-      // A faulty text is not asked for again: it would come at once, whole, each time.
-      after: this.#triedRevision(),
+      // Excludes a rejected revision: the service would return its whole text immediately on every read.
+      after: this.#highestCheckedRevision(),
       wait: watch,
     });
   }
 
-  #mayWatch(now: Instant): boolean {
-    // After a failure a plain read goes first: a watch would not tell for long that all is well again.
+  #canWatch(now: Instant): boolean {
+    // A plain read comes first after a failure, because a watch would report the recovery only when it ends.
     if (!this.#section.platformReachable) {
       return false;
     }
     const { self } = this.#board;
-    const zone = liveZone(this.#board);
-    const interval = watchInterval(this.#section.text.length, zone.length);
-    const adoptedLately = this.#adoptedAt !== undefined &&
+    const zoneMembers = liveZoneMembers(this.#board);
+    const interval = watchInterval(
+      this.#section.text.length,
+      zoneMembers.length,
+    );
+    const adoptedRecently = this.#adoptedAt !== undefined &&
       now - this.#adoptedAt < interval;
-    const watchedLately = this.#lastWatchAt !== undefined &&
-      now - this.#lastWatchAt < LEAST_WATCH_PAUSE_MS;
-    return !adoptedLately && !watchedLately &&
-      hasWatchDuty(self.incarnation, this.#section.revision, zone);
+    const watchedRecently = this.#lastWatchAt !== undefined &&
+      now - this.#lastWatchAt < MIN_WATCH_INTERVAL_MS;
+    return !adoptedRecently && !watchedRecently &&
+      isWatcher(self.incarnation, this.#section.revision, zoneMembers);
   }
 }
--- a/packages/core/src/configuration/configuration_section.ts
+++ b/packages/core/src/configuration/configuration_section.ts
@@ -1,5 +1,5 @@
 /**
- * The section of the operators' text, and when it is read.
+ * Initial state of the `configuration` section, and the timing of configuration reads.
  *
  * @module
  */
@@ -7,22 +7,22 @@
 import type { Revision } from "../ids/index.ts";
 import type { TextFault } from "../text/index.ts";
 
-/** Each entry reads by itself now and then, in case that no watcher and no peer tells it. */
+/** Mean period of an entry's own reads, in case neither a watcher nor a peer reports a change. */
 export const FALLBACK_READ_PERIOD_MS = 60_000;
-/** Entries that hear of a rejected text read it within this time, not all at once. */
+/** Entries that learn of a rejected revision spread their reads over this time. */
 export const REJECTED_READ_SPREAD_MS = 2_000;
-/** Between reads of an entry that still has no text. */
-export const FIRST_READ_PERIOD_MS = 500;
-/** Pause after a read that failed. */
-export const FAILED_READ_PAUSE_MS = 2_000;
-/** Pause between two watches of one entry, against a service that answers each at once. */
-export const LEAST_WATCH_PAUSE_MS = 1_000;
-/** Time after which an unanswered copy is asked for again, of another peer where there is one. */
+/** Period of reads while an entry has no text yet, or waits for a confirmation after a pause. */
+export const INITIAL_READ_PERIOD_MS = 500;
+/** Least delay after a failed read. */
+export const READ_RETRY_DELAY_MS = 2_000;
+/** Least time between two watches of an entry, in case the service answers each of them immediately. */
+export const MIN_WATCH_INTERVAL_MS = 1_000;
+/** Time after which an unanswered copy request is repeated, to another peer if there is one. */
 export const COPY_TIMEOUT_MS = 1_000;
-/** How long requests wait for a confirmation after a pause, before the entry goes on with what it holds. */
+/** Time that requests wait for a confirmation after a pause, before the entry continues with its own text. */
 export const CONFIRMATION_WAIT_MS = 1_500;
 
-/** First section of a new entry. */
+/** Creates the `configuration` section of a new entry. */
 export function createConfiguration(): Writable<ConfigurationView> {
   return {
     revision: 0 as Revision,
@@ -37,8 +37,8 @@
   };
 }
 
-/** The fault of a text that is another deployment's. */
-export function foreignName(found: string, own: string): TextFault {
+/** Describes the fault of a text that belongs to another deployment. */
+export function nameMismatchFault(found: string, own: string): TextFault {
   return {
     line: 1,
     section: "deployment",
--- a/packages/core/src/configuration/index.ts
+++ b/packages/core/src/configuration/index.ts
@@ -3,8 +3,8 @@
   CONFIRMATION_WAIT_MS,
   COPY_TIMEOUT_MS,
   createConfiguration,
-  FAILED_READ_PAUSE_MS,
   FALLBACK_READ_PERIOD_MS,
-  FIRST_READ_PERIOD_MS,
+  INITIAL_READ_PERIOD_MS,
+  READ_RETRY_DELAY_MS,
 } from "./configuration_section.ts";
 export * from "./watch_duty.ts";
--- a/packages/core/src/configuration/newest_holder.ts
+++ b/packages/core/src/configuration/newest_holder.ts
@@ -1,25 +1,25 @@
 /**
- * Which peer to ask for a newer text.
+ * Selects the peer from which a newer configuration text is copied.
  *
  * @module
  */
 import type { Blackboard, Member } from "../blackboard/index.ts";
 import type { Revision } from "../ids/index.ts";
 
-/** The live peer with the highest revision above `known`, the own zone's first. */
-export function newestHolder(
+/** Finds the live peer with the highest revision above `knownRevision`, preferring peers in the own zone. */
+export function findNewestPeer(
   { self, membership }: Blackboard,
-  known: Revision,
+  knownRevision: Revision,
 ): Member | undefined {
   let best: Member | undefined;
   for (const member of membership.members.values()) {
-    if (member.health !== "live" || member.revision <= known) {
+    if (member.health !== "live" || member.revision <= knownRevision) {
       continue;
     }
     const newer = best === undefined || member.revision > best.revision;
-    const nearer = best !== undefined && member.revision === best.revision &&
+    const closer = best !== undefined && member.revision === best.revision &&
       member.record.zone === self.zone && best.record.zone !== self.zone;
-    best = newer || nearer ? member : best;
+    best = newer || closer ? member : best;
   }
   return best;
 }
--- a/packages/core/src/configuration/watch_duty.ts
+++ b/packages/core/src/configuration/watch_duty.ts
@@ -1,5 +1,5 @@
 /**
- * Which entries of an availability zone watch the configuration service.
+ * Elects the entries of an availability zone that watch the configuration service.
  *
  * @module
  */
@@ -13,22 +13,21 @@
 } from "../ids/index.ts";
 
 /**
- * Watchers a zone. One is enough: every other zone has its own, and what any of them reads comes to this
- * zone by heartbeat while a watcher that died is not yet noticed.
+ * Number of watchers per zone. One is enough: if it dies, heartbeats bring the revisions read by watchers of
+ * other zones until the failure is detected.
  */
 export const WATCHERS_PER_ZONE = 1;
-/** Bytes a second that reading texts may cost one entry. */
-const READ_BUDGET = 1_024;
-/** Least and longest time between two reads of a zone; a change must be in force within 20 s. */
-const LEAST_INTERVAL_MS = 1_000;
-const LONGEST_INTERVAL_MS = 12_000;
+/** Bytes per second that an entry may spend on reading texts. */
+const READ_BUDGET_BYTES_PER_S = 1_024;
+/** Bounds of the time between two reads of a zone. A change must be in force within 20 s. */
+const MIN_ZONE_READ_INTERVAL_MS = 1_000;
+const MAX_ZONE_READ_INTERVAL_MS = 12_000;
 
 /**
- * Whether `self` watches for what comes after `revision`.
- * The duty moves with each revision, so that reading large texts is shared evenly by a zone's
- * entries without anybody assigning it.
+ * Returns whether `self` watches for revisions after `revision`. Each revision elects another watcher by
+ * rendezvous hashing, which spreads the reading of large texts evenly over a zone without coordination.
  */
-export function hasWatchDuty(
+export function isWatcher(
   self: Incarnation,
   revision: Revision,
   zoneMembers: Iterable<Incarnation>,
@@ -42,28 +41,33 @@
 }
 
 /**
- * Time between two watches of a zone. The service hands out whole texts only: a large text that changes
- * all the time is read less often, and several changes at once, so that reading it stays within the
- * budget of the entries that share the duty.
+ * Returns the time between two watches of a zone. The service returns whole texts only, so a large text that
+ * changes constantly is read less often, several changes at once, to stay within the read budget of the
+ * zone's entries.
  */
 export function watchInterval(
   textBytes: number,
   zoneMembers: number,
 ): Milliseconds {
-  const perSecond = READ_BUDGET * Math.max(1, zoneMembers);
-  const interval = (textBytes / perSecond) * 1_000;
+  const bytesPerSecond = READ_BUDGET_BYTES_PER_S * Math.max(1, zoneMembers);
+  const interval = (textBytes / bytesPerSecond) * 1_000;
   return milliseconds(
-    Math.min(LONGEST_INTERVAL_MS, Math.max(LEAST_INTERVAL_MS, interval)),
+    Math.min(
+      MAX_ZONE_READ_INTERVAL_MS,
+      Math.max(MIN_ZONE_READ_INTERVAL_MS, interval),
+    ),
   );
 }
 
-/** Live entries of the own zone, this one included. */
-export function liveZone({ self, membership }: Blackboard): Incarnation[] {
-  const zone: Incarnation[] = [self.incarnation];
+/** Returns the live entries of the own zone, including this one. */
+export function liveZoneMembers(
+  { self, membership }: Blackboard,
+): Incarnation[] {
+  const members: Incarnation[] = [self.incarnation];
   for (const { health, record } of membership.members.values()) {
     if (health === "live" && record.zone === self.zone) {
-      zone.push(record.incarnation);
+      members.push(record.incarnation);
     }
   }
-  return zone;
+  return members;
 }
--- a/packages/core/src/text/__tests__/parse.test.ts
+++ b/packages/core/src/text/__tests__/parse.test.ts
@@ -6,12 +6,12 @@
   diffDeployments,
   diffText,
   formatFault,
+  type ParseResult,
   parseText,
-  type TextResult,
 } from "../index.ts";
 
 const DIGEST = "a".repeat(64);
-const GOOD = `[deployment]
+const VALID_TEXT = `[deployment]
 name = demo
 objective = tail
 
@@ -29,11 +29,11 @@
 token_sha256 = ${DIGEST}
 `;
 
-function faultsOf(result: TextResult): string[] {
+function faultsOf(result: ParseResult): string[] {
   return result.ok ? [] : result.faults.map(formatFault);
 }
 
-describe("operators' text", () => {
+describe("configuration text", () => {
   describe("a complete text", () => {
     it.each(["peachtree", "mfuko"])("accepts the example %s", (name) => {
       const url = new URL(
@@ -43,8 +43,8 @@
       expect(faultsOf(parseText(readFileSync(url, "utf8")))).toEqual([]);
     });
 
-    it("resolves defaults once", () => {
-      const result = parseText(GOOD);
+    it("fills in defaults", () => {
+      const result = parseText(VALID_TEXT);
       const customer = result.ok
         ? [...result.deployment.customers.values()][0]
         : undefined;
@@ -68,8 +68,8 @@
 homes = north
 `;
 
-    it("are read with their defaults", () => {
-      const result = parseText(GOOD + ROUTE);
+    it("are parsed with their defaults", () => {
+      const result = parseText(VALID_TEXT + ROUTE);
       const route = result.ok
         ? [...result.deployment.routes.values()][0]
         : undefined;
@@ -85,9 +85,9 @@
       });
     });
 
-    it("may have services with weights", () => {
+    it("accept services with weights", () => {
       const result = parseText(
-        GOOD + ROUTE.replace("services = pool", "services = pool:90"),
+        VALID_TEXT + ROUTE.replace("services = pool", "services = pool:90"),
       );
       expect(result.ok && [...result.deployment.routes.values()][0]!.targets)
         .toEqual([{ service: "pool", weight: 90 }]);
@@ -102,24 +102,25 @@
       ["resumable = yes\n", "kind = non_idempotent\n", "repeated"],
       ["kind = stream\nresumable = yes", "kind = non_idempotent", "1: a call"],
       ["host = kiosk.example", "host = Kiosk", "lower case"],
-    ])("with %s made %s are faulty", (from, to, expected) => {
-      const faults = faultsOf(parseText(GOOD + ROUTE.replace(from, to)));
+    ])("are invalid with %s replaced by %s", (from, to, expected) => {
+      const faults = faultsOf(parseText(VALID_TEXT + ROUTE.replace(from, to)));
       expect(faults.join("\n")).toContain(
         expected === "repeated" ? "kind" : expected,
       );
     });
 
-    it("have a place of their own", () => {
-      const twice = GOOD + ROUTE + ROUTE.replace("route ask", "route again");
+    it("must have distinct hosts and paths", () => {
+      const twice = VALID_TEXT + ROUTE +
+        ROUTE.replace("route ask", "route again");
       expect(faultsOf(parseText(twice)).join()).toContain(
         'a place that route "ask" does not have',
       );
     });
 
-    it("show in a diff", () => {
-      const before = parseText(GOOD + ROUTE);
+    it("appear in a diff", () => {
+      const before = parseText(VALID_TEXT + ROUTE);
       const next = parseText(
-        GOOD + ROUTE.replace("services = pool", "services = pool:9"),
+        VALID_TEXT + ROUTE.replace("services = pool", "services = pool:9"),
       );
       const changes = before.ok && next.ok
         ? diffDeployments(before.deployment, next.deployment)
@@ -132,93 +133,103 @@
     });
   });
 
-  describe("a faulty text", () => {
+  describe("an invalid text", () => {
     const cases: [string, string, string][] = [
       [
         "unknown key",
-        GOOD.replace("zones =", "zonse ="),
+        VALID_TEXT.replace("zones =", "zonse ="),
         'Line 6, section "region north", key "zonse"',
       ],
       [
         "missing key",
-        GOOD.replace("zones = north-a", ""),
+        VALID_TEXT.replace("zones = north-a", ""),
         'Line 5, section "region north", key "zones": found nothing',
       ],
       [
         "wrong value",
-        GOOD.replace("tail", "speed"),
+        VALID_TEXT.replace("tail", "speed"),
         'Line 3, section "deployment", key "objective": found "speed"',
       ],
-      ["unknown section", `${GOOD}[servise x]\n`, 'section "servise x"'],
+      ["unknown section", `${VALID_TEXT}[servise x]\n`, 'section "servise x"'],
       [
         "dotted section",
-        `${GOOD}[customer a.b]\nhome = north\n`,
+        `${VALID_TEXT}[customer a.b]\nhome = north\n`,
         'section "customer a.b"',
       ],
       [
         "second section",
-        `${GOOD}[region north]\nzones = x\n`,
+        `${VALID_TEXT}[region north]\nzones = x\n`,
         "expected one only; the first is at line 5",
       ],
       [
         "second key",
-        GOOD.replace("pool = pool", "pool = pool\npool = other"),
+        VALID_TEXT.replace("pool = pool", "pool = pool\npool = other"),
         "found a second pool",
       ],
       [
         "unknown home",
-        GOOD.replace("home = north", "home = south"),
+        VALID_TEXT.replace("home = north", "home = south"),
         'found "south", expected a region of this text',
       ],
       [
         "unknown dependency",
-        GOOD.replace("regions = north", "regions = north\ndepends_on = x"),
+        VALID_TEXT.replace(
+          "regions = north",
+          "regions = north\ndepends_on = x",
+        ),
         'found "x"',
       ],
       [
         "own dependency",
-        GOOD.replace("regions = north", "regions = north\ndepends_on = pool"),
+        VALID_TEXT.replace(
+          "regions = north",
+          "regions = north\ndepends_on = pool",
+        ),
         "no cycle",
       ],
-      ["token in clear", GOOD.replace(DIGEST, "secret"), "64 hex digits"],
+      ["token in clear", VALID_TEXT.replace(DIGEST, "secret"), "64 hex digits"],
       [
-        "line of no kind",
-        `${GOOD}nonsense\n`,
+        "line without key or section",
+        `${VALID_TEXT}nonsense\n`,
         "expected [section] or key = value",
       ],
-      ["key before sections", `x = 1\n${GOOD}`, "expected [deployment] first"],
-      ["no text", "", 'section "deployment": found nothing'],
+      [
+        "key before any section",
+        `x = 1\n${VALID_TEXT}`,
+        "expected [deployment] first",
+      ],
+      ["empty text", "", 'section "deployment": found nothing'],
       ["too large", `; ${"x".repeat(1_048_576)}`, "at most 1048576 bytes"],
     ];
 
     it.each(cases)(
-      "names line, key, found and expected: %s",
+      "is reported with line, key, found and expected value: %s",
       (_, text, expected) => {
         expect(faultsOf(parseText(text)).join("\n")).toContain(expected);
       },
     );
 
-    it("reports all faults at once", () => {
-      const text = GOOD.replace("tail", "speed").replace(
+    it("is reported with all its faults", () => {
+      const text = VALID_TEXT.replace("tail", "speed").replace(
         "home = north",
         "home = south",
       ).replace("kind = model", "kind = x");
       expect(faultsOf(parseText(text)).length).toBeGreaterThanOrEqual(2);
     });
 
-    it("finds a cycle over several services", () => {
+    it("may have a dependency cycle over several services", () => {
       const service = (name: string, on: string): string =>
         `[service ${name}]\nkind = plain\nregions = north\ndepends_on = ${on}\n`;
-      const text = GOOD + service("a", "b") + service("b", "c") +
+      const text = VALID_TEXT + service("a", "b") + service("b", "c") +
         service("c", "a");
       expect(
         faultsOf(parseText(text)).filter((fault) => fault.includes("no cycle")),
       ).toHaveLength(3);
     });
 
-    it("never throws, whatever comes", () => {
+    it("never causes an exception", () => {
       const lines = fc.constantFrom(
-        ...GOOD.split("\n"),
+        ...VALID_TEXT.split("\n"),
         "[__proto__]",
         "a[] = 1",
         "[]",
@@ -236,16 +247,16 @@
     });
   });
 
-  describe("differences", () => {
-    it("warns of a change of home", () => {
+  describe("diffs and patches", () => {
+    it("warn about a changed home", () => {
       const before = parseText(
-        `${GOOD}[region south]\nzones = s\n`.replace(
+        `${VALID_TEXT}[region south]\nzones = s\n`.replace(
           "regions = north",
           "regions = north, south",
         ),
       );
       const next = parseText(
-        `${GOOD}[region south]\nzones = s\n`.replace(
+        `${VALID_TEXT}[region south]\nzones = s\n`.replace(
           "regions = north",
           "regions = north, south",
         ).replace(
@@ -254,7 +265,7 @@
         ),
       );
       if (!before.ok || !next.ok) {
-        throw new Error("The texts of the test are faulty");
+        throw new Error("The configuration texts of this test are invalid");
       }
       expect(diffDeployments(before.deployment, next.deployment)).toEqual([
         expect.objectContaining({
@@ -265,7 +276,7 @@
       ]);
     });
 
-    it("patches any text into any other", () => {
+    it("turn any text into any other", () => {
       const text = fc.array(fc.constantFrom("a", "b", "c", "")).map((lines) =>
         lines.join("\n")
       );
@@ -278,7 +289,7 @@
       );
     });
 
-    it("refuses a patch against another base", () => {
+    it("are refused for another base text", () => {
       expect(applyPatch("x\ny", diffText("a\nb", "a\nc"))).toBeUndefined();
     });
   });
--- a/packages/core/src/text/check_references.ts
+++ b/packages/core/src/text/check_references.ts
@@ -1,5 +1,6 @@
 /**
- * Checks between sections: names that must exist, homes that must be able to serve, no cycles.
+ * Checks references between sections: names must exist, homes must have the services, and dependencies
+ * must not form a cycle.
  *
  * @module
  */
@@ -7,16 +8,19 @@
 import type { Route } from "../routes/index.ts";
 import type { Deployment, Service } from "./deployment.ts";
 
-type Report = (
+type FaultReporter = (
   section: string,
   key: string,
   found: string,
   expected: string,
 ) => void;
 
-/** Reports every broken reference of a deployment. */
-export function checkReferences(deployment: Deployment, report: Report): void {
-  checkPresence(deployment, report);
+/** Reports every invalid reference of a deployment. */
+export function checkReferences(
+  deployment: Deployment,
+  report: FaultReporter,
+): void {
+  checkRequiredSections(deployment, report);
   checkZones(deployment, report);
   for (const service of deployment.services.values()) {
     checkService(deployment, service, report);
@@ -25,7 +29,10 @@
   checkCustomers(deployment, report);
 }
 
-function checkPresence(deployment: Deployment, report: Report): void {
+function checkRequiredSections(
+  deployment: Deployment,
+  report: FaultReporter,
+): void {
   if (deployment.regions.size === 0) {
     report("deployment", "", "no region", "at least one [region NAME]");
   }
@@ -34,17 +41,17 @@
   }
 }
 
-function checkZones(deployment: Deployment, report: Report): void {
+function checkZones(deployment: Deployment, report: FaultReporter): void {
   const regionByZone = new Map<string, string>();
   for (const region of deployment.regions.values()) {
     for (const zone of region.zones) {
-      const other = regionByZone.get(zone);
-      if (other !== undefined) {
+      const otherRegion = regionByZone.get(zone);
+      if (otherRegion !== undefined) {
         report(
           `region ${region.id}`,
           "zones",
           `"${zone}"`,
-          `a zone that region "${other}" does not have`,
+          `a zone that region "${otherRegion}" does not have`,
         );
       }
       regionByZone.set(zone, region.id);
@@ -55,7 +62,7 @@
 function checkService(
   deployment: Deployment,
   service: Service,
-  report: Report,
+  report: FaultReporter,
 ): void {
   const section = `service ${service.id}`;
   for (const region of service.regions) {
@@ -71,7 +78,7 @@
 function checkDependency(
   deployment: Deployment,
   { service, dependency }: { service: Service; dependency: ServiceId },
-  report: Report,
+  report: FaultReporter,
 ): void {
   const section = `service ${service.id}`;
   const target = deployment.services.get(dependency);
@@ -79,7 +86,7 @@
     report(section, "depends_on", `"${dependency}"`, "a service of this text");
     return;
   }
-  if (reaches(deployment, { from: dependency, to: service.id })) {
+  if (hasDependencyPath(deployment, { from: dependency, to: service.id })) {
     report(
       section,
       "depends_on",
@@ -100,43 +107,43 @@
   }
 }
 
-function reaches(
+function hasDependencyPath(
   deployment: Deployment,
   { from, to }: { from: ServiceId; to: ServiceId },
 ): boolean {
   const seen = new Set<ServiceId>();
-  const open = [from];
-  while (open.length > 0) {
-    const next = open.pop()!;
+  const pending = [from];
+  while (pending.length > 0) {
+    const next = pending.pop()!;
     if (next === to) {
       return true;
     }
     if (!seen.has(next)) {
       seen.add(next);
-      open.push(...(deployment.services.get(next)?.dependsOn ?? []));
+      pending.push(...(deployment.services.get(next)?.dependsOn ?? []));
     }
   }
   return false;
 }
 
-function checkRoutes(deployment: Deployment, report: Report): void {
-  const ownerByPlace = new Map<string, string>();
+function checkRoutes(deployment: Deployment, report: FaultReporter): void {
+  const routeByLocation = new Map<string, string>();
   for (const route of deployment.routes.values()) {
     checkRoute(deployment, route, report);
-    const place = `${route.host}${route.pathPrefix}`;
-    const owner = ownerByPlace.get(place);
-    if (owner !== undefined) {
-      const expected = `a place that route "${owner}" does not have`;
-      report(`route ${route.name}`, "path", `"${place}"`, expected);
+    const location = `${route.host}${route.pathPrefix}`;
+    const otherRoute = routeByLocation.get(location);
+    if (otherRoute !== undefined) {
+      const expected = `a place that route "${otherRoute}" does not have`;
+      report(`route ${route.name}`, "path", `"${location}"`, expected);
     }
-    ownerByPlace.set(place, route.name);
+    routeByLocation.set(location, route.name);
   }
 }
 
 function checkRoute(
   deployment: Deployment,
   { name, kind, targets, homes, attempts, resumable }: Route,
-  report: Report,
+  report: FaultReporter,
 ): void {
   const section = `route ${name}`;
   for (const { service } of targets) {
@@ -145,10 +152,10 @@
     }
   }
   for (const home of homes) {
-    const served = targets.every(({ service }) =>
+    const isServed = targets.every(({ service }) =>
       deployment.services.get(service)?.regions.includes(home) ?? true
     );
-    if (!deployment.regions.has(home) || !served) {
+    if (!deployment.regions.has(home) || !isServed) {
       const expected = "a region that has the route's services";
       report(section, "homes", `"${home}"`, expected);
     }
@@ -162,8 +169,8 @@
   }
 }
 
-function checkCustomers(deployment: Deployment, report: Report): void {
-  const ownerByDigest = new Map<string, string>();
+function checkCustomers(deployment: Deployment, report: FaultReporter): void {
+  const customerByDigest = new Map<string, string>();
   for (const customer of deployment.customers.values()) {
     const section = `customer ${customer.id}`;
     if (!deployment.regions.has(customer.home)) {
@@ -181,16 +188,16 @@
       );
     }
     for (const digest of customer.keyDigests) {
-      const owner = ownerByDigest.get(digest);
-      if (owner !== undefined) {
+      const otherCustomer = customerByDigest.get(digest);
+      if (otherCustomer !== undefined) {
         report(
           section,
           "token_sha256",
-          `the digest of customer "${owner}"`,
+          `the digest of customer "${otherCustomer}"`,
           "a digest of its own",
         );
       }
-      ownerByDigest.set(digest, customer.id);
+      customerByDigest.set(digest, customer.id);
     }
   }
 }
--- a/packages/core/src/text/deployment.ts
+++ b/packages/core/src/text/deployment.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' picture, as parsed from an accepted text.
+ * The deployment that operators configure, as parsed from a valid configuration text.
  *
  * @module
  */
@@ -14,13 +14,13 @@
 import type { Customer } from "../customers/index.ts";
 import type { Route } from "../routes/index.ts";
 
-/** What the deployment weighs most. */
+/** What the deployment optimizes for: tail latency or cost. */
 export type Objective = "tail" | "cost";
 
-/** Class of a request: a person waits at a screen, or a summary may take its time. */
+/** Class of a request: `screen` if a person waits for the answer, `summary` if it is not urgent. */
 export type RequestClass = "screen" | "summary";
 
-/** Classes in order of priority, first served first. */
+/** All request classes, highest priority first. */
 export const REQUEST_CLASSES: readonly RequestClass[] = ["screen", "summary"];
 
 /** A region and its availability zones. */
@@ -35,33 +35,33 @@
   readonly dependsOn: readonly ServiceId[];
   readonly deadline: Milliseconds;
   readonly defaultClass: RequestClass;
-  /** Requests that may wait at one entry. */
+  /** Largest number of requests that may wait at one entry. */
   readonly queueLimit: number;
 }
 
-/** A service of model engines. */
+/** A service that model engines provide. */
 export interface ModelService extends ServiceBase {
   readonly kind: "model";
   readonly model: string;
-  /** Engines come from this pool of VMs; several services may share one. */
+  /** Pool of VMs that runs the engines. Several services may share one. */
   readonly pool: string;
-  /** Weight when a pool's engines are divided among models. */
+  /** Weight of the model when a pool's engines are divided among models. */
   readonly share: number;
 }
 
 /** A plain HTTP service. */
 export interface PlainService extends ServiceBase {
   readonly kind: "plain";
-  /** Whether a second run of the same call does harm. */
+  /** Whether the same call may run a second time without harm. */
   readonly repeatable: boolean;
-  /** Statuses by which an endpoint says, as its contract, that the call did not run. */
+  /** Statuses that, by contract, an endpoint returns only if the call did not run. */
   readonly notRunStatuses: readonly number[];
 }
 
-/** Any service of the text. */
+/** A service of either kind. */
 export type Service = ModelService | PlainService;
 
-/** A customer of the text, whose keys are the tokens that its callers show. */
+/** A customer of the configuration text. Its keys are the tokens that its callers present. */
 export interface HomedCustomer extends Customer {
   readonly home: RegionId;
   /** Whether requests and data must stay in the home region. */
@@ -69,18 +69,18 @@
   readonly classes: readonly RequestClass[];
 }
 
-/** Everything that one accepted text says. */
+/** The content of a valid configuration text. */
 export interface Deployment {
   readonly name: string;
   readonly objective: Objective;
-  /** Largest share of a region's requests that may be sent to others, 0 to 1. */
+  /** Largest fraction of a region's requests that may be sent to other regions, 0 to 1. */
   readonly spillLimit: number;
-  /** Loads that a zone may start in a minute, from the weight store's rate. */
+  /** Model loads that a zone may start per minute, limited by the throughput of the weight store. */
   readonly loadsPerMinute: number;
   readonly regions: ReadonlyMap<RegionId, Region>;
   readonly services: ReadonlyMap<ServiceId, Service>;
   readonly customers: ReadonlyMap<CustomerId, HomedCustomer>;
-  /** Hosts and paths that are passed through to services as they are. */
+  /** Hosts and paths whose requests are passed through to services unchanged. */
   readonly routes: ReadonlyMap<RouteName, Route>;
   readonly customerByDigest: ReadonlyMap<string, HomedCustomer>;
 }
--- a/packages/core/src/text/diff.ts
+++ b/packages/core/src/text/diff.ts
@@ -1,61 +1,64 @@
 /**
- * What would change from one accepted text to the next, for operators.
+ * Lists the changes between two deployments, for operators.
  *
  * @module
  */
 import type { Deployment } from "./deployment.ts";
 
-/** One change. `warning` says what it may do to customers. */
-export interface Change {
+/** One change. `warning` describes its possible effect on customers. */
+export interface DeploymentChange {
   readonly subject: string;
   readonly change: string;
   readonly warning?: string;
 }
 
-/** Lists services, regions, routes, customers and limits that differ. */
+/** Lists the settings, regions, services, routes and customers that differ. */
 export function diffDeployments(
   before: Deployment,
-  next: Deployment,
-): Change[] {
+  after: Deployment,
+): DeploymentChange[] {
   return [
-    ...diffHead(before, next),
-    ...diffMaps("region", before.regions, next.regions),
-    ...diffMaps("service", before.services, next.services),
-    ...diffMaps("route", before.routes, next.routes),
-    ...diffMaps("customer", before.customers, next.customers),
+    ...diffSettings(before, after),
+    ...diffSections("region", before.regions, after.regions),
+    ...diffSections("service", before.services, after.services),
+    ...diffSections("route", before.routes, after.routes),
+    ...diffSections("customer", before.customers, after.customers),
   ];
 }
 
-function diffHead(before: Deployment, next: Deployment): Change[] {
+function diffSettings(
+  before: Deployment,
+  after: Deployment,
+): DeploymentChange[] {
   const fields = ["name", "objective", "spillLimit", "loadsPerMinute"] as const;
-  return fields.filter((field) => before[field] !== next[field]).map((
+  return fields.filter((field) => before[field] !== after[field]).map((
     field,
   ) => ({
     subject: "deployment",
-    change: `${field}: ${before[field]} -> ${next[field]}`,
+    change: `${field}: ${before[field]} -> ${after[field]}`,
   }));
 }
 
-function diffMaps<Item extends object>(
+function diffSections<Item extends object>(
   kind: string,
   before: ReadonlyMap<string, Item>,
-  next: ReadonlyMap<string, Item>,
-): Change[] {
-  const changes: Change[] = [];
+  after: ReadonlyMap<string, Item>,
+): DeploymentChange[] {
+  const changes: DeploymentChange[] = [];
   for (const [id, item] of before) {
-    const other = next.get(id);
+    const replacement = after.get(id);
     const subject = `${kind} ${id}`;
-    if (other === undefined) {
+    if (replacement === undefined) {
       changes.push({
         subject,
         change: "removed",
         warning: `Requests for ${subject} are refused`,
       });
     } else {
-      changes.push(...diffItem(subject, item, other));
+      changes.push(...diffSection(subject, item, replacement));
     }
   }
-  for (const id of next.keys()) {
+  for (const id of after.keys()) {
     if (!before.has(id)) {
       changes.push({ subject: `${kind} ${id}`, change: "added" });
     }
@@ -63,25 +66,29 @@
   return changes;
 }
 
-function diffItem(subject: string, before: object, next: object): Change[] {
-  const keys = Object.keys({ ...before, ...next }) as (keyof typeof before)[];
+function diffSection(
+  subject: string,
+  before: object,
+  after: object,
+): DeploymentChange[] {
+  const keys = Object.keys({ ...before, ...after }) as (keyof typeof before)[];
   return keys.filter((key) =>
-    !(String(key) === "homes" && "home" in next) &&
-    JSON.stringify(before[key]) !== JSON.stringify(next[key])
+    !(String(key) === "homes" && "home" in after) &&
+    JSON.stringify(before[key]) !== JSON.stringify(after[key])
   ).map((key) => {
     const name = String(key);
     const change = name === "keyDigests"
       ? "token digests changed"
-      : `${name}: ${shown(before[key])} -> ${shown(next[key])}`;
+      : `${name}: ${formatValue(before[key])} -> ${formatValue(after[key])}`;
     return name === "home"
       ? { subject, change, warning: HOME_WARNING }
       : { subject, change };
   });
 }
 
-function shown(value: unknown): string {
-  const plain = Array.isArray(value) && typeof value[0] !== "object";
-  return typeof value === "object" && !plain
+function formatValue(value: unknown): string {
+  const isPlainList = Array.isArray(value) && typeof value[0] !== "object";
+  return typeof value === "object" && !isPlainList
     ? JSON.stringify(value)
     : String(value);
 }
--- a/packages/core/src/text/lines.ts
+++ b/packages/core/src/text/lines.ts
@@ -1,12 +1,12 @@
 /**
- * Where things stand in an INI text. The `ini` library keeps no line numbers and lets a repeated key
- * or section overwrite the earlier one in silence, so a text could lose a customer unnoticed; this
- * index finds the line of each key and every repetition.
+ * Line numbers of an INI text. The `ini` library keeps none, and a repeated key or section silently overwrites
+ * the earlier one, so that a text could lose a customer unnoticed. The index finds the line of each key
+ * and reports repetitions.
  *
  * @module
  */
 
-/** A repeated section or key, or a line that is neither. */
+/** A fault at a line of a text, with what was found and what was expected. */
 export interface LineFault {
   readonly line: number;
   readonly section: string;
@@ -15,7 +15,7 @@
   readonly expected: string;
 }
 
-/** Lines of sections and keys, counted from 1. */
+/** Maps sections and keys to their line numbers, counted from 1, and collects faults of the INI syntax. */
 export class LineIndex {
   readonly faults: LineFault[] = [];
   readonly #lines = new Map<string, number>();
@@ -31,7 +31,7 @@
     });
   }
 
-  /** Line of a key, or of its section where the key is missing; 1 when neither exists. */
+  /** Returns the line of a key, or that of its section if the key is missing, or 1 if neither exists. */
   lineOf(section: string, key = ""): number {
     return this.#lines.get(indexKey(section, key)) ??
       this.#lines.get(indexKey(section, "")) ?? 1;
@@ -49,7 +49,7 @@
     }
     const equals = line.indexOf("=");
     if (equals <= 0) {
-      this.#fault({
+      this.#addFault({
         section,
         key: "",
         number,
@@ -65,25 +65,25 @@
   #add(
     { section, key, number }: { section: string; key: string; number: number },
   ): void {
-    const at = indexKey(section, key);
-    const first = this.#lines.get(at);
-    if (first === undefined) {
-      this.#lines.set(at, number);
+    const lookupKey = indexKey(section, key);
+    const firstLine = this.#lines.get(lookupKey);
+    if (firstLine === undefined) {
+      this.#lines.set(lookupKey, number);
       return;
     }
     const found = key === ""
       ? `a second [${clip(section)}]`
       : `a second ${clip(key)}`;
-    this.#fault({
+    this.#addFault({
       section,
       key,
       number,
       found,
-      expected: `one only; the first is at line ${first}`,
+      expected: `one only; the first is at line ${firstLine}`,
     });
   }
 
-  #fault(
+  #addFault(
     { number, ...rest }: { number: number } & Omit<LineFault, "line">,
   ): void {
     this.faults.push({ line: number, ...rest });
@@ -94,13 +94,13 @@
   return `${section}\n${key}`;
 }
 
-const CLIP_LENGTH = 60;
+const MAX_EXCERPT_LENGTH = 60;
 
-/** Shortens a quoted value and takes out control characters, so that a fault prints on one line. */
+/** Shortens a quoted value and replaces control characters, so that a fault prints on one line. */
 export function clip(value: string): string {
   // deno-lint-ignore no-control-regex
   const printable = value.replace(/[\u0000-\u001f\u007f]/g, "?");
-  return printable.length > CLIP_LENGTH
-    ? `${printable.slice(0, CLIP_LENGTH)}...`
+  return printable.length > MAX_EXCERPT_LENGTH
+    ? `${printable.slice(0, MAX_EXCERPT_LENGTH)}...`
     : printable;
 }
--- a/packages/core/src/text/parse.ts
+++ b/packages/core/src/text/parse.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the operators' text. A pure function of the text, so that every entry comes to the same
- * verdict on the same revision without asking another.
+ * Parses the configuration text that operators write. The result depends on the text alone, so all entries
+ * accept or reject the same revision without coordination.
  *
  * @module
  */
@@ -27,28 +27,28 @@
 import {
   customerSchema,
   deploymentSchema,
-  modelSchema,
+  modelServiceSchema,
   nameSchema,
-  plainSchema,
+  plainServiceSchema,
   regionSchema,
   routeSchema,
 } from "./schema.ts";
 
-/** A customer of the text may ask for so many seconds of its rate at once. */
+/** Burst of a customer, in seconds of its configured rate. */
 const BURST_SECONDS = 1;
-/** The configuration service holds values up to a megabyte. */
+/** The configuration service stores values of up to 1 MiB. */
 export const MAX_TEXT_BYTES = 1_048_576;
 
-/** One fault of a text: line from 1, section, key, what was found and what was expected. */
+/** One fault of a configuration text, with its line counted from 1. */
 export type TextFault = LineFault;
 
-/** Either a deployment or every fault of the text at once. */
-export type TextResult =
+/** Either the deployment or all faults of the text. */
+export type ParseResult =
   | { readonly ok: true; readonly deployment: Deployment }
   | { readonly ok: false; readonly faults: readonly TextFault[] };
 
-/** Parses and checks a whole text. Never throws. */
-export function parseText(text: string): TextResult {
+/** Parses and validates a whole text. Never throws. */
+export function parseText(text: string): ParseResult {
   if (Buffer.byteLength(text) > MAX_TEXT_BYTES) {
     const expected = `at most ${MAX_TEXT_BYTES} bytes`;
     return {
@@ -62,9 +62,9 @@
       }],
     };
   }
-  const reader = new TextReader(text);
-  const deployment = reader.read();
-  const faults = [...reader.faults].sort((left, right) =>
+  const parser = new DeploymentParser(text);
+  const deployment = parser.parse();
+  const faults = [...parser.faults].sort((left, right) =>
     left.line - right.line
   );
   return deployment !== undefined && faults.length === 0
@@ -72,8 +72,8 @@
     : { ok: false, faults };
 }
 
-/** Collects sections and faults of one text. */
-class TextReader {
+/** Collects the sections and faults of one text. */
+class DeploymentParser {
   readonly faults: TextFault[];
   readonly #lines: LineIndex;
   readonly #text: string;
@@ -81,7 +81,7 @@
   readonly #services = new Map<ServiceId, Service>();
   readonly #customers = new Map<CustomerId, HomedCustomer>();
   readonly #routes = new Map<RouteName, Route>();
-  #head: z.infer<typeof deploymentSchema> | undefined;
+  #settings: z.infer<typeof deploymentSchema> | undefined;
 
   constructor(text: string) {
     this.#text = text;
@@ -89,35 +89,35 @@
     this.faults = this.#lines.faults;
   }
 
-  read(): Deployment | undefined {
-    for (const [section, body] of sectionsOf(this.#text)) {
+  parse(): Deployment | undefined {
+    for (const [section, body] of parseSections(this.#text)) {
       this.#readSection(section, body);
     }
-    if (this.#head === undefined) {
-      this.#missingHead();
+    if (this.#settings === undefined) {
+      this.#reportMissingSettings();
       return undefined;
     }
-    const deployment = this.#build(this.#head);
-    const fault = (
+    const deployment = this.#buildDeployment(this.#settings);
+    const reportFault = (
       section: string,
       key: string,
       found: string,
       expected: string,
-    ): void => this.#fault(section, key, { found, expected });
-    checkReferences(deployment, fault);
+    ): void => this.#addFault(section, key, { found, expected });
+    checkReferences(deployment, reportFault);
     return deployment;
   }
 
-  #missingHead(): void {
+  #reportMissingSettings(): void {
     if (!this.faults.some((fault) => fault.section === "deployment")) {
-      this.#fault("deployment", "", {
+      this.#addFault("deployment", "", {
         found: "nothing",
         expected: "a section [deployment]",
       });
     }
   }
 
-  #build(head: z.infer<typeof deploymentSchema>): Deployment {
+  #buildDeployment(settings: z.infer<typeof deploymentSchema>): Deployment {
     const customerByDigest = new Map<string, HomedCustomer>();
     for (const customer of this.#customers.values()) {
       customer.keyDigests.forEach((digest) =>
@@ -125,10 +125,10 @@
       );
     }
     return {
-      name: head.name,
-      objective: head.objective,
-      spillLimit: head.spill_limit,
-      loadsPerMinute: head.loads_per_minute,
+      name: settings.name,
+      objective: settings.objective,
+      spillLimit: settings.spill_limit,
+      loadsPerMinute: settings.loads_per_minute,
       regions: this.#regions,
       services: this.#services,
       customers: this.#customers,
@@ -140,31 +140,33 @@
   #readSection(section: string, body: unknown): void {
     const [kind, name, ...extra] = section.split(/\s+/);
     if (typeof body !== "object" || body === null || Array.isArray(body)) {
-      this.#fault("", section, {
+      this.#addFault("", section, {
         found: "a key outside any section",
         expected: "[deployment] first",
       });
       return;
     }
     if (section === "deployment") {
-      this.#head = this.#check(deploymentSchema, section, body);
+      this.#settings = this.#validate(deploymentSchema, section, body);
       return;
     }
-    const known = kind === "region" || kind === "service" ||
+    const isKnownKind = kind === "region" || kind === "service" ||
       kind === "customer" || kind === "route";
-    if (!known || extra.length > 0 || !nameSchema.safeParse(name).success) {
+    if (
+      !isKnownKind || extra.length > 0 || !nameSchema.safeParse(name).success
+    ) {
       const expected =
         "deployment, region NAME, service NAME, route NAME or customer NAME";
-      this.#fault(section, "", {
+      this.#addFault(section, "", {
         found: `section [${clip(section)}]`,
         expected,
       });
       return;
     }
-    this.#readNamed(kind, name!, { section, body });
+    this.#readNamedSection(kind, name!, { section, body });
   }
 
-  #readNamed(
+  #readNamedSection(
     kind: "region" | "service" | "customer" | "route",
     name: string,
     { section, body }: { section: string; body: object },
@@ -184,9 +186,9 @@
     id: RegionId,
     { section, body }: { section: string; body: object },
   ): void {
-    const found = this.#check(regionSchema, section, body);
-    if (found) {
-      this.#regions.set(id, { id, zones: found.zones as ZoneId[] });
+    const parsed = this.#validate(regionSchema, section, body);
+    if (parsed) {
+      this.#regions.set(id, { id, zones: parsed.zones as ZoneId[] });
     }
   }
 
@@ -196,39 +198,39 @@
   ): void {
     const kind = (body as { kind?: unknown }).kind;
     if (kind !== "model" && kind !== "plain") {
-      this.#fault(section, "kind", {
+      this.#addFault(section, "kind", {
         found: kind === undefined ? "nothing" : clip(String(kind)),
         expected: "model or plain",
       });
       return;
     }
-    const found = kind === "model"
-      ? this.#check(modelSchema, section, body)
-      : this.#check(plainSchema, section, body);
-    if (!found) {
+    const parsed = kind === "model"
+      ? this.#validate(modelServiceSchema, section, body)
+      : this.#validate(plainServiceSchema, section, body);
+    if (!parsed) {
       return;
     }
     const base = {
       id,
-      regions: found.regions as RegionId[],
-      dependsOn: found.depends_on as ServiceId[],
-      deadline: milliseconds(found.deadline_ms),
-      defaultClass: found.class,
-      queueLimit: found.queue_limit,
+      regions: parsed.regions as RegionId[],
+      dependsOn: parsed.depends_on as ServiceId[],
+      deadline: milliseconds(parsed.deadline_ms),
+      defaultClass: parsed.class,
+      queueLimit: parsed.queue_limit,
     };
-    const service: Service = found.kind === "model"
+    const service: Service = parsed.kind === "model"
       ? {
         ...base,
         kind: "model",
-        model: found.model,
-        pool: found.pool,
-        share: found.share,
+        model: parsed.model,
+        pool: parsed.pool,
+        share: parsed.share,
       }
       : {
         ...base,
         kind: "plain",
-        repeatable: found.repeatable,
-        notRunStatuses: found.not_run_statuses,
+        repeatable: parsed.repeatable,
+        notRunStatuses: parsed.not_run_statuses,
       };
     this.#services.set(id, service);
   }
@@ -237,25 +239,25 @@
     name: RouteName,
     { section, body }: { section: string; body: object },
   ): void {
-    const found = this.#check(routeSchema, section, body);
-    if (found) {
+    const parsed = this.#validate(routeSchema, section, body);
+    if (parsed) {
       this.#routes.set(name, {
         name,
-        host: found.host,
-        pathPrefix: found.path,
-        kind: found.kind,
-        targets: found.services as unknown as Route["targets"],
-        attempts: found.attempts,
-        timeout: milliseconds(found.timeout_ms),
-        objective: milliseconds(found.objective_ms),
-        pauseObjective: found.pause_ms === undefined
+        host: parsed.host,
+        pathPrefix: parsed.path,
+        kind: parsed.kind,
+        targets: parsed.services as unknown as Route["targets"],
+        attempts: parsed.attempts,
+        timeout: milliseconds(parsed.timeout_ms),
+        objective: milliseconds(parsed.objective_ms),
+        pauseObjective: parsed.pause_ms === undefined
           ? undefined
-          : milliseconds(found.pause_ms),
-        priority: found.priority,
-        homes: found.homes as RegionId[],
+          : milliseconds(parsed.pause_ms),
+        priority: parsed.priority,
+        homes: parsed.homes as RegionId[],
         public: true,
-        sticky: found.sticky,
-        resumable: found.resumable,
+        sticky: parsed.sticky,
+        resumable: parsed.resumable,
       });
     }
   }
@@ -264,27 +266,27 @@
     id: CustomerId,
     { section, body }: { section: string; body: object },
   ): void {
-    const found = this.#check(customerSchema, section, body);
-    if (found) {
+    const parsed = this.#validate(customerSchema, section, body);
+    if (parsed) {
       this.#customers.set(id, {
         id,
-        home: found.home as RegionId,
-        bound: found.bound,
-        keyDigests: found.token_sha256 as KeyDigest[],
+        home: parsed.home as RegionId,
+        bound: parsed.bound,
+        keyDigests: parsed.token_sha256 as KeyDigest[],
         rank: undefined,
-        homes: found.bound ? [found.home as RegionId] : [],
+        homes: parsed.bound ? [parsed.home as RegionId] : [],
         limit: {
           unit: "requests",
-          perSecond: found.requests_per_s,
-          burst: found.requests_per_s * BURST_SECONDS,
+          perSecond: parsed.requests_per_s,
+          burst: parsed.requests_per_s * BURST_SECONDS,
           plainTokens: 0,
         },
-        classes: found.classes,
+        classes: parsed.classes,
       });
     }
   }
 
-  #check<Schema extends z.ZodType>(
+  #validate<Schema extends z.ZodType>(
     schema: Schema,
     section: string,
     body: object,
@@ -294,15 +296,15 @@
       return result.data;
     }
     for (const issue of result.error.issues) {
-      this.#issue(section, issue, body);
+      this.#addIssue(section, issue, body);
     }
     return undefined;
   }
 
-  #issue(section: string, issue: z.core.$ZodIssue, body: object): void {
+  #addIssue(section: string, issue: z.core.$ZodIssue, body: object): void {
     if (issue.code === "unrecognized_keys") {
       issue.keys.forEach((key) =>
-        this.#fault(section, key, {
+        this.#addFault(section, key, {
           found: `unknown key "${clip(key)}"`,
           expected: "a key of this section",
         })
@@ -312,10 +314,10 @@
     const key = String(issue.path[0] ?? "");
     const value = (body as Record<string, unknown>)[key];
     const found = value === undefined ? "nothing" : `"${clip(String(value))}"`;
-    this.#fault(section, key, { found, expected: issue.message });
+    this.#addFault(section, key, { found, expected: issue.message });
   }
 
-  #fault(
+  #addFault(
     section: string,
     key: string,
     { found, expected }: { found: string; expected: string },
@@ -331,10 +333,10 @@
 }
 
 /**
- * Sections as the library reads them, with a dotted name put together again: the library turns
- * `[a.b]` into an object inside an object, which would read as an unknown key of section `a`.
+ * Parses the sections of an INI text. Dots in section names are escaped first, because the library would turn
+ * `[a.b]` into an object nested in `a`, which would then be reported as an unknown key of section `a`.
  */
-function sectionsOf(text: string): [string, unknown][] {
+function parseSections(text: string): [string, unknown][] {
   const escaped = text.replace(
     /^\s*\[.*$/gm,
     (header) => header.replace(/\\?\./g, "\\."),
@@ -346,10 +348,10 @@
   }
 }
 
-/** One fault as a line for a person. */
+/** Formats a fault as one readable line. */
 export function formatFault(fault: TextFault): string {
-  const place = fault.key === ""
+  const location = fault.key === ""
     ? `section "${clip(fault.section)}"`
     : `section "${clip(fault.section)}", key "${clip(fault.key)}"`;
-  return `Line ${fault.line}, ${place}: found ${fault.found}, expected ${fault.expected}`;
+  return `Line ${fault.line}, ${location}: found ${fault.found}, expected ${fault.expected}`;
 }
--- a/packages/core/src/text/patch.ts
+++ b/packages/core/src/text/patch.ts
@@ -1,85 +1,84 @@
 /**
- * The difference of two texts as replaced runs of lines. Peers send it instead of the whole text: at
- * 25,000 changes a day a whole text of a hundred kilobytes would cost each entry more than its whole
- * budget for control.
+ * Line-based patches between two texts. Peers send them instead of whole texts: at 25,000 changes a day,
+ * whole texts of 100 kB would exceed the budget of an entry for control traffic.
  *
  * @module
  */
 import { sha256 } from "../ids/index.ts";
 
-/** One replaced run: `remove` lines of the former text from `start` on become `lines`. */
+/** Replaces `remove` lines of the base text, from index `start` on, by `lines`. */
 export interface Hunk {
   readonly start: number;
   readonly remove: number;
   readonly lines: readonly string[];
 }
 
-/** Replaced runs in order, none overlapping. */
+/** A patch whose hunks are in order and do not overlap. */
 export interface TextPatch {
   readonly hunks: readonly Hunk[];
   /** SHA-256 of the resulting text. */
   readonly digest: string;
 }
 
-/** The patch that turns `from` into `to`. */
+/** Returns the patch that turns `from` into `to`. */
 export function diffText(from: string, to: string): TextPatch {
   const before = from.split("\n");
-  const next = to.split("\n");
-  const head = commonHead(before, next);
-  const tail = commonTail(before, next, head);
-  const removed = before.slice(head, before.length - tail);
-  const added = next.slice(head, next.length - tail);
+  const after = to.split("\n");
+  const prefixLength = commonPrefixLength(before, after);
+  const suffixLength = commonSuffixLength(before, after, prefixLength);
+  const removed = before.slice(prefixLength, before.length - suffixLength);
+  const added = after.slice(prefixLength, after.length - suffixLength);
   const hunks = removed.length === added.length
-    ? diffLines(removed, added, head)
-    : [{ start: head, remove: removed.length, lines: added }];
+    ? diffLines(removed, added, prefixLength)
+    : [{ start: prefixLength, remove: removed.length, lines: added }];
   return { hunks, digest: sha256(to) };
 }
 
-/** Applies a patch; `undefined` if the outcome is not the text that the sender had. */
+/** Applies a patch. Returns `undefined` if the result does not match the digest of the sender's text. */
 export function applyPatch(
   text: string,
   { hunks, digest }: TextPatch,
 ): string | undefined {
   const lines = text.split("\n");
   const result: string[] = [];
-  let taken = 0;
+  let consumed = 0;
   for (const { start, remove, lines: added } of hunks) {
-    if (start < taken || start + remove > lines.length) {
+    if (start < consumed || start + remove > lines.length) {
       return undefined;
     }
-    result.push(...lines.slice(taken, start), ...added);
-    taken = start + remove;
+    result.push(...lines.slice(consumed, start), ...added);
+    consumed = start + remove;
   }
-  const patched = [...result, ...lines.slice(taken)].join("\n");
+  const patched = [...result, ...lines.slice(consumed)].join("\n");
   return sha256(patched) === digest ? patched : undefined;
 }
 
-function commonHead(
+function commonPrefixLength(
   before: readonly string[],
-  next: readonly string[],
+  after: readonly string[],
 ): number {
-  const shorter = Math.min(before.length, next.length);
-  let head = 0;
-  while (head < shorter && before[head] === next[head]) {
-    head++;
+  const limit = Math.min(before.length, after.length);
+  let length = 0;
+  while (length < limit && before[length] === after[length]) {
+    length++;
   }
-  return head;
+  return length;
 }
 
-function commonTail(
+function commonSuffixLength(
   before: readonly string[],
-  next: readonly string[],
-  head: number,
+  after: readonly string[],
+  prefixLength: number,
 ): number {
-  const shorter = Math.min(before.length, next.length) - head;
-  let tail = 0;
-  while (tail < shorter && before.at(-1 - tail) === next.at(-1 - tail)) {
-    tail++;
+  const limit = Math.min(before.length, after.length) - prefixLength;
+  let length = 0;
+  while (length < limit && before.at(-1 - length) === after.at(-1 - length)) {
+    length++;
   }
-  return tail;
+  return length;
 }
 
-/** Runs that differ between texts of as many lines: most changes replace values and keep the lines. */
+/** Compares runs of equal length line by line, because most changes replace values and keep the lines. */
 function diffLines(
   removed: readonly string[],
   added: readonly string[],
--- a/playground/src/guards/guards.ts
+++ b/playground/src/guards/guards.ts
@@ -190,7 +190,7 @@
     point: "isolation",
     name: "a booting entry asks its peers for the text",
     file: `${CORE}/configuration/configuration_controller.ts`,
-    find: "this.#section.missing = holder?.revision;",
+    find: "this.#section.missing = newestPeer?.revision;",
     replace:
       "this.#section.missing = undefined; if (Date.now() > 0) { return; }",
   },
@@ -298,8 +298,10 @@
     point: "configuration",
     name: "a revision never goes down",
     file: `${CORE}/configuration/configuration_controller.ts`,
-    find: "if (!Number.isSafeInteger(revision) || revision <= tried) {",
-    replace: "if (!Number.isSafeInteger(revision) || revision === tried) {",
+    find:
+      "if (!Number.isSafeInteger(revision) || revision <= highestChecked) {",
+    replace:
+      "if (!Number.isSafeInteger(revision) || revision === highestChecked) {",
   },
   {
     point: "configuration",
