--- a/packages/cli/src/commands/__tests__/loss_commands.test.ts
+++ b/packages/cli/src/commands/__tests__/loss_commands.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from "vitest";
-import { sumLosses } from "../loss_commands.ts";
+import { summarizeLosses } from "../loss_commands.ts";
 
 function line(fields: Record<string, unknown>): string {
   return JSON.stringify({
@@ -13,9 +13,9 @@
   });
 }
 
-describe("losses", () => {
-  it("are added up by cause, reason and route, the most first", () => {
-    const { rows, lines } = sumLosses([
+describe("summarizeLosses", () => {
+  it("counts losses by cause, reason and route, most frequent first", () => {
+    const { rows, lines } = summarizeLosses([
       line({ cause: "refused", reason: "overloaded" }),
       line({ sentMs: 100 }),
       line({ sentMs: 300, call: "c2" }),
@@ -41,8 +41,8 @@
     ]);
   });
 
-  it("are counted by customer, with what they were lost to", () => {
-    const { customers } = sumLosses([
+  it("counts losses by customer, with their causes", () => {
+    const { customers } = summarizeLosses([
       line({ customer: "clinic", cause: "refused", reason: "over_limit" }),
       line({ customer: "clinic" }),
       line({ customer: "clinic" }),
@@ -55,8 +55,8 @@
     ]);
   });
 
-  it("are counted by region and second", () => {
-    const { regions, seconds } = sumLosses([
+  it("counts losses by region and second", () => {
+    const { regions, seconds } = summarizeLosses([
       line({ time: 1_100 }),
       line({ time: 1_900, region: "south" }),
       line({ time: 5_000 }),
@@ -68,13 +68,10 @@
     ]);
   });
 
-  /**
-   * Symptom: one torn line of a collector hides all others.
-   * Sequence: lines of several programs, some cut off, some with a prefix, are read together.
-   * Cause: a reader that takes each line for one of its own.
-   */
-  it("pass over what is no such line, and what stands before one", () => {
-    const { lines } = sumLosses([
+  // A log collector mixes lines of several programs, cuts some off and prefixes others. A parser that expects each
+  // line to be valid would fail on the first such line and hide all others.
+  it("ignores other lines, and prefixes of lines", () => {
+    const { lines } = summarizeLosses([
       "",
       '{"msg":"stop: Listening."}',
       '{"cause":"starved","rou',
--- a/packages/cli/src/commands/__tests__/text_commands.test.ts
+++ b/packages/cli/src/commands/__tests__/text_commands.test.ts
@@ -19,14 +19,14 @@
 afterAll(() => rmSync(folder, { recursive: true, force: true }));
 
 describe("check", () => {
-  it("passes an acceptable text", () => {
+  it("accepts a valid text", () => {
     expect(checkFile(EXAMPLE)).toMatchObject({
       exitCode: 0,
       json: { ok: true, name: "peachtree" },
     });
   });
 
-  it("names every fault of a faulty one, and fails", () => {
+  it("reports every fault of an invalid text, and fails", () => {
     const path = write(
       "faulty.ini",
       (text) =>
@@ -41,7 +41,7 @@
     expect(text).toContain("found plane, expected model or plain");
   });
 
-  it("says that a file cannot be read", () => {
+  it("reports a file that cannot be read", () => {
     expect(() => checkFile(join(folder, "missing.ini"))).toThrow(
       /Cannot read ".*missing.ini"/,
     );
@@ -49,7 +49,7 @@
 });
 
 describe("diff", () => {
-  it("lists changes and warns of a change of home", () => {
+  it("lists changes and warns about a changed home", () => {
     const path = write(
       "moved.ini",
       (text) =>
@@ -63,7 +63,7 @@
     expect(text).toContain("A change of home");
   });
 
-  it("says so when nothing would change", () => {
+  it("reports that nothing would change", () => {
     expect(
       diffFiles(EXAMPLE, write("same.ini", (text) => `; a comment\n${text}`))
         .text,
--- a/packages/cli/src/commands/fleet.ts
+++ b/packages/cli/src/commands/fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Asks every entry of a fleet, found through the first one.
+ * Queries every entry of a fleet, discovered through the first one.
  *
  * @module
  */
@@ -11,11 +11,11 @@
 } from "@sassafrasstep/daemon";
 import type { TRPCClient } from "@trpc/client";
 
-/** Client of one entry's control address. */
+/** Client for the control address of an entry. */
 export type EntryClient = TRPCClient<PeerRouter>;
 
-/** One entry's answer, or why there is none. */
-export type Reply<Value> =
+/** The answer of an entry, or the error of the query. */
+export type EntryReply<Value> =
   | {
     readonly controlUrl: string;
     readonly id: string;
@@ -29,38 +29,38 @@
     readonly error: string;
   };
 
-/** How to reach a fleet. */
+/** Address and credentials of a fleet. */
 export interface FleetAccess {
   readonly controlUrl: string;
   readonly deployment: string;
   readonly secret: string;
 }
 
-/** The entries of a fleet. */
+/** Client for all entries of a fleet. */
 export class FleetClient {
-  readonly #first: string;
+  readonly #firstUrl: string;
   readonly #peers: PeerClients;
 
   constructor({ controlUrl, deployment, secret }: FleetAccess) {
-    this.#first = controlUrl.replace(/\/$/, "");
+    this.#firstUrl = controlUrl.replace(/\/$/, "");
     this.#peers = new PeerClients(new Credentials(secret, deployment));
   }
 
-  /** Asks the first entry and every member that it knows of. */
-  async askAll<Value>(
-    ask: (client: EntryClient) => Promise<Value>,
-  ): Promise<Reply<Value>[]> {
-    const first = await this.#ask(
-      this.#first,
-      this.#first,
+  /** Queries the first entry and all members it knows. If the first one fails, returns its error alone. */
+  async queryAll<Value>(
+    query: (client: EntryClient) => Promise<Value>,
+  ): Promise<EntryReply<Value>[]> {
+    const first = await this.#query(
+      this.#firstUrl,
+      this.#firstUrl,
       (client) => client.status.query(),
     );
     if (!first.ok) {
       return [first];
     }
-    const places = placesOf(first.value);
+    const addresses = addressesOf(first.value);
     return await Promise.all(
-      places.map(({ id, controlUrl }) => this.#ask(id, controlUrl, ask)),
+      addresses.map(({ id, controlUrl }) => this.#query(id, controlUrl, query)),
     );
   }
 
@@ -68,11 +68,11 @@
     await this.#peers.close();
   }
 
-  async #ask<Value>(
+  async #query<Value>(
     id: string,
     controlUrl: string,
     ask: (client: EntryClient) => Promise<Value>,
-  ): Promise<Reply<Value>> {
+  ): Promise<EntryReply<Value>> {
     try {
       return {
         id,
@@ -86,7 +86,7 @@
   }
 }
 
-function placesOf(status: Status): { id: string; controlUrl: string }[] {
+function addressesOf(status: Status): { id: string; controlUrl: string }[] {
   const { id, controlUrl, members } = status;
   return [
     { id, controlUrl },
--- a/packages/cli/src/commands/fleet_commands.ts
+++ b/packages/cli/src/commands/fleet_commands.ts
@@ -1,36 +1,43 @@
 /**
- * `status`, `entries`, `explain` and `metrics`: ask the fleet.
+ * The commands `status`, `entries`, `explain` and `metrics`, which query the fleet.
  *
  * @module
  */
 import type { MetricsReport, Status } from "@sassafrasstep/daemon";
-import { type CommandResult, EXIT, formatTable } from "../output/index.ts";
-import type { FleetClient, Reply } from "./fleet.ts";
+import {
+  type CommandResult,
+  EXIT_CODES,
+  formatTable,
+} from "../output/index.ts";
+import type { EntryReply, FleetClient } from "./fleet.ts";
 
-/** The whole fleet: revision in force, members, endpoints. */
+/** Shows the entries of the fleet with their revisions and peers, the endpoints, and the problems. */
 export async function showStatus(fleet: FleetClient): Promise<CommandResult> {
-  const replies = await fleet.askAll((client) => client.status.query());
+  const replies = await fleet.queryAll((client) => client.status.query());
   const statuses = replies.flatMap((reply) => reply.ok ? [reply.value] : []);
-  const newest = Math.max(0, ...statuses.map(({ revision }) => revision));
+  const newestRevision = Math.max(
+    0,
+    ...statuses.map(({ revision }) => revision),
+  );
   const problems = [
-    ...unreachable(replies),
-    ...statuses.flatMap((status) => problemsOf(status, newest)),
+    ...unreachableEntries(replies),
+    ...statuses.flatMap((status) => findProblems(status, newestRevision)),
   ];
   const sections = [
-    entryTable(statuses),
-    endpointTable(statuses),
-    problemList(problems),
+    formatEntryTable(statuses),
+    formatEndpointTable(statuses),
+    formatProblems(problems),
   ];
   return {
     text: sections.join("\n\n"),
     json: { entries: replies, problems },
-    exitCode: problems.length === 0 ? EXIT.ok : EXIT.unwell,
+    exitCode: problems.length === 0 ? EXIT_CODES.ok : EXIT_CODES.failure,
   };
 }
 
-/** Entries with their addresses and what they take. */
+/** Shows the entries with their addresses and phases. */
 export async function showEntries(fleet: FleetClient): Promise<CommandResult> {
-  const replies = await fleet.askAll((client) => client.status.query());
+  const replies = await fleet.queryAll((client) => client.status.query());
   const rows = replies.map((reply) =>
     reply.ok
       ? [
@@ -51,27 +58,31 @@
       phase,
       url,
     })),
-    exitCode: replies.every(({ ok }) => ok) ? EXIT.ok : EXIT.unwell,
+    exitCode: replies.every(({ ok }) => ok)
+      ? EXIT_CODES.ok
+      : EXIT_CODES.failure,
   };
 }
 
-/** Each decision on a request. */
+/** Shows each decision that entries made on a request. */
 export async function explainRequest(
   fleet: FleetClient,
   request: string,
 ): Promise<CommandResult> {
-  const replies = await fleet.askAll((client) => client.explain.query(request));
+  const replies = await fleet.queryAll((client) =>
+    client.explain.query(request)
+  );
   const found = replies.flatMap((reply) =>
     reply.ok && reply.value !== null
       ? [{ id: reply.id, steps: reply.value }]
       : []
   );
-  const missing = unreachable(replies);
+  const missing = unreachableEntries(replies);
   if (found.length === 0) {
     const text = [`No entry remembers request "${request}"`, ...missing].join(
       "\n",
     );
-    return { text, json: { found: [], missing }, exitCode: EXIT.unwell };
+    return { text, json: { found: [], missing }, exitCode: EXIT_CODES.failure };
   }
   const rows = found.flatMap(({ id, steps }) =>
     steps.map((
@@ -81,28 +92,30 @@
   return {
     text: formatTable(["ENTRY", "AFTER", "DECISION", "DETAILS"], rows),
     json: { found, missing },
-    exitCode: missing.length === 0 ? EXIT.ok : EXIT.unwell,
+    exitCode: missing.length === 0 ? EXIT_CODES.ok : EXIT_CODES.failure,
   };
 }
 
-/** Histograms and counters of every entry. */
+/** Shows the latency summaries of every entry and the counters of the whole fleet. */
 export async function showMetrics(fleet: FleetClient): Promise<CommandResult> {
-  const replies = await fleet.askAll((client) => client.metrics.query());
+  const replies = await fleet.queryAll((client) => client.metrics.query());
   const reports = replies.flatMap((reply) =>
     reply.ok ? [{ id: reply.id, ...reply.value }] : []
   );
   return {
     text: [
-      summaryTable(reports),
-      countTable(reports),
-      problemList(unreachable(replies)),
+      formatSummaryTable(reports),
+      formatCounterTable(reports),
+      formatProblems(unreachableEntries(replies)),
     ].join("\n\n"),
     json: { entries: replies },
-    exitCode: replies.every(({ ok }) => ok) ? EXIT.ok : EXIT.unwell,
+    exitCode: replies.every(({ ok }) => ok)
+      ? EXIT_CODES.ok
+      : EXIT_CODES.failure,
   };
 }
 
-function entryTable(statuses: readonly Status[]): string {
+function formatEntryTable(statuses: readonly Status[]): string {
   const rows = statuses.map((status) => [
     status.id,
     status.zone,
@@ -130,15 +143,16 @@
   return formatTable(heading, rows);
 }
 
-/** Each endpoint once, in the words of the entry that sees it worst. */
-function endpointTable(statuses: readonly Status[]): string {
-  const order = ["draining", "suspect", "live"];
+/** Lists each endpoint once, as reported by the entry that sees it in the worst state. */
+function formatEndpointTable(statuses: readonly Status[]): string {
+  const statesWorstFirst = ["draining", "suspect", "live"];
   const worst = new Map<string, Status["endpoints"][number]>();
   for (const endpoint of statuses.flatMap(({ endpoints }) => endpoints)) {
     const known = worst.get(endpoint.id);
     if (
       known === undefined ||
-      order.indexOf(endpoint.state) < order.indexOf(known.state)
+      statesWorstFirst.indexOf(endpoint.state) <
+        statesWorstFirst.indexOf(known.state)
     ) {
       worst.set(endpoint.id, endpoint);
     }
@@ -157,16 +171,16 @@
   ], rows);
 }
 
-function problemsOf(status: Status, newest: number): string[] {
+function findProblems(status: Status, newestRevision: number): string[] {
   const problems: string[] = [];
   if (status.phase !== "ready") {
     problems.push(`Entry "${status.id}" is ${status.phase}`);
   }
   if (status.whyNotNewer !== "") {
     problems.push(`Entry "${status.id}": ${status.whyNotNewer}`);
-  } else if (status.revision < newest) {
+  } else if (status.revision < newestRevision) {
     problems.push(
-      `Entry "${status.id}" holds revision ${status.revision}, not ${newest}`,
+      `Entry "${status.id}" holds revision ${status.revision}, not ${newestRevision}`,
     );
   }
   for (
@@ -188,7 +202,7 @@
   return problems;
 }
 
-function unreachable(replies: readonly Reply<unknown>[]): string[] {
+function unreachableEntries(replies: readonly EntryReply<unknown>[]): string[] {
   return replies.flatMap((reply) =>
     reply.ok ? [] : [
       `Cannot reach entry "${reply.id}" at ${reply.controlUrl}: ${reply.error}`,
@@ -196,13 +210,13 @@
   );
 }
 
-function problemList(problems: readonly string[]): string {
+function formatProblems(problems: readonly string[]): string {
   return problems.length === 0
     ? "The fleet is healthy"
     : ["Problems:", ...problems].join("\n");
 }
 
-function summaryTable(
+function formatSummaryTable(
   reports: readonly ({ id: string } & MetricsReport)[],
 ): string {
   const rows = reports.flatMap(({ id, summaries }) =>
@@ -231,7 +245,7 @@
   ], rows);
 }
 
-function countTable(
+function formatCounterTable(
   reports: readonly ({ id: string } & MetricsReport)[],
 ): string {
   const totals = new Map<string, number>();
--- a/packages/cli/src/commands/gateway_commands.ts
+++ b/packages/cli/src/commands/gateway_commands.ts
@@ -1,16 +1,21 @@
 /**
- * `gateway` asks one entry before routes what it believes, `release` has it end a hold.
+ * The commands `gateway`, which shows the state of one entry, and `release`, which ends the quarantine of
+ * a request.
  *
  * @module
  */
 import { createGatewayClient, type GatewayStatus } from "@sassafrasstep/daemon";
-import { type CommandResult, EXIT, formatTable } from "../output/index.ts";
+import {
+  type CommandResult,
+  EXIT_CODES,
+  formatTable,
+} from "../output/index.ts";
 
-/** Age of the published picture from which on it is a problem, in milliseconds. */
-const OLD_CATALOGUE_MS = 10_000;
+/** Age above which the catalogue of an entry is reported as a problem. */
+const STALE_CATALOGUE_MS = 10_000;
 const MS_PER_SECOND = 1_000;
 
-/** One entry's picture: document, members, endpoints, where callers are sent. */
+/** Shows what one entry knows: document, members, endpoints, held requests, and the regions callers are sent to. */
 export async function showGateway(controlUrl: string): Promise<CommandResult> {
   const client = createGatewayClient(controlUrl.replace(/\/$/, ""));
   let status: GatewayStatus;
@@ -18,27 +23,27 @@
     status = await client.status.query();
   } catch (error) {
     const text = `Cannot ask ${controlUrl}: ${(error as Error).message}`;
-    return { text, json: { error: text }, exitCode: EXIT.unwell };
+    return { text, json: { error: text }, exitCode: EXIT_CODES.failure };
   }
-  const problems = problemsOf(status);
+  const problems = findProblems(status);
   const sections = [
-    headOf(status),
+    formatSummary(status),
     formatTable(
       ["MEMBER", "REGION", "STATE"],
       status.members.map(({ id, region, state }) => [id, region, state]),
     ),
-    endpointsOf(status),
-    heldOf(status),
+    formatEndpoints(status),
+    formatHeldRequests(status),
     problems.map((problem) => `problem: ${problem}`).join("\n"),
   ];
   return {
     text: sections.filter((section) => section !== "").join("\n\n"),
     json: { ...status, problems },
-    exitCode: problems.length === 0 ? EXIT.ok : EXIT.unwell,
+    exitCode: problems.length === 0 ? EXIT_CODES.ok : EXIT_CODES.failure,
   };
 }
 
-/** Ends the hold of a request at all entries, through one of them. */
+/** Ends the hold of a request at all entries, through one of them. `digest` identifies the request. */
 export async function releaseRequest(
   controlUrl: string,
   digest: string,
@@ -49,15 +54,15 @@
     const text = released
       ? `Request ${digest} is no longer held back`
       : `Request ${digest} is not held back at ${controlUrl}`;
-    const exitCode = released ? EXIT.ok : EXIT.unwell;
+    const exitCode = released ? EXIT_CODES.ok : EXIT_CODES.failure;
     return { text, json: { digest, released }, exitCode };
   } catch (error) {
     const text = `Cannot ask ${controlUrl}: ${(error as Error).message}`;
-    return { text, json: { error: text }, exitCode: EXIT.unwell };
+    return { text, json: { error: text }, exitCode: EXIT_CODES.failure };
   }
 }
 
-function headOf(status: GatewayStatus): string {
+function formatSummary(status: GatewayStatus): string {
   const shares = status.shares.map(({ region, share }) =>
     `${region} ${share.toFixed(2)}`
   ).join(", ");
@@ -74,7 +79,7 @@
   ].join("\n");
 }
 
-function endpointsOf({ endpoints }: GatewayStatus): string {
+function formatEndpoints({ endpoints }: GatewayStatus): string {
   return formatTable(
     ["ENDPOINT", "SERVICE", "STATE", "REQUESTS", "PREFILL", "FAILURES"],
     endpoints.map((endpoint) => [
@@ -96,7 +101,7 @@
   );
 }
 
-function heldOf({ held }: GatewayStatus): string {
+function formatHeldRequests({ held }: GatewayStatus): string {
   return held.length === 0 ? "" : formatTable(
     ["HELD BACK", "CALLER", "SERVICE", "SOFTWARE", "TERM", "SECONDS LEFT"],
     held.map(({ digest, caller, service, versions, term, remainingMs }) => [
@@ -110,11 +115,11 @@
   );
 }
 
-function problemsOf(status: GatewayStatus): string[] {
+function findProblems(status: GatewayStatus): string[] {
   const age = status.catalogueAgeMs ?? Infinity;
   return [
     ...status.documentVersion === 0 ? ["no document yet"] : [],
-    ...age > OLD_CATALOGUE_MS ? ["the store does not answer"] : [],
+    ...age > STALE_CATALOGUE_MS ? ["the store does not answer"] : [],
     ...status.endpoints.filter(({ state, usable, leaving }) =>
       state === "ready" && !usable && leaving !== true
     ).map(({ id }) => `endpoint ${id} is ready and not usable`),
--- a/packages/cli/src/commands/loss_commands.ts
+++ b/packages/cli/src/commands/loss_commands.ts
@@ -1,36 +1,41 @@
 /**
- * `losses`: adds up the lines that entries write about requests served late or not at all.
+ * The command `losses`, which summarizes the log lines of entries about requests that were served late or
+ * not at all.
  *
  * @module
  */
 import { readFileSync } from "node:fs";
-import { type CommandResult, EXIT, formatTable } from "../output/index.ts";
-
-/** Ids of requests shown for each row, to look for in the lines. */
-const EXAMPLES = 3;
+import {
+  type CommandResult,
+  EXIT_CODES,
+  formatTable,
+} from "../output/index.ts";
+
+/** Number of request ids per row to look for in the lines, of causes per customer and of worst seconds shown. */
+const MAX_SHOWN = 3;
 const MS_PER_SECOND = 1_000;
 
-/** One line about a request that was served badly. */
-interface LossLine {
+/** A log line about a request that was served late or not at all. */
+interface LossRecord {
   readonly time: number;
   readonly region: string;
-  /** Empty where the request was nobody's. */
+  /** Empty if the request belongs to no known customer. */
   readonly customer: string;
   readonly route: string;
   readonly cause: string;
   readonly reason: string;
   readonly call: string;
-  readonly waitedMs: number | undefined;
+  readonly sentAfterMs: number | undefined;
 }
 
-/** Losses of one cause and kind of request. */
+/** Losses with the same cause, reason and route. */
 export interface LossRow {
   readonly cause: string;
-  /** Why the entry refused, where it did. */
+  /** Reason of the refusal, if the entry refused the request. */
   readonly reason: string;
   readonly route: string;
   readonly count: number;
-  /** Mean time until it was sent, in milliseconds, of those that were. */
+  /** Mean time until the request was sent, in milliseconds, over those that were sent. */
   readonly sentAfterMs: number | undefined;
   readonly examples: readonly string[];
 }
@@ -39,51 +44,53 @@
 export interface CustomerRow {
   readonly customer: string;
   readonly count: number;
-  /** Causes, and the reason of a refusal, the most first. */
+  /** Causes, or reasons of refusals, with their counts, most frequent first. */
   readonly causes: readonly string[];
 }
 
-/** What `losses` adds up. */
+/** The result of `losses`. */
 export interface LossReport {
   readonly lines: number;
   readonly rows: readonly LossRow[];
   readonly regions: Readonly<Record<string, number>>;
-  /** Customers with the most losses first; requests of nobody are not among them. */
+  /** Customers with the most losses first. Requests without a customer are left out. */
   readonly customers: readonly CustomerRow[];
-  /** Second of the entries' clocks with the most losses first. */
+  /** Seconds by the entries' clocks, those with the most losses first. */
   readonly seconds: readonly {
     readonly second: string;
     readonly count: number;
   }[];
 }
 
-/** Reads collected lines of any number of entries. */
+/** Summarizes the log lines collected from any number of entries. */
 export function showLosses(files: readonly string[]): CommandResult {
   if (files.length === 0) {
-    throw new Error("Cannot add up losses: name a file of collected lines");
+    throw new Error(
+      "Cannot summarize losses: no file of collected lines given",
+    );
   }
-  const report = sumLosses(files.flatMap((file) => readLines(file)));
-  return { text: describe(report), json: report, exitCode: EXIT.ok };
+  const report = summarizeLosses(files.flatMap((file) => readLines(file)));
+  return { text: formatReport(report), json: report, exitCode: EXIT_CODES.ok };
 }
 
-/** Adds up lines; what is no line about a loss is passed over. */
-export function sumLosses(lines: readonly string[]): LossReport {
-  const losses = lines.map(readLoss).filter((loss) => loss !== undefined);
-  const groups = group(
+/** Summarizes lines. Lines that don't describe a loss are ignored. */
+export function summarizeLosses(lines: readonly string[]): LossReport {
+  const losses = lines.map(parseLossLine).filter((loss) => loss !== undefined);
+  const groups = groupBy(
     losses,
     ({ cause, reason, route }) => `${cause} ${reason} ${route}`,
   );
-  const rows = [...groups.values()].map(rowOf);
-  const seconds = group(losses, ({ time }) => secondOf(time));
+  const rows = [...groups.values()].map(toLossRow);
+  const seconds = groupBy(losses, ({ time }) => formatSecond(time));
   return {
     lines: losses.length,
     rows: rows.sort((left, right) => right.count - left.count),
     regions: Object.fromEntries(
-      [...group(losses, ({ region }) => region)].map((
+      [...groupBy(losses, ({ region }) => region)].map((
         [region, items],
       ) => [region, items.length]),
     ),
-    customers: customerRows(losses),
+    customers: toCustomerRows(losses),
     seconds: [...seconds].map(([second, items]) => ({
       second,
       count: items.length,
@@ -95,23 +102,23 @@
   return readFileSync(file, "utf8").split("\n");
 }
 
-/** A collector may have put something before the line. */
-function readLoss(line: string): LossLine | undefined {
+/** Parses a line, which a log collector may have prefixed. Returns `undefined` if it does not describe a loss. */
+function parseLossLine(line: string): LossRecord | undefined {
   const start = line.indexOf("{");
   const fields = start < 0 ? undefined : parse(line.slice(start));
   if (fields === undefined || typeof fields["cause"] !== "string") {
     return undefined;
   }
-  const textOf = (name: string): string => String(fields[name] ?? "");
+  const stringField = (name: string): string => String(fields[name] ?? "");
   return {
     time: Number(fields["time"] ?? 0),
-    region: textOf("region"),
-    customer: textOf("customer"),
-    route: textOf("route"),
+    region: stringField("region"),
+    customer: stringField("customer"),
+    route: stringField("route"),
     cause: fields["cause"],
-    reason: textOf("reason"),
-    call: textOf("call"),
-    waitedMs: typeof fields["sentMs"] === "number"
+    reason: stringField("reason"),
+    call: stringField("call"),
+    sentAfterMs: typeof fields["sentMs"] === "number"
       ? fields["sentMs"]
       : undefined,
   };
@@ -124,16 +131,16 @@
       ? value as Record<string, unknown>
       : undefined;
   } catch {
-    // A line that was cut off, or another program's.
+    // The line was cut off, or another program wrote it.
     return undefined;
   }
 }
 
-function group(
-  losses: readonly LossLine[],
-  keyOf: (loss: LossLine) => string,
-): Map<string, LossLine[]> {
-  const groups = new Map<string, LossLine[]>();
+function groupBy(
+  losses: readonly LossRecord[],
+  keyOf: (loss: LossRecord) => string,
+): Map<string, LossRecord[]> {
+  const groups = new Map<string, LossRecord[]>();
   for (const loss of losses) {
     const items = groups.get(keyOf(loss)) ?? [];
     items.push(loss);
@@ -142,54 +149,54 @@
   return groups;
 }
 
-function rowOf(losses: readonly LossLine[]): LossRow {
-  const [{ cause, reason, route }] = losses as [LossLine, ...LossLine[]];
-  const sent = losses.flatMap(({ waitedMs }) => waitedMs ?? []);
+function toLossRow(losses: readonly LossRecord[]): LossRow {
+  const [{ cause, reason, route }] = losses as [LossRecord, ...LossRecord[]];
+  const sentAfter = losses.flatMap(({ sentAfterMs }) => sentAfterMs ?? []);
   return {
     cause,
     reason,
     route,
     count: losses.length,
-    sentAfterMs: sent.length === 0
-      ? undefined
-      : Math.round(sent.reduce((sum, item) => sum + item, 0) / sent.length),
-    examples: losses.slice(0, EXAMPLES).map(({ call }) => call),
+    sentAfterMs: sentAfter.length === 0 ? undefined : Math.round(
+      sentAfter.reduce((sum, item) => sum + item, 0) / sentAfter.length,
+    ),
+    examples: losses.slice(0, MAX_SHOWN).map(({ call }) => call),
   };
 }
 
-function customerRows(losses: readonly LossLine[]): CustomerRow[] {
-  const named = losses.filter(({ customer }) => customer !== "");
-  const groups = group(named, ({ customer }) => customer);
+function toCustomerRows(losses: readonly LossRecord[]): CustomerRow[] {
+  const withCustomer = losses.filter(({ customer }) => customer !== "");
+  const groups = groupBy(withCustomer, ({ customer }) => customer);
   return [...groups].map(([customer, items]) => ({
     customer,
     count: items.length,
-    causes: causesOf(items),
+    causes: countCauses(items),
   })).sort((left, right) => right.count - left.count);
 }
 
-function causesOf(losses: readonly LossLine[]): string[] {
-  const groups = group(losses, ({ cause, reason }) => reason || cause);
+function countCauses(losses: readonly LossRecord[]): string[] {
+  const groups = groupBy(losses, ({ cause, reason }) => reason || cause);
   return [...groups].sort(([, left], [, right]) => right.length - left.length)
     .map(([cause, items]) => `${cause} ${items.length}`);
 }
 
-function secondOf(time: number): string {
+function formatSecond(time: number): string {
   return new Date(Math.floor(time / MS_PER_SECOND) * MS_PER_SECOND)
     .toISOString().slice(0, 19);
 }
 
-function describe(
+function formatReport(
   { lines, rows, regions, customers, seconds }: LossReport,
 ): string {
-  const head = `${lines} requests served late or not at all: ${
+  const headline = `${lines} requests served late or not at all: ${
     Object.entries(regions).map(([region, count]) => `${region} ${count}`)
       .join(", ")
   }`;
-  const worst = seconds.slice(0, EXAMPLES).map(({ second, count }) =>
+  const worstSeconds = seconds.slice(0, MAX_SHOWN).map(({ second, count }) =>
     `${second} (${count})`
   );
   return [
-    head,
+    headline,
     formatTable(
       ["CAUSE", "REASON", "ROUTE", "COUNT", "SENT AFTER MS", "EXAMPLES"],
       rows.map((row) => [
@@ -206,9 +213,9 @@
       customers.map(({ customer, count, causes }) => [
         customer,
         count,
-        causes.slice(0, EXAMPLES).join(", "),
+        causes.slice(0, MAX_SHOWN).join(", "),
       ]),
     ),
-    `worst seconds: ${worst.join(", ")}`,
+    `worst seconds: ${worstSeconds.join(", ")}`,
   ].join("\n\n");
 }
--- a/packages/cli/src/commands/text_commands.ts
+++ b/packages/cli/src/commands/text_commands.ts
@@ -1,5 +1,5 @@
 /**
- * `check` and `diff`: work on operators' texts, ask no entry.
+ * The commands `check` and `diff`, which work on configuration files and query no entry.
  *
  * @module
  */
@@ -12,51 +12,58 @@
   type TextFault,
 } from "@sassafrasstep/core";
 import VError from "verror";
-import { type CommandResult, EXIT, formatTable } from "../output/index.ts";
+import {
+  type CommandResult,
+  EXIT_CODES,
+  formatTable,
+} from "../output/index.ts";
 
-/** Checks a text as every entry would. */
+/** Checks a configuration text with the same parser as the entries. */
 export function checkFile(path: string): CommandResult {
   const result = parseText(readText(path));
   if (!result.ok) {
-    return faulty(path, result.faults);
+    return reportFaults(path, result.faults);
   }
   const { name, regions, services, customers } = result.deployment;
   const text =
     `${path}: deployment "${name}" is acceptable: ${regions.size} regions, ${services.size} services, ` +
     `${customers.size} customers`;
-  return { text, json: { ok: true, name }, exitCode: EXIT.ok };
+  return { text, json: { ok: true, name }, exitCode: EXIT_CODES.ok };
 }
 
-/** Lists what a new text would change. */
+/** Lists the changes that a new configuration text would make. */
 export function diffFiles(oldPath: string, newPath: string): CommandResult {
   const before = parseText(readText(oldPath));
   if (!before.ok) {
-    return faulty(oldPath, before.faults);
+    return reportFaults(oldPath, before.faults);
   }
-  const next = parseText(readText(newPath));
-  if (!next.ok) {
-    return faulty(newPath, next.faults);
+  const after = parseText(readText(newPath));
+  if (!after.ok) {
+    return reportFaults(newPath, after.faults);
   }
-  return listChanges(before.deployment, next.deployment);
+  return listChanges(before.deployment, after.deployment);
 }
 
-function listChanges(before: Deployment, next: Deployment): CommandResult {
-  const changes = diffDeployments(before, next);
+function listChanges(before: Deployment, after: Deployment): CommandResult {
+  const changes = diffDeployments(before, after);
   const rows = changes.map((
     { subject, change, warning = "" },
   ) => [subject, change, warning]);
   const text = changes.length === 0
     ? "Nothing would change"
     : formatTable(["SUBJECT", "CHANGE", "WARNING"], rows);
-  return { text, json: { changes }, exitCode: EXIT.ok };
+  return { text, json: { changes }, exitCode: EXIT_CODES.ok };
 }
 
-function faulty(path: string, faults: readonly TextFault[]): CommandResult {
+function reportFaults(
+  path: string,
+  faults: readonly TextFault[],
+): CommandResult {
   const lines = faults.map((fault) => `${path}: ${formatFault(fault)}`);
   return {
     text: lines.join("\n"),
     json: { ok: false, faults },
-    exitCode: EXIT.unwell,
+    exitCode: EXIT_CODES.failure,
   };
 }
 
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Commands, for programs that embed them.
+ * The commands of the command line, for programs that embed them.
  *
  * @module
  */
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,9 +1,9 @@
 #!/usr/bin/env node
 /**
- * `sassafrasstep`: checks operators' texts and shows what the fleet does.
+ * `sassafrasstep`: checks configuration texts and shows the state of the fleet.
  *
- * Exit codes: 0 all is well; 1 the text is faulty, the fleet is not healthy or an entry could not be
- * reached; 2 the command line is wrong.
+ * Exit codes: 0 success; 1 the text is invalid, the fleet is not healthy or an entry could not be
+ * reached; 2 the command line is invalid.
  *
  * @module
  */
@@ -20,7 +20,7 @@
   showMetrics,
   showStatus,
 } from "./commands/index.ts";
-import { type CommandResult, EXIT } from "./output/index.ts";
+import { type CommandResult, EXIT_CODES } from "./output/index.ts";
 
 const cli = meow(
   `
@@ -62,7 +62,7 @@
     process.exitCode = result.exitCode;
   } catch (error) {
     console.error((error as Error).message);
-    process.exitCode = EXIT.usage;
+    process.exitCode = EXIT_CODES.usage;
   }
 }
 
@@ -110,7 +110,7 @@
     control === undefined || deployment === undefined || secret === undefined
   ) {
     throw new Error(
-      "Cannot ask the fleet: set --control, --deployment and SASSAFRASSTEP_SECRET",
+      "Cannot query the fleet: set --control, --deployment and SASSAFRASSTEP_SECRET",
     );
   }
   const fleet = new FleetClient({ controlUrl: control, deployment, secret });
--- a/packages/cli/src/output/result.ts
+++ b/packages/cli/src/output/result.ts
@@ -1,20 +1,20 @@
 /**
- * What a command comes to.
+ * Results and exit codes of commands.
  *
  * @module
  */
 
 /** Exit codes of the command line. */
-export const EXIT = {
-  /** All is well. */
+export const EXIT_CODES = {
+  /** The command succeeded and found no problem. */
   ok: 0,
-  /** The text is faulty, the fleet is not healthy, or an entry could not be reached. */
-  unwell: 1,
-  /** The command line is wrong. */
+  /** The text is invalid, the fleet is not healthy, or an entry could not be reached. */
+  failure: 1,
+  /** The command line is invalid. */
   usage: 2,
 } as const;
 
-/** Output for people and for programs, and the exit code. */
+/** Output of a command as text and as JSON, and its exit code. */
 export interface CommandResult {
   readonly text: string;
   readonly json: unknown;
--- a/packages/cli/src/output/table.ts
+++ b/packages/cli/src/output/table.ts
@@ -1,12 +1,12 @@
 /**
- * Tables for people.
+ * Formats tables as plain text.
  *
  * @module
  */
 
 const GAP = "  ";
 
-/** Rows under a heading, columns as wide as their widest cell. */
+/** Formats rows under a heading. Each column is as wide as its widest cell. */
 export function formatTable(
   heading: readonly string[],
   rows: readonly (readonly unknown[])[],
