--- a/packages/cli/src/commands/__tests__/text_commands.test.ts
+++ b/packages/cli/src/commands/__tests__/text_commands.test.ts
@@ -3,7 +3,7 @@
 import { join } from "node:path";
 import { fileURLToPath } from "node:url";
 import { afterAll, describe, expect, it } from "vitest";
-import { checkFile, diffFiles } from "../text_commands.ts";
+import { checkFile, diffFiles } from "../configuration_commands.ts";
 
 const EXAMPLE = fileURLToPath(
   new URL("../../../../../examples/peachtree.ini", import.meta.url),
--- a/packages/cli/src/commands/text_commands.ts
+++ b/packages/cli/src/commands/configuration_commands.ts
@@ -8,7 +8,7 @@
   type Deployment,
   diffDeployments,
   formatFault,
-  parseText,
+  parseConfiguration,
   type TextFault,
 } from "@sassafrasstep/core";
 import VError from "verror";
@@ -20,7 +20,7 @@
 
 /** Checks a configuration text with the same parser as the entries. */
 export function checkFile(path: string): CommandResult {
-  const result = parseText(readText(path));
+  const result = parseConfiguration(readText(path));
   if (!result.ok) {
     return reportFaults(path, result.faults);
   }
@@ -33,11 +33,11 @@
 
 /** Lists the changes that a new configuration text would make. */
 export function diffFiles(oldPath: string, newPath: string): CommandResult {
-  const before = parseText(readText(oldPath));
+  const before = parseConfiguration(readText(oldPath));
   if (!before.ok) {
     return reportFaults(oldPath, before.faults);
   }
-  const after = parseText(readText(newPath));
+  const after = parseConfiguration(readText(newPath));
   if (!after.ok) {
     return reportFaults(newPath, after.faults);
   }
--- a/packages/cli/src/commands/fleet_commands.ts
+++ b/packages/cli/src/commands/fleet_commands.ts
@@ -9,7 +9,7 @@
   EXIT_CODES,
   formatTable,
 } from "../output/index.ts";
-import type { EntryReply, FleetClient } from "./fleet.ts";
+import type { EntryReply, FleetClient } from "./fleet_client.ts";
 
 /** Shows the entries of the fleet with their revisions and peers, the endpoints, and the problems. */
 export async function showStatus(fleet: FleetClient): Promise<CommandResult> {
--- a/packages/cli/src/commands/index.ts
+++ b/packages/cli/src/commands/index.ts
@@ -1,4 +1,4 @@
-export { FleetClient } from "./fleet.ts";
+export { FleetClient } from "./fleet_client.ts";
 export {
   explainRequest,
   showEntries,
@@ -7,4 +7,4 @@
 } from "./fleet_commands.ts";
 export { showLosses } from "./loss_commands.ts";
 export { releaseRequest, showGateway } from "./gateway_commands.ts";
-export { checkFile, diffFiles } from "./text_commands.ts";
+export { checkFile, diffFiles } from "./configuration_commands.ts";
--- a/packages/core/src/__tests__/ready_core.ts
+++ b/packages/core/src/__tests__/core_fixture.ts
@@ -23,7 +23,7 @@
   type Revision,
   SeededRandomness,
   sha256,
-  type Spare,
+  type SpareCapacity,
   type ZoneId,
 } from "../index.ts";
 
@@ -92,7 +92,7 @@
 };
 
 /** Drives a core with a simulated clock. */
-export class ReadyCore {
+export class CoreFixture {
   readonly core: Core;
   /** All effects so far. */
   readonly effects: Effect[] = [];
@@ -119,9 +119,9 @@
       },
       random: new SeededRandomness(seed),
     }, instant(this.#ms));
-    this.tell({ kind: "configurationRead", revision: 1 as Revision, text });
-    this.list(endpoints);
-    this.tell({ kind: "tick" });
+    this.handle({ kind: "configurationRead", revision: 1 as Revision, text });
+    this.listEndpoints(endpoints);
+    this.handle({ kind: "tick" });
   }
 
   get now(): number {
@@ -129,7 +129,7 @@
   }
 
   /** Passes in a VM list with these endpoints, and their load reports. */
-  list(endpoints: readonly TestEndpoint[]): void {
+  listEndpoints(endpoints: readonly TestEndpoint[]): void {
     const vms = endpoints.map(({ id, pool, zone = "north-a" }): ListedVm => ({
       id: id as EndpointId,
       role: "endpoint",
@@ -139,12 +139,12 @@
       pool,
       state: "live",
     }));
-    this.tell({ kind: "vmsListed", vms });
-    endpoints.forEach(({ id, load }) => this.report(id, load));
+    this.handle({ kind: "vmsListed", vms });
+    endpoints.forEach(({ id, load }) => this.reportLoad(id, load));
   }
 
-  report(id: string, load: Partial<LoadReport> = {}): void {
-    this.tell({
+  reportLoad(id: string, load: Partial<LoadReport> = {}): void {
+    this.handle({
       kind: "load",
       endpoint: id as EndpointId,
       report: { ...DEFAULT_REPORT, ...load },
@@ -152,31 +152,31 @@
   }
 
   /** Advances time in small steps, with a tick after each. */
-  pass(ms: number): Effect[] {
+  advance(ms: number): Effect[] {
     const before = this.effects.length;
     for (const end = this.#ms + ms; this.#ms < end;) {
       this.#ms = Math.min(end, this.#ms + 25);
-      this.tell({ kind: "tick" });
+      this.handle({ kind: "tick" });
     }
     return this.effects.slice(before);
   }
 
   /** Simulates a pause of the process, followed by a tick. */
-  stall(ms: number): Effect[] {
+  pause(ms: number): Effect[] {
     this.#ms += ms;
-    return this.tell({ kind: "tick" });
+    return this.handle({ kind: "tick" });
   }
 
-  tell(event: CoreEvent): Effect[] {
+  handle(event: CoreEvent): Effect[] {
     const effects = this.core.handle(event, instant(this.#ms));
     this.effects.push(...effects);
     return effects;
   }
 
   /** Receives a heartbeat of a peer, with the spare capacity of its zone. */
-  hear(
+  receiveHeartbeat(
     from: Partial<MemberRecord>,
-    { spare = [] }: { spare?: readonly Spare[] } = {},
+    { spare = [] }: { spare?: readonly SpareCapacity[] } = {},
   ): void {
     const incarnation = from.incarnation ?? "bbbbbbbbbbbb" as Incarnation;
     const id = from.id ?? "n2";
@@ -214,7 +214,7 @@
   }
 
   /** Sends a request whose body arrives at once. Returns its id and the effects. */
-  send(
+  sendRequest(
     head: Partial<RequestHead>,
     facts: { promptTokens?: number; blocks?: number[]; body?: string } = {},
   ): SentRequest {
@@ -233,10 +233,10 @@
       resumeOffset: 0,
       ...head,
     };
-    const effects = this.tell({ kind: "request", head: fullHead });
+    const effects = this.handle({ kind: "request", head: fullHead });
     if (effects.some(({ kind }) => kind === "readBody")) {
       effects.push(
-        ...this.tell({
+        ...this.handle({
           kind: "body",
           request: id,
           facts: { digest: sha256(body), promptTokens, blocks },
@@ -254,7 +254,7 @@
 }
 
 /** Returns the targets of all dispatched attempts among effects. */
-export function dispatched(effects: readonly Effect[]): string[] {
+export function dispatchedTargets(effects: readonly Effect[]): string[] {
   return effects.flatMap((effect) => {
     if (effect.kind !== "dispatch") {
       return [];
@@ -267,14 +267,14 @@
 }
 
 /** Returns the final answers among effects. */
-export function answers(effects: readonly Effect[]): FinalAnswer[] {
+export function finalAnswers(effects: readonly Effect[]): FinalAnswer[] {
   return effects.flatMap((effect) =>
     effect.kind === "finish" ? [effect.answer] : []
   );
 }
 
 /** Returns the refusal reason if the first final answer among effects is a refusal. */
-export function refusedFor(effects: readonly Effect[]): string | undefined {
-  const [answer] = answers(effects);
+export function refusalReason(effects: readonly Effect[]): string | undefined {
+  const [answer] = finalAnswers(effects);
   return answer?.kind === "refused" ? answer.refusal.reason : undefined;
 }
--- a/packages/core/src/actions/action_controller.ts
+++ b/packages/core/src/actions/action_controller.ts
@@ -17,9 +17,9 @@
   type RegionId,
 } from "../ids/index.ts";
 import type {
+  ActionOutcome,
   Emit,
-  HandOver,
-  Outcome,
+  KeyHandOver,
   OutcomeCopy,
 } from "../messages/index.ts";
 import { outcomeBytes, OutcomeCopies, scopedKey } from "./outcome_copies.ts";
@@ -158,7 +158,7 @@
   recordOutcome(
     customer: CustomerId,
     key: IdempotencyKey,
-    outcome: Outcome,
+    outcome: ActionOutcome,
   ): void {
     const id = scopedKey(customer, key);
     const action = this.#used.get(id);
@@ -219,7 +219,7 @@
   }
 
   /** Takes over the rights that a peer gave up. Returns whether they were accepted. */
-  takeOver(handOver: HandOver, now: Instant): boolean {
+  takeOver(handOver: KeyHandOver, now: Instant): boolean {
     const stopping = this.#board.lifecycle.phase === "stopping" ||
       this.#board.lifecycle.phase === "stopped";
     if (stopping || this.#rights.has(handOver.owner)) {
@@ -270,7 +270,7 @@
       return { kind: "elsewhere", member };
     }
     const hasEnded = owner.entry === self.id ||
-      membership.gone.has(owner.incarnation);
+      membership.endedIncarnations.has(owner.incarnation);
     const keeper = this.keeperOf(owner);
     if (keeper !== undefined) {
       return { kind: "perhaps_kept", member: keeper, ownerGone: hasEnded };
--- a/packages/core/src/actions/outcome_copies.ts
+++ b/packages/core/src/actions/outcome_copies.ts
@@ -11,7 +11,7 @@
   type Instant,
   type Milliseconds,
 } from "../ids/index.ts";
-import type { Outcome, OutcomeCopy } from "../messages/index.ts";
+import type { ActionOutcome, OutcomeCopy } from "../messages/index.ts";
 
 const OUTCOME_OVERHEAD_BYTES = 512;
 
@@ -67,7 +67,7 @@
 }
 
 /** Returns the approximate memory that an outcome uses, in bytes. */
-export function outcomeBytes(outcome: Outcome | undefined): number {
+export function outcomeBytes(outcome: ActionOutcome | undefined): number {
   return outcome?.kind === "ran"
     ? OUTCOME_OVERHEAD_BYTES + outcome.answer.body.length
     : 0;
--- a/packages/core/src/actions/owner_rights.ts
+++ b/packages/core/src/actions/owner_rights.ts
@@ -10,13 +10,13 @@
   type Milliseconds,
   milliseconds,
 } from "../ids/index.ts";
-import type { HandOver } from "../messages/index.ts";
+import type { KeyHandOver } from "../messages/index.ts";
 
 /** Number of epochs for which used keys are kept, including the current one. Keys of older epochs never run. */
 export const KEPT_EPOCHS = 3;
 
 /** Position of an owner within its epochs, as durations, so that it can be sent to another process. */
-export type OwnerAge = Pick<HandOver, "owner" | "epoch" | "epochAge">;
+export type OwnerAge = Pick<KeyHandOver, "owner" | "epoch" | "epochAge">;
 
 /** Rights of one entry to run keys. */
 export class OwnerRights {
--- a/packages/core/src/actions/used_action.ts
+++ b/packages/core/src/actions/used_action.ts
@@ -10,7 +10,7 @@
   Incarnation,
   RegionId,
 } from "../ids/index.ts";
-import type { Outcome, UsedKey } from "../messages/index.ts";
+import type { ActionOutcome, UsedKey } from "../messages/index.ts";
 
 /** Maximum number of used keys that one entry keeps. Calls with further new keys are refused before they run. */
 export const MAX_USED_KEYS = 20_000;
@@ -25,7 +25,7 @@
   | {
     readonly kind: "known";
     readonly bodyDigest: string;
-    readonly outcome: Outcome;
+    readonly outcome: ActionOutcome;
   }
   /** This entry owns the key, and the key's epoch has expired. */
   | { readonly kind: "expired" }
@@ -51,7 +51,7 @@
   readonly owner: Incarnation;
   readonly epoch: number;
   readonly bodyDigest: string;
-  readonly outcome: Outcome | undefined;
+  readonly outcome: ActionOutcome | undefined;
 }
 
 /** Converts a used key to its form in a hand-over. An action without an outcome becomes `unknown`. */
--- a/packages/core/src/blackboard/blackboard.ts
+++ b/packages/core/src/blackboard/blackboard.ts
@@ -17,17 +17,17 @@
   ZoneId,
 } from "../ids/index.ts";
 import type {
-  Demand,
+  CustomerDemand,
   ListedVm,
   LoadReport,
   MemberRecord,
-  Spare,
-  ZoneNews,
+  SpareCapacity,
+  ZoneReport,
 } from "../messages/index.ts";
 import type { Deployment, TextFault } from "../text/index.ts";
 
 /** Facts that an entry knows about itself from its settings. They never change. */
-export interface Self {
+export interface EntryIdentity {
   readonly id: EntryId;
   readonly incarnation: Incarnation;
   readonly zone: ZoneId;
@@ -49,7 +49,7 @@
   readonly lastLoopAt: Instant;
   readonly phase: "starting" | "ready" | "stopping" | "stopped";
   /** When the process last resumed after a pause. */
-  readonly wokeAt: Instant | undefined;
+  readonly resumedAt: Instant | undefined;
   readonly pauses: number;
 }
 
@@ -66,7 +66,7 @@
   readonly deployment: Deployment | undefined;
   readonly rejected: RejectedRevision | undefined;
   /** Highest revision that a live peer holds and this entry has neither accepted nor rejected. */
-  readonly missing: Revision | undefined;
+  readonly missingRevision: Revision | undefined;
   /** When the platform or a peer last confirmed the revision in force. */
   readonly confirmedAt: Instant | undefined;
   /** Whether requests that must not use an outdated configuration wait for a confirmation. */
@@ -81,7 +81,7 @@
   readonly beat: number;
   /** Highest configuration revision that the entry is known to hold. */
   readonly revision: Revision;
-  readonly demand: readonly Demand[];
+  readonly demand: readonly CustomerDemand[];
   /** When an increase of its `beat` was last received. */
   readonly heardAt: Instant;
   readonly health: "live" | "suspect";
@@ -90,8 +90,8 @@
 }
 
 /** Last known capacity and demand of another availability zone. */
-export interface KnownZone {
-  readonly news: ZoneNews;
+export interface ZoneStatus {
+  readonly news: ZoneReport;
   readonly heardAt: Instant;
   /** When the zone was heard again after a silence. Traffic to it is then increased slowly. */
   readonly liveSince: Instant;
@@ -101,8 +101,8 @@
 export interface MembershipView {
   readonly members: ReadonlyMap<Incarnation, Member>;
   /** Incarnations known to have ended, with the time at which this entry learned it. */
-  readonly gone: ReadonlyMap<Incarnation, Instant>;
-  readonly zones: ReadonlyMap<ZoneId, KnownZone>;
+  readonly endedIncarnations: ReadonlyMap<Incarnation, Instant>;
+  readonly zones: ReadonlyMap<ZoneId, ZoneStatus>;
   readonly beat: number;
 }
 
@@ -143,7 +143,7 @@
   readonly queued: number;
   /** Number of actions that have started and not ended yet. */
   readonly runningActions: number;
-  spare(now: Instant): readonly Spare[];
+  spare(now: Instant): readonly SpareCapacity[];
   demand(now: Instant): ReadonlyMap<CustomerId, number>;
 }
 
@@ -157,7 +157,7 @@
 
 /** The views of all sections. */
 export interface Blackboard {
-  readonly self: Self;
+  readonly self: EntryIdentity;
   readonly lifecycle: LifecycleView;
   readonly configuration: ConfigurationView;
   readonly membership: MembershipView;
--- a/packages/core/src/configuration/configuration_controller.ts
+++ b/packages/core/src/configuration/configuration_controller.ts
@@ -19,8 +19,8 @@
 import type { ConfigurationCopy, Emit } from "../messages/index.ts";
 import {
   applyPatch,
-  diffText,
-  parseText,
+  createTextPatch,
+  parseConfiguration,
   type TextFault,
 } from "../text/index.ts";
 import {
@@ -33,8 +33,12 @@
   READ_RETRY_DELAY_MS,
   REJECTED_READ_SPREAD_MS,
 } from "./configuration_section.ts";
-import { findNewestPeer } from "./newest_holder.ts";
-import { isWatcher, liveZoneMembers, watchInterval } from "./watch_duty.ts";
+import { findNewestPeer } from "./newest_peer.ts";
+import {
+  isWatcher,
+  liveZoneMembers,
+  watchInterval,
+} from "./watcher_election.ts";
 
 /** Maintains the `configuration` section of the blackboard. */
 export class ConfigurationController {
@@ -72,7 +76,7 @@
   }
 
   /** Handles a text that the configuration service returned. */
-  read(revision: Revision, text: string, now: Instant): void {
+  handleText(revision: Revision, text: string, now: Instant): void {
     this.#finishRead(now);
     this.#section.platformReachable = true;
     this.#adoptIfNewer(revision, text, now);
@@ -83,14 +87,14 @@
   }
 
   /** Handles a watch that ended without a newer revision. */
-  unchanged(now: Instant): void {
+  handleUnchanged(now: Instant): void {
     this.#finishRead(now);
     this.#section.platformReachable = true;
     this.#confirm(now);
   }
 
   /** Handles a read that the configuration service did not answer. */
-  failed(now: Instant): void {
+  handleReadFailure(now: Instant): void {
     this.#isReading = false;
     this.#section.platformReachable = false;
     this.#nextReadAt = after(
@@ -103,7 +107,7 @@
    * Handles the outcome of a copy request to a peer. `copy` is missing if the peer has no newer text, and
    * `answered` is false if the peer did not answer.
    */
-  copied(
+  handlePeerCopy(
     { copy, answered }: {
       copy: ConfigurationCopy | undefined;
       answered: boolean;
@@ -122,7 +126,7 @@
   }
 
   /** Handles a peer's heartbeat, whose revision may be newer than the one held here. */
-  heard(now: Instant): void {
+  handleHeartbeat(now: Instant): void {
     this.#requestMissingRevision(now);
   }
 
@@ -132,7 +136,7 @@
    * Only one entry per zone watches for changes. Without this read, the others would learn of a faulty text only
    * by their own periodic read, up to a minute and a half later, and `status` would report them as healthy.
    */
-  heardRejected(revision: Revision, now: Instant): void {
+  handlePeerRejection(revision: Revision, now: Instant): void {
     if (revision > this.#highestCheckedRevision()) {
       const readAt = after(now, REJECTED_READ_SPREAD_MS * this.#random.next());
       this.#nextReadAt = readAt < this.#nextReadAt ? readAt : this.#nextReadAt;
@@ -140,7 +144,7 @@
   }
 
   /** Returns the copy for a peer that holds `peerRevision`, or `undefined` if nothing newer is held here. */
-  copyFor(peerRevision: Revision): ConfigurationCopy | undefined {
+  createCopyFor(peerRevision: Revision): ConfigurationCopy | undefined {
     const { revision, text } = this.#section;
     if (peerRevision >= revision) {
       return undefined;
@@ -150,7 +154,7 @@
         kind: "patch",
         revision,
         base: peerRevision,
-        patch: diffText(this.#previous.text, text),
+        patch: createTextPatch(this.#previous.text, text),
       };
     }
     return { kind: "whole", revision, text };
@@ -161,8 +165,8 @@
    * home wait until a peer or the platform confirms the text: the home may have changed during the pause, and
    * the first request after it would be served in the wrong region.
    */
-  noteWake(now: Instant): void {
-    const { wokeAt } = this.#board.lifecycle;
+  handleWake(now: Instant): void {
+    const { resumedAt: wokeAt } = this.#board.lifecycle;
     if (wokeAt === undefined || wokeAt === this.#handledWakeAt) {
       return;
     }
@@ -196,7 +200,7 @@
     if (!Number.isSafeInteger(revision) || revision <= highestChecked) {
       return;
     }
-    const result = parseText(text);
+    const result = parseConfiguration(text);
     if (!result.ok) {
       this.#reject(revision, result.faults);
       return;
@@ -238,7 +242,7 @@
   #confirm(now: Instant): void {
     this.#section.confirmedAt = now;
     this.#unconfirmedSince = undefined;
-    this.#section.unconfirmed = this.#section.missing !== undefined;
+    this.#section.unconfirmed = this.#section.missingRevision !== undefined;
   }
 
   #finishRead(now: Instant): void {
@@ -257,7 +261,7 @@
     }
     // Neither the platform nor a peer is reachable: the zone continues to serve, and `status` reports it.
     this.#unconfirmedSince = undefined;
-    this.#section.unconfirmed = this.#section.missing !== undefined;
+    this.#section.unconfirmed = this.#section.missingRevision !== undefined;
   }
 
   /**
@@ -269,8 +273,8 @@
       this.#board,
       this.#highestCheckedRevision(),
     );
-    const wasMissing = this.#section.missing !== undefined;
-    this.#section.missing = newestPeer?.revision;
+    const wasMissing = this.#section.missingRevision !== undefined;
+    this.#section.missingRevision = newestPeer?.revision;
     if (newestPeer === undefined) {
       if (wasMissing && this.#unconfirmedSince === undefined) {
         this.#section.unconfirmed = false;
--- a/packages/core/src/configuration/configuration_section.ts
+++ b/packages/core/src/configuration/configuration_section.ts
@@ -23,13 +23,13 @@
 export const CONFIRMATION_WAIT_MS = 1_500;
 
 /** Creates the `configuration` section of a new entry. */
-export function createConfiguration(): Writable<ConfigurationView> {
+export function createConfigurationView(): Writable<ConfigurationView> {
   return {
     revision: 0 as Revision,
     text: "",
     deployment: undefined,
     rejected: undefined,
-    missing: undefined,
+    missingRevision: undefined,
     confirmedAt: undefined,
     unconfirmed: false,
     platformReachable: false,
--- a/packages/core/src/configuration/index.ts
+++ b/packages/core/src/configuration/index.ts
@@ -2,9 +2,9 @@
 export {
   CONFIRMATION_WAIT_MS,
   COPY_TIMEOUT_MS,
-  createConfiguration,
+  createConfigurationView as createConfigurationView,
   FALLBACK_READ_PERIOD_MS,
   INITIAL_READ_PERIOD_MS,
   READ_RETRY_DELAY_MS,
 } from "./configuration_section.ts";
-export * from "./watch_duty.ts";
+export * from "./watcher_election.ts";
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -5,24 +5,34 @@
  * @module
  */
 import { ActionController } from "./actions/index.ts";
-import type { Blackboard, Self, Writable } from "./blackboard/index.ts";
+import type {
+  Blackboard,
+  EntryIdentity,
+  Writable,
+} from "./blackboard/index.ts";
 import {
   ConfigurationController,
-  createConfiguration,
+  createConfigurationView,
 } from "./configuration/index.ts";
 import { EndpointController } from "./endpoints/index.ts";
-import { Explanations } from "./explain/index.ts";
+import { DecisionLog } from "./explain/index.ts";
 import type { Instant, Randomness, Revision } from "./ids/index.ts";
-import { createLifecycle, LifecycleController } from "./lifecycle/index.ts";
-import { ListenedTime } from "./listening/index.ts";
-import { createMembership, MembershipController } from "./membership/index.ts";
+import {
+  createLifecycleSection,
+  LifecycleController,
+} from "./lifecycle/index.ts";
+import { StallAdjustedClock } from "./listening/index.ts";
+import {
+  createMembershipSection,
+  MembershipController,
+} from "./membership/index.ts";
 import type {
   ConfigurationCopy,
   CoreEvent,
   Effect,
-  HandOver,
   Heartbeat,
   HeartbeatReply,
+  KeyHandOver,
 } from "./messages/index.ts";
 import { Metrics } from "./metrics/index.ts";
 import { PlacementController } from "./placement/index.ts";
@@ -36,7 +46,7 @@
 
 /** Options of a core. */
 export interface CoreOptions {
-  readonly self: Self;
+  readonly self: EntryIdentity;
   readonly random: Randomness;
   readonly balancer?: BalancerName;
 }
@@ -44,7 +54,7 @@
 /** Makes the decisions of one entry. */
 export class Core {
   readonly board: Blackboard;
-  readonly explanations = new Explanations();
+  readonly explanations = new DecisionLog();
   readonly metrics = new Metrics();
   readonly #lifecycle: LifecycleController;
   readonly #configuration: ConfigurationController;
@@ -54,7 +64,7 @@
   readonly #requests: RequestController;
   readonly #quarantine: RequestQuarantine;
   readonly #placement: PlacementController;
-  readonly #listened: ListenedTime;
+  readonly #listened: StallAdjustedClock;
   #effects: Effect[] = [];
   #stopAt: Instant | undefined;
   #handOverAt: Instant | undefined;
@@ -67,10 +77,10 @@
     const emit = (effect: Effect): void => {
       this.#effects.push(effect);
     };
-    this.#listened = new ListenedTime(now);
-    const lifecycle = createLifecycle(now);
-    const configuration = createConfiguration();
-    const membership = createMembership();
+    this.#listened = new StallAdjustedClock(now);
+    const lifecycle = createLifecycleSection(now);
+    const configuration = createConfigurationView();
+    const membership = createMembershipSection();
     const board = { self, lifecycle, configuration, membership } as Partial<
       Writable<Blackboard>
     > as Writable<Blackboard>;
@@ -87,7 +97,9 @@
       now,
     });
     this.#actions = new ActionController(board, { emit, now });
-    const onLeaving = this.#membership.announceLeaving.bind(this.#membership);
+    const onLeaving = this.#membership.announceLeavingEndpoint.bind(
+      this.#membership,
+    );
     this.#endpoints = new EndpointController(board, {
       emit,
       random,
@@ -128,18 +140,18 @@
     heartbeat.leaving.forEach(({ endpoint }) =>
       this.#endpoints.markLeaving(endpoint, "peer", now)
     );
-    this.#configuration.heard(now);
-    this.#configuration.heardRejected(heartbeat.rejected, now);
+    this.#configuration.handleHeartbeat(now);
+    this.#configuration.handlePeerRejection(heartbeat.rejected, now);
     return reply;
   }
 
   /** Answers a peer that requests the operators' configuration. */
   answerConfiguration(have: Revision): ConfigurationCopy | undefined {
-    return this.#configuration.copyFor(have);
+    return this.#configuration.createCopyFor(have);
   }
 
   /** Takes over a stopping peer's keys. Returns whether they were accepted. */
-  answerHandOver(handOver: HandOver, now: Instant): boolean {
+  answerHandOver(handOver: KeyHandOver, now: Instant): boolean {
     this.#recordLoop(now);
     const taken = this.#actions.takeOver(handOver, now);
     if (taken) {
@@ -155,9 +167,9 @@
 
   /** Informs the controllers of a pause before they make decisions after it. */
   #recordLoop(now: Instant): void {
-    this.#listened.note(now);
-    this.#lifecycle.noteLoop(now);
-    this.#configuration.noteWake(now);
+    this.#listened.recordTurn(now);
+    this.#lifecycle.recordTurn(now);
+    this.#configuration.handleWake(now);
   }
 
   #takeEffects(): Effect[] {
@@ -173,15 +185,15 @@
       case "stop":
         return this.#stop(now);
       case "configurationRead":
-        return this.#configuration.read(event.revision, event.text, now);
+        return this.#configuration.handleText(event.revision, event.text, now);
       case "configurationUnchanged":
-        return this.#configuration.unchanged(now);
+        return this.#configuration.handleUnchanged(now);
       case "configurationFailed":
-        return this.#configuration.failed(now);
+        return this.#configuration.handleReadFailure(now);
       case "configurationCopied":
-        return this.#configuration.copied(event, now);
+        return this.#configuration.handlePeerCopy(event, now);
       case "vmsListed":
-        this.#membership.listed(event.vms);
+        this.#membership.receiveVmList(event.vms);
         return this.#endpoints.applyVmList(event.vms, now);
       case "vmsUnchanged":
       case "vmListFailed":
@@ -189,7 +201,7 @@
       case "heartbeatReply":
         return this.#applyHeartbeatReply(event.reply, now);
       case "peerRefused":
-        return this.#membership.refused(event.url);
+        return this.#membership.recordRefusedConnection(event.url);
       case "outcomeCopy":
         return this.#actions.keepCopy(event.copy, now);
       case "handOverDone":
@@ -207,7 +219,7 @@
         this.#quarantine.loadPollFailed(event.endpoint);
         return this.#endpoints.markSuspect(event.endpoint, now);
       case "orderDone":
-        return this.#placement.answered(event.endpoint, event.accepted);
+        return this.#placement.noteOrderAnswer(event.endpoint, event.accepted);
       default:
         return this.#applyRequest(event, now);
     }
@@ -235,12 +247,12 @@
   }
 
   #applyHeartbeatReply(reply: HeartbeatReply, now: Instant): void {
-    this.#membership.replied(reply, now);
+    this.#membership.receiveReply(reply, now);
     reply.leaving.forEach(({ endpoint }) =>
       this.#endpoints.markLeaving(endpoint, "peer", now)
     );
-    this.#configuration.heard(now);
-    this.#configuration.heardRejected(reply.rejected, now);
+    this.#configuration.handleHeartbeat(now);
+    this.#configuration.handlePeerRejection(reply.rejected, now);
   }
 
   #tick(now: Instant): void {
--- a/packages/core/src/customers/__tests__/judge_key.test.ts
+++ b/packages/core/src/customers/__tests__/check_key.test.ts
@@ -7,10 +7,10 @@
   type Revision,
 } from "../../ids/index.ts";
 import {
-  Currency,
+  checkKey,
   type Customer,
   CustomerDirectory,
-  judgeKey,
+  DocumentFreshness,
   RefusedKeys,
 } from "../index.ts";
 
@@ -26,9 +26,9 @@
 function build(provenAt: number): {
   judge: (key: string | undefined, at: number, arrivedAt?: number) => string;
 } {
-  const currency = new Currency();
-  currency.hold(1 as Revision);
-  currency.prove({
+  const currency = new DocumentFreshness();
+  currency.setHeldVersion(1 as Revision);
+  currency.addProof({
     version: 1 as Revision,
     at: currency.mark(instant(provenAt)),
   });
@@ -36,11 +36,11 @@
     customers: new CustomerDirectory(new Map([[CLINIC.id, CLINIC]])),
     currency,
     refused: new RefusedKeys(),
-    bound: BOUND,
+    maxAge: BOUND,
   };
   return {
     judge: (key, at, arrivedAt = at) =>
-      judgeKey(
+      checkKey(
         {
           public: false,
           key: key === undefined ? undefined : keyDigest(key),
--- a/packages/core/src/customers/__tests__/currency.test.ts
+++ b/packages/core/src/customers/__tests__/document_freshness.test.ts
@@ -1,23 +1,25 @@
 import { beforeEach, describe, expect, it } from "vitest";
 import { instant, milliseconds, type Revision } from "../../ids/index.ts";
-import { Currency } from "../currency.ts";
+import { DocumentFreshness } from "../document_freshness.ts";
 
 const VERSION = 7 as Revision;
 
 describe("freshness of a document", () => {
-  let currency: Currency;
+  let currency: DocumentFreshness;
   const prove = (at: number, version = VERSION): void =>
-    currency.prove({ version, at: currency.mark(instant(at)) });
+    currency.addProof({ version, at: currency.mark(instant(at)) });
 
   beforeEach(() => {
-    currency = new Currency();
-    currency.hold(VERSION);
+    currency = new DocumentFreshness();
+    currency.setHeldVersion(VERSION);
     prove(1_000);
   });
 
   // Guards against revoked keys that are accepted again because the store was restored from an older backup.
   describe("after the platform was restored", () => {
-    beforeEach(() => currency.doubt(milliseconds(2_000), instant(5_000)));
+    beforeEach(() =>
+      currency.rejectProofsFor(milliseconds(2_000), instant(5_000))
+    );
 
     it("keeps aging from the last confirmation before the restore", () => {
       expect(currency.age(instant(6_000))).toBe(5_000);
@@ -33,12 +35,12 @@
     it("is not confirmed by such a read of a version that is held only later", () => {
       const later = 9 as Revision;
       prove(6_000, later);
-      currency.hold(later);
+      currency.setHeldVersion(later);
       expect(currency.age(instant(7_000))).toBe(6_000);
     });
 
     it("includes time during which the machine was suspended", () => {
-      currency.slept(milliseconds(3_000));
+      currency.addSuspendedTime(milliseconds(3_000));
       prove(5_100);
       expect(currency.age(instant(5_200))).toBe(100);
     });
--- a/packages/core/src/customers/__tests__/limit_model.ts
+++ b/packages/core/src/customers/__tests__/limit_model.ts
@@ -192,10 +192,10 @@
       self: { incarnation, region: entry.region },
       regions: REGIONS,
       random: this.#random,
-      keeperOf: (region) => this.#aggregatorOf(region, entry),
-      limited: () => true,
+      aggregatorOf: (region) => this.#aggregatorOf(region, entry),
+      hasLimits: () => true,
       limitOf: () => this.customer.limit,
-      entries: () => this.#entries.length,
+      possibleEntries: () => this.#entries.length,
       send: (to, message) => this.#send(entry, to, message),
     };
   }
--- a/packages/core/src/customers/judge_key.ts
+++ b/packages/core/src/customers/check_key.ts
@@ -10,7 +10,7 @@
   type Milliseconds,
   milliseconds,
 } from "../ids/index.ts";
-import type { CurrencyView } from "./currency.ts";
+import type { FreshnessView } from "./document_freshness.ts";
 import type { Customer } from "./customer.ts";
 import type { CustomerDirectory } from "./customer_directory.ts";
 import type { RefusedKeys } from "./refused_keys.ts";
@@ -43,11 +43,11 @@
 /** State that the decision depends on. */
 export interface KeyCheckContext {
   readonly customers: CustomerDirectory;
-  readonly currency: CurrencyView;
+  readonly currency: FreshnessView;
   /** Keys that were missing from the current document when they were last checked. */
   readonly refused: RefusedKeys;
   /** Document age beyond which a key may have been revoked; `undefined` if no bound is guaranteed. */
-  readonly bound: Milliseconds | undefined;
+  readonly maxAge: Milliseconds | undefined;
 }
 
 /**
@@ -57,9 +57,9 @@
  * connection must not accept a key that was revoked. In both cases the verdict is "doubtful" until the
  * document is known to be current.
  */
-export function judgeKey(
+export function checkKey(
   { key, relayed, arrivedAt, ...facts }: KeyCheckInput,
-  { customers, currency, refused, bound }: KeyCheckContext,
+  { customers, currency, refused, maxAge: bound }: KeyCheckContext,
   now: Instant,
 ): KeyVerdict {
   if (relayed !== undefined) {
@@ -69,7 +69,7 @@
       customer: customer && resolveRelayedCustomer(customer, customers),
     };
   }
-  if (facts.public || !customers.required) {
+  if (facts.public || !customers.requiresKeys) {
     return { kind: "accepted", customer: undefined };
   }
   const customer = key === undefined ? undefined : customers.find(key);
--- a/packages/core/src/customers/customer_directory.ts
+++ b/packages/core/src/customers/customer_directory.ts
@@ -11,11 +11,11 @@
   readonly #byId: ReadonlyMap<CustomerId, Customer>;
   readonly #byKey = new Map<KeyDigest, Customer>();
   /** Whether any customer has a limit. */
-  readonly limited: boolean;
+  readonly hasLimits: boolean;
 
   constructor(customers: ReadonlyMap<CustomerId, Customer>) {
     this.#byId = customers;
-    this.limited = [...customers.values()].some(({ limit }) =>
+    this.hasLimits = [...customers.values()].some(({ limit }) =>
       limit !== undefined
     );
     for (const customer of customers.values()) {
@@ -26,7 +26,7 @@
   }
 
   /** Whether requests must carry a customer's key: true if the document lists any customers. */
-  get required(): boolean {
+  get requiresKeys(): boolean {
     return this.#byId.size > 0;
   }
 
--- a/packages/core/src/customers/customer_limits.ts
+++ b/packages/core/src/customers/customer_limits.ts
@@ -22,7 +22,10 @@
 import type { Customer, CustomerLimit } from "./customer.ts";
 import { LimitAccounts } from "./limit_accounts.ts";
 import type { LimitBucket } from "./limit_bucket.ts";
-import { SILENCE_TIMEOUT_MS, SpendingAggregator } from "./spending_keeper.ts";
+import {
+  SILENCE_TIMEOUT_MS,
+  SpendingAggregator,
+} from "./spending_aggregator.ts";
 import type {
   CustomerTotal,
   SpendingMessage,
@@ -64,15 +67,15 @@
    * this entry is disconnected from most of its entries: otherwise each disconnected entry would consider itself
    * the aggregator.
    */
-  readonly keeperOf: (region: RegionId, now: Instant) =>
+  readonly aggregatorOf: (region: RegionId, now: Instant) =>
     | Incarnation
     | undefined;
   /** Whether any customer has a limit. */
-  readonly limited: () => boolean;
+  readonly hasLimits: () => boolean;
   /** A customer's limit according to the document in force. */
   readonly limitOf: (customer: CustomerId) => CustomerLimit | undefined;
   /** Number of entries that may be alive, including this one. */
-  readonly entries: () => number;
+  readonly possibleEntries: () => number;
   readonly send: (to: Incarnation, message: SpendingMessage) => void;
 }
 
@@ -109,7 +112,7 @@
       sources.regions,
     );
     this.#accounts = new LimitAccounts({
-      possibleEntries: sources.entries,
+      possibleEntries: sources.possibleEntries,
       // An aggregator keeps an account for each reported customer, other entries only for those they serve.
       limitOf: (id) => this.#isAggregator ? sources.limitOf(id) : undefined,
       hasCurrentTotals: (now) => this.#hasCurrentTotals(now),
@@ -149,7 +152,7 @@
   }
 
   /** Refunds the cost of an admitted request that did not run. */
-  giveBack(customer: CustomerId, cost: number, now: Instant): void {
+  refund(customer: CustomerId, cost: number, now: Instant): void {
     this.#accounts.find(customer)?.bucket.charge(-cost);
     this.#recordSpending(customer, -cost, now);
   }
@@ -173,7 +176,7 @@
 
   /** Sends the messages that are due. */
   tick(now: Instant): void {
-    if (!this.#sources.limited()) {
+    if (!this.#sources.hasLimits()) {
       return;
     }
     this.#updateAggregator(now);
@@ -203,7 +206,7 @@
 
   /** Determines the current aggregator of the region. */
   #updateAggregator(now: Instant): void {
-    const { keeperOf, self } = this.#sources;
+    const { aggregatorOf: keeperOf, self } = this.#sources;
     const incarnation = keeperOf(self.region, now);
     if (incarnation !== this.#aggregator?.incarnation) {
       this.#aggregator = incarnation === undefined ? undefined : {
@@ -329,7 +332,7 @@
   }
 
   #sendTotalsToOtherRegions(now: Instant): void {
-    const { self, regions, keeperOf, send } = this.#sources;
+    const { self, regions, aggregatorOf: keeperOf, send } = this.#sources;
     for (const region of regions) {
       const aggregator = region === self.region
         ? undefined
--- a/packages/core/src/customers/fading_sum.ts
+++ b/packages/core/src/customers/decaying_sum.ts
@@ -6,7 +6,7 @@
 import type { Instant } from "../ids/index.ts";
 
 /** A sum that decays exponentially over time. */
-export class FadingSum {
+export class DecayingSum {
   readonly #timeConstantMs: number;
   #value = 0;
   #updatedAt = 0;
@@ -17,11 +17,11 @@
   }
 
   add(amount: number, now: Instant): void {
-    this.#value = Math.max(0, this.of(now) + amount);
+    this.#value = Math.max(0, this.valueAt(now) + amount);
     this.#updatedAt = now;
   }
 
-  of(now: Instant): number {
+  valueAt(now: Instant): number {
     return this.#value *
       Math.exp(-Math.max(0, now - this.#updatedAt) / this.#timeConstantMs);
   }
--- a/packages/core/src/customers/currency.ts
+++ b/packages/core/src/customers/document_freshness.ts
@@ -13,48 +13,48 @@
 
 declare const MARK: unique symbol;
 /** A clock reading that includes the time during which the machine was suspended. */
-export type CurrencyMark = number & { readonly [MARK]: true };
+export type FreshnessMark = number & { readonly [MARK]: true };
 
 /** Proof that a document version was the newest one at a given time. */
-export interface CurrencyProof {
+export interface FreshnessProof {
   readonly version: Revision;
-  readonly at: CurrencyMark;
+  readonly at: FreshnessMark;
 }
 
 /** Read-only view of the lease. */
-export interface CurrencyView {
-  mark(now: Instant): CurrencyMark;
+export interface FreshnessView {
+  mark(now: Instant): FreshnessMark;
   age(now: Instant): Milliseconds;
   isWithin(bound: Milliseconds, now: Instant): boolean;
   isConfirmedSince(since: Instant, now: Instant): boolean;
 }
 
 /** The lease on the document that this entry holds. */
-export class Currency implements CurrencyView {
+export class DocumentFreshness implements FreshnessView {
   /** Total time that the process clock missed while the machine was suspended. */
   #suspendedMs = 0;
   #version = 0 as Revision;
   #confirmedAt = -Infinity;
   /** Proof for a newer version that this entry does not hold yet. */
-  #pendingProof: CurrencyProof | undefined;
+  #pendingProof: FreshnessProof | undefined;
   /** Proofs dated before this mark are ignored. */
   #rejectProofsBefore = -Infinity;
 
   /** Adds time during which the machine was suspended and the process clock stood still. */
-  slept(duration: Milliseconds): void {
+  addSuspendedTime(duration: Milliseconds): void {
     this.#suspendedMs += duration;
   }
 
   /** Returns the mark to store when a read or question is sent, so that its answer can be dated. */
-  mark(now: Instant): CurrencyMark {
-    return now + this.#suspendedMs as CurrencyMark;
+  mark(now: Instant): FreshnessMark {
+    return now + this.#suspendedMs as FreshnessMark;
   }
 
   /**
    * Ignores proofs dated up to `duration` from now. Called when the platform turns out to have been restored
    * from a backup: until acknowledged writes are repeated, its newest document may be an outdated one.
    */
-  doubt(duration: Milliseconds, now: Instant): void {
+  rejectProofsFor(duration: Milliseconds, now: Instant): void {
     this.#rejectProofsBefore = Math.max(
       this.#rejectProofsBefore,
       this.mark(now) + duration,
@@ -62,15 +62,15 @@
   }
 
   /** Records the document version that this entry holds. The version never decreases. */
-  hold(version: Revision): void {
+  setHeldVersion(version: Revision): void {
     this.#version = version;
     if (this.#pendingProof !== undefined) {
-      this.prove(this.#pendingProof);
+      this.addProof(this.#pendingProof);
     }
   }
 
   /** Extends the lease if the held version is at least as new as the proven one; otherwise keeps the proof. */
-  prove(proof: CurrencyProof): void {
+  addProof(proof: FreshnessProof): void {
     if (proof.at < this.#rejectProofsBefore) {
       return;
     }
--- a/packages/core/src/customers/index.ts
+++ b/packages/core/src/customers/index.ts
@@ -1,19 +1,19 @@
 export {
-  Currency,
-  type CurrencyMark,
-  type CurrencyProof,
-  type CurrencyView,
-} from "./currency.ts";
+  DocumentFreshness as DocumentFreshness,
+  type FreshnessMark as FreshnessMark,
+  type FreshnessProof as FreshnessProof,
+  type FreshnessView as FreshnessView,
+} from "./document_freshness.ts";
 export * from "./customer.ts";
 export { CustomerDirectory } from "./customer_directory.ts";
 export { RefusedKeys } from "./refused_keys.ts";
-export { judgeKey, type KeyVerdict } from "./judge_key.ts";
+export { checkKey as checkKey, type KeyVerdict } from "./check_key.ts";
 export {
   CustomerLimits,
   type CustomerLimitSources,
   type LimitVerdict,
 } from "./customer_limits.ts";
-export { FadingSum } from "./fading_sum.ts";
+export { DecayingSum as DecayingSum } from "./decaying_sum.ts";
 export { LimitBucket } from "./limit_bucket.ts";
 export type {
   CustomerSum,
--- a/packages/core/src/customers/limit_accounts.ts
+++ b/packages/core/src/customers/limit_accounts.ts
@@ -5,7 +5,7 @@
  */
 import type { CustomerId, Instant } from "../ids/index.ts";
 import type { CustomerLimit } from "./customer.ts";
-import { FadingSum } from "./fading_sum.ts";
+import { DecayingSum } from "./decaying_sum.ts";
 import { LimitBucket } from "./limit_bucket.ts";
 import type { CustomerTotal } from "./spending_messages.ts";
 
@@ -19,9 +19,9 @@
   readonly id: CustomerId;
   readonly bucket: LimitBucket;
   /** Units recently admitted by other entries. */
-  readonly othersUsage: FadingSum;
+  readonly othersUsage: DecayingSum;
   /** Units recently admitted by this entry. */
-  readonly ownUsage: FadingSum;
+  readonly ownUsage: DecayingSum;
   /** Share of the limit that the aggregator reported. */
   share: number;
   /** This entry's share of all usage when totals were last received. */
@@ -67,7 +67,7 @@
   ): LimitAccount {
     const known = this.#accounts.get(id);
     if (known !== undefined) {
-      known.bucket.rebound(limit);
+      known.bucket.setLimit(limit);
       return known;
     }
     const { possibleEntries, hasCurrentTotals, lastTotal } = this.#sources;
@@ -80,8 +80,8 @@
     const account = {
       id,
       bucket: new LimitBucket(limit, { level, now }),
-      othersUsage: new FadingSum(USAGE_TIME_CONSTANT_MS),
-      ownUsage: new FadingSum(USAGE_TIME_CONSTANT_MS),
+      othersUsage: new DecayingSum(USAGE_TIME_CONSTANT_MS),
+      ownUsage: new DecayingSum(USAGE_TIME_CONSTANT_MS),
       share,
       ownShare: equalShare,
       levelAdopted: false,
@@ -167,6 +167,6 @@
   { ownUsage, othersUsage }: LimitAccount,
   now: Instant,
 ): number | undefined {
-  const total = ownUsage.of(now) + othersUsage.of(now);
-  return total > 0 ? ownUsage.of(now) / total : undefined;
+  const total = ownUsage.valueAt(now) + othersUsage.valueAt(now);
+  return total > 0 ? ownUsage.valueAt(now) / total : undefined;
 }
--- a/packages/core/src/customers/limit_bucket.ts
+++ b/packages/core/src/customers/limit_bucket.ts
@@ -47,7 +47,7 @@
   }
 
   /** Applies a changed limit. A higher burst is filled at the normal rate rather than at once. */
-  rebound(limit: CustomerLimit): void {
+  setLimit(limit: CustomerLimit): void {
     this.#limit = limit;
   }
 
--- a/packages/core/src/customers/spending_keeper.ts
+++ b/packages/core/src/customers/spending_aggregator.ts
@@ -12,7 +12,7 @@
   Instant,
   RegionId,
 } from "../ids/index.ts";
-import { FadingSum } from "./fading_sum.ts";
+import { DecayingSum } from "./decaying_sum.ts";
 import type { SpendingReport, SpendingTotals } from "./spending_messages.ts";
 
 /** Decay of the usage that determines each region's share. Long enough that all regions know most of that usage. */
@@ -48,7 +48,7 @@
     ReadonlyMap<RegionId, number>
   >();
   /** Recent usage of each region by customer. */
-  readonly #usage = new Map<CustomerId, Map<RegionId, FadingSum>>();
+  readonly #usage = new Map<CustomerId, Map<RegionId, DecayingSum>>();
 
   constructor(region: RegionId, regions: readonly RegionId[]) {
     this.#region = region;
@@ -130,7 +130,7 @@
   recentRatePerSecond(customer: CustomerId, now: Instant): number {
     let sum = 0;
     for (const usage of this.#usage.get(customer)?.values() ?? []) {
-      sum += usage.of(now);
+      sum += usage.valueAt(now);
     }
     return sum * 1_000 / SHARE_TIME_CONSTANT_MS;
   }
@@ -162,7 +162,7 @@
   ): ReadonlyMap<RegionId, number> {
     const usage = this.#usage.get(customer);
     const usageIn = (region: RegionId): number =>
-      usage?.get(region)?.of(now) ?? 0;
+      usage?.get(region)?.valueAt(now) ?? 0;
     const total = this.#regions.reduce(
       (sum, region) => sum + usageIn(region),
       0,
@@ -218,10 +218,12 @@
     return increases;
   }
 
-  #usageOf(customer: CustomerId, region: RegionId): FadingSum {
-    const regions = this.#usage.get(customer) ?? new Map<RegionId, FadingSum>();
+  #usageOf(customer: CustomerId, region: RegionId): DecayingSum {
+    const regions = this.#usage.get(customer) ??
+      new Map<RegionId, DecayingSum>();
     this.#usage.set(customer, regions);
-    const usage = regions.get(region) ?? new FadingSum(SHARE_TIME_CONSTANT_MS);
+    const usage = regions.get(region) ??
+      new DecayingSum(SHARE_TIME_CONSTANT_MS);
     regions.set(region, usage);
     return usage;
   }
--- a/packages/core/src/endpoint_terms/__tests__/endpoint_rests.test.ts
+++ b/packages/core/src/endpoint_terms/__tests__/endpoint_backoffs.test.ts
@@ -1,10 +1,10 @@
 import fc from "fast-check";
 import { beforeEach, describe, expect, it } from "vitest";
 import {
+  EndpointBackoffs,
   type EndpointId,
-  EndpointRests,
   instant,
-  type Stated,
+  type StatedValue,
 } from "../../index.ts";
 
 const RECORD = { id: "e" as EndpointId, life: 1 } as never;
@@ -12,21 +12,21 @@
 /** Step of the virtual time. */
 const STEP_MS = 10;
 
-function restOf(value: number): Stated {
+function restOf(value: number): StatedValue {
   return { kind: "value", value };
 }
 
 describe("endpoints that ask to back off", () => {
-  let rests: EndpointRests;
+  let rests: EndpointBackoffs;
   let lines: string[];
 
-  const hear = (stated: Stated, at: number): void =>
-    rests.hear(RECORD, { stated, answer: ANSWER }, instant(at));
+  const hear = (stated: StatedValue, at: number): void =>
+    rests.handleAnswer(RECORD, { stated, answer: ANSWER }, instant(at));
   const waitAt = (at: number): number => rests.waitFor(RECORD, instant(at));
 
   beforeEach(() => {
     lines = [];
-    rests = new EndpointRests({ log: (text) => lines.push(text) });
+    rests = new EndpointBackoffs({ log: (text) => lines.push(text) });
   });
 
   it("get no request until the stated time", () => {
@@ -50,8 +50,8 @@
       if (waitAt(at) === 0 && gaps.length < 4) {
         gaps.push(at - last);
         last = at;
-        rests.noteSent(RECORD, instant(at));
-        rests.noteServed(RECORD, instant(at));
+        rests.recordSent(RECORD, instant(at));
+        rests.recordServed(RECORD, instant(at));
       }
     }
     expect(gaps).toEqual([0, 200, 100, 50]);
@@ -94,7 +94,7 @@
         ),
         fc.boolean(),
         (steps, serves) => {
-          rests = new EndpointRests({ log: () => {} });
+          rests = new EndpointBackoffs({ log: () => {} });
           let now = 0;
           let until = 0;
           let sentAt = 0;
@@ -103,9 +103,9 @@
               if (waitAt(now) === 0) {
                 expect(now).toBeGreaterThanOrEqual(until);
                 sentAt = now;
-                rests.noteSent(RECORD, instant(now));
+                rests.recordSent(RECORD, instant(now));
                 if (serves) {
-                  rests.noteServed(RECORD, instant(now));
+                  rests.recordServed(RECORD, instant(now));
                 }
               }
             }
--- a/packages/core/src/endpoint_terms/__tests__/endpoint_departures.test.ts
+++ b/packages/core/src/endpoint_terms/__tests__/endpoint_departures.test.ts
@@ -95,7 +95,7 @@
             case "leaves": {
               const { incarnation, departures } = region.entries[action.entry]!;
               informed[action.endpoint]!.add(incarnation);
-              departures.hear(recordOf(action.endpoint), ANSWER);
+              departures.handleAnswer(recordOf(action.endpoint), ANSWER);
               break;
             }
             case "cut":
--- a/packages/core/src/endpoint_terms/__tests__/endpoint_limits.test.ts
+++ b/packages/core/src/endpoint_terms/__tests__/endpoint_limits.test.ts
@@ -124,14 +124,14 @@
         incarnation: name as Incarnation,
         issuerOf: () => "b" as Incarnation,
         peers: () => name === "a" ? ["b" as Incarnation] : [],
-        heardPart: () => 1,
+        reachableFraction: () => 1,
         isPublished: () => true,
         send: (to, message) => sent.push({ to, message }),
         log: () => {},
       }, instant(-10_000));
     const informed = build("a");
     const stated = { kind: "value", value: 2 } as const;
-    informed.hear(RECORD, { stated, answer: ANSWER }, instant(0));
+    informed.handleAnswer(RECORD, { stated, answer: ANSWER }, instant(0));
     sent.length = 0;
     const restarted = build("b");
     for (let at = 25; at < 1_000; at += 25) {
@@ -148,7 +148,7 @@
         incarnation: "a" as Incarnation,
         issuerOf: () => "a" as Incarnation,
         peers: () => [],
-        heardPart: () => 1,
+        reachableFraction: () => 1,
         isPublished: () => true,
         send: (_to: Incarnation, _message: LimitMessage) => {},
         log: (text) => lines.push(text),
@@ -158,11 +158,11 @@
       lines.length = 0;
       const limits = build();
       const stated = { kind: "value", value: 2 } as const;
-      limits.hear(RECORD, { stated, answer: ANSWER }, instant(0));
+      limits.handleAnswer(RECORD, { stated, answer: ANSWER }, instant(0));
       const invalid = { kind: "invalid", text: "soon", reason: "r" } as const;
       for (let at = 1; at < 5; at++) {
         const heard = { stated: invalid, answer: ANSWER };
-        limits.hear(RECORD, heard, instant(at));
+        limits.handleAnswer(RECORD, heard, instant(at));
       }
       expect(limits.limitOf(RECORD)).toBe(2);
       expect(limits.ignored).toBe(4);
@@ -175,7 +175,7 @@
     it("never stop all requests, so that an endpoint can announce that its limit ended", () => {
       const limits = build();
       const stated = { kind: "value", value: 1e-9 } as const;
-      limits.hear(RECORD, { stated, answer: ANSWER }, instant(0));
+      limits.handleAnswer(RECORD, { stated, answer: ANSWER }, instant(0));
       let allowed = 0;
       for (let at = 0; at < 120_000; at += 25) {
         limits.tick(instant(at));
@@ -191,7 +191,7 @@
     it("end when the endpoint that stated them restarts", () => {
       const limits = build();
       const stated = { kind: "value", value: 2 } as const;
-      limits.hear(RECORD, { stated, answer: ANSWER }, instant(0));
+      limits.handleAnswer(RECORD, { stated, answer: ANSWER }, instant(0));
       const next = { id: "e" as EndpointId, life: 2 } as never;
       expect(limits.limitOf(next)).toBeUndefined();
     });
@@ -199,7 +199,7 @@
     it("invalidate permits that were issued under a higher one", () => {
       const limits = build();
       const hear = (value: number, at: number): void =>
-        limits.hear(RECORD, {
+        limits.handleAnswer(RECORD, {
           stated: { kind: "value", value },
           answer: ANSWER,
         }, instant(at));
@@ -207,7 +207,7 @@
       expect(limits.allows(RECORD, instant(10))).toBe(true);
       const permit = limits.take(RECORD, instant(10));
       hear(0.1, 20);
-      expect(limits.covers(RECORD, permit, instant(30))).toBe(false);
+      expect(limits.authorizeSend(RECORD, permit, instant(30))).toBe(false);
       expect(limits.withheld).toBe(1);
     });
   });
--- a/packages/core/src/endpoint_terms/__tests__/limit_model.ts
+++ b/packages/core/src/endpoint_terms/__tests__/limit_model.ts
@@ -127,7 +127,7 @@
         peers: () =>
           this.#entries.filter((other) => other !== entry)
             .map((other) => other.incarnation),
-        heardPart: () => 1,
+        reachableFraction: () => 1,
         isPublished: () => true,
         send: (to, message) => this.#send(to, message),
         log: () => {},
@@ -173,11 +173,11 @@
 
   #resume(entry: Entry): void {
     entry.pausedUntil = 0;
-    entry.limits.woke();
+    entry.limits.onResume();
   }
 
   #hear({ limits }: Entry, perSecond: number | undefined): void {
-    limits.hear(this.#record(), {
+    limits.handleAnswer(this.#record(), {
       stated: perSecond === undefined
         ? undefined
         : { kind: "value", value: perSecond },
@@ -193,7 +193,7 @@
       return;
     }
     const permit = entry.limits.take(record, now);
-    if (entry.limits.covers(record, permit, now)) {
+    if (entry.limits.authorizeSend(record, permit, now)) {
       this.arrivals.push(this.#now);
       const at = this.#now + ANSWER_MS;
       entry.pendingAnswers.push({ at, perSecond: this.limit });
--- a/packages/core/src/endpoint_terms/endpoint_rests.ts
+++ b/packages/core/src/endpoint_terms/endpoint_backoffs.ts
@@ -17,7 +17,11 @@
 } from "../ids/index.ts";
 import { type EndpointRecord, isSameLife } from "../routes/index.ts";
 import { IgnoredValues } from "./ignored_values.ts";
-import type { AnswerSummary, Stated, TermsLog } from "./stated.ts";
+import type {
+  AnswerSummary,
+  EndpointLog,
+  StatedValue,
+} from "./stated_value.ts";
 
 const MS_PER_SECOND = 1_000;
 /** Upper bound for a stated back-off period, since an endpoint may have stated a date or a year instead. */
@@ -38,12 +42,12 @@
 }
 
 /** Back-off periods of endpoints, and the pace of requests after them. */
-export class EndpointRests {
-  readonly #log: TermsLog;
+export class EndpointBackoffs {
+  readonly #log: EndpointLog;
   readonly #backoffs = new Map<EndpointId, Backoff>();
   readonly #ignored: IgnoredValues;
 
-  constructor({ log }: { log: TermsLog }) {
+  constructor({ log }: { log: EndpointLog }) {
     this.#log = log;
     this.#ignored = new IgnoredValues("Rest of an endpoint is ignored.", log);
   }
@@ -54,7 +58,7 @@
   }
 
   /** Number of endpoints in a back-off period. */
-  resting(now: Instant): number {
+  activeCount(now: Instant): number {
     return [...this.#backoffs.values()].filter(({ until }) => now < until)
       .length;
   }
@@ -70,9 +74,9 @@
   }
 
   /** Handles an answer that refuses a request and states for how many seconds to back off. */
-  hear(
+  handleAnswer(
     record: EndpointRecord,
-    { stated, answer }: { stated: Stated; answer: AnswerSummary },
+    { stated, answer }: { stated: StatedValue; answer: AnswerSummary },
     now: Instant,
   ): void {
     if (stated.kind === "invalid") {
@@ -107,7 +111,7 @@
   }
 
   /** Records that a request is sent to an endpoint. */
-  noteSent(record: EndpointRecord, now: Instant): void {
+  recordSent(record: EndpointRecord, now: Instant): void {
     const backoff = this.#find(record);
     if (backoff !== undefined && now >= backoff.until) {
       backoff.nextRequestAt = after(now, backoff.spacingMs);
@@ -115,7 +119,7 @@
   }
 
   /** Records that an endpoint served a request. */
-  noteServed(record: EndpointRecord, now: Instant): void {
+  recordServed(record: EndpointRecord, now: Instant): void {
     const backoff = this.#find(record);
     if (backoff === undefined || now < backoff.until) {
       return;
--- a/packages/core/src/endpoint_terms/endpoint_departures.ts
+++ b/packages/core/src/endpoint_terms/endpoint_departures.ts
@@ -14,8 +14,8 @@
   Instant,
 } from "../ids/index.ts";
 import { type EndpointRecord, isSameLife } from "../routes/index.ts";
-import type { AnswerSummary, TermsLog } from "./stated.ts";
-import { PeerAnnouncements } from "./told_peers.ts";
+import type { AnswerSummary, EndpointLog } from "./stated_value.ts";
+import { PeerAnnouncements } from "./peer_announcements.ts";
 
 /** Maximum number of remembered endpoints. Each start of an endpoint may use a new id. */
 const MAX_ENDPOINTS = 4_096;
@@ -43,7 +43,7 @@
   /** Whether an endpoint is published. */
   readonly isPublished: (endpoint: EndpointId) => boolean;
   readonly send: (to: Incarnation, message: DepartureMessage) => void;
-  readonly log: TermsLog;
+  readonly log: EndpointLog;
 }
 
 /** The known endpoints that are shutting down. */
@@ -68,7 +68,7 @@
   }
 
   /** Handles an answer that announces its endpoint's shutdown. */
-  hear(
+  handleAnswer(
     { id: endpoint, life, service, state }: EndpointRecord,
     answer: AnswerSummary,
   ): void {
--- a/packages/core/src/endpoint_terms/endpoint_limits.ts
+++ b/packages/core/src/endpoint_terms/endpoint_limits.ts
@@ -25,8 +25,12 @@
 } from "./known_limits.ts";
 import type { LimitMessage } from "./limit_messages.ts";
 import { PermitIssuer } from "./permit_issuer.ts";
-import type { AnswerSummary, Stated, TermsLog } from "./stated.ts";
-import { PeerAnnouncements } from "./told_peers.ts";
+import type {
+  AnswerSummary,
+  EndpointLog,
+  StatedValue,
+} from "./stated_value.ts";
+import { PeerAnnouncements } from "./peer_announcements.ts";
 
 const MS_PER_SECOND = 1_000;
 /** An unused permit expires after this time plus the interval between two requests at the limit. */
@@ -54,11 +58,11 @@
   /** Other live entries of the region. */
   readonly peers: () => readonly Incarnation[];
   /** Fraction of the region's entries that this one is connected to, including itself. */
-  readonly heardPart: () => number;
+  readonly reachableFraction: () => number;
   /** Whether an endpoint is published. */
   readonly isPublished: (endpoint: EndpointId) => boolean;
   readonly send: (to: Incarnation, message: LimitMessage) => void;
-  readonly log: TermsLog;
+  readonly log: EndpointLog;
 }
 
 /** Limits and permits of one entry, including the permits that it issues to others. */
@@ -96,7 +100,7 @@
   }
 
   /** Whether entries are waiting for permits from this one. */
-  get isAsked(): boolean {
+  get hasPermitRequests(): boolean {
     return [...this.#permitIssuers.values()].some(({ hasRequests }) =>
       hasRequests
     );
@@ -108,9 +112,12 @@
   }
 
   /** Handles the limit that an answer's headers state. An answer without a limit lifts it. */
-  hear(
+  handleAnswer(
     record: EndpointRecord,
-    { stated, answer }: { stated: Stated | undefined; answer: AnswerSummary },
+    { stated, answer }: {
+      stated: StatedValue | undefined;
+      answer: AnswerSummary;
+    },
     now: Instant,
   ): void {
     if (stated?.kind === "invalid") {
@@ -135,7 +142,7 @@
 
   /** Whether a request may be placed at an endpoint. Requests a permit if one is missing. */
   allows(record: EndpointRecord, now: Instant): boolean {
-    if (this.isFree(record, now)) {
+    if (this.hasPermitOrNoLimit(record, now)) {
       return true;
     }
     this.#requestPermit(record.id, now);
@@ -143,7 +150,7 @@
   }
 
   /** Whether an endpoint has no limit, or this entry holds a permit for it. */
-  isFree(record: EndpointRecord, now: Instant): boolean {
+  hasPermitOrNoLimit(record: EndpointRecord, now: Instant): boolean {
     return this.limitOf(record) === undefined || this.#hasPermit(record, now);
   }
 
@@ -155,7 +162,7 @@
   }
 
   /** Whether a request may be sent to an endpoint now. If its permit is no longer valid, another one is taken. */
-  covers(
+  authorizeSend(
     record: EndpointRecord,
     permit: Permit | undefined,
     now: Instant,
@@ -168,7 +175,7 @@
   }
 
   /** Returns the permit of a request that was not sent, so that another request may use it. */
-  giveBack({ id }: EndpointRecord, permit: Permit): void {
+  returnPermit({ id }: EndpointRecord, permit: Permit): void {
     this.#permits.set(id, [permit, ...this.#permits.get(id) ?? []]);
   }
 
@@ -209,7 +216,7 @@
   }
 
   /** Called after the process was suspended: another entry may have taken over issuing permits. */
-  woke(): void {
+  onResume(): void {
     this.#permits.clear();
     this.#permitIssuers.clear();
     this.#issuers.onResume();
@@ -261,7 +268,7 @@
     now: Instant,
     requester?: Incarnation,
   ): void {
-    const { incarnation, heardPart, send } = this.#sources;
+    const { incarnation, reachableFraction: heardPart, send } = this.#sources;
     const known = this.#known.get(endpoint);
     const { entry, takesOver } = this.#findIssuer(endpoint, now);
     if (entry !== incarnation || known?.perSecond === undefined) {
--- a/packages/core/src/endpoint_terms/endpoint_terms.ts
+++ b/packages/core/src/endpoint_terms/endpoint_terms.ts
@@ -5,11 +5,11 @@
  */
 import type { EndpointDepartures } from "./endpoint_departures.ts";
 import type { EndpointLimits } from "./endpoint_limits.ts";
-import type { EndpointRests } from "./endpoint_rests.ts";
+import type { EndpointBackoffs } from "./endpoint_backoffs.ts";
 
 /** What this entry knows of those announcements, by kind. */
 export interface EndpointTerms {
   readonly limits: EndpointLimits;
   readonly departures: EndpointDepartures;
-  readonly rests: EndpointRests;
+  readonly backoffs: EndpointBackoffs;
 }
--- a/packages/core/src/endpoint_terms/ignored_values.ts
+++ b/packages/core/src/endpoint_terms/ignored_values.ts
@@ -5,7 +5,11 @@
  */
 import type { EndpointId } from "../ids/index.ts";
 import type { EndpointRecord } from "../routes/index.ts";
-import type { AnswerSummary, Stated, TermsLog } from "./stated.ts";
+import type {
+  AnswerSummary,
+  EndpointLog,
+  StatedValue,
+} from "./stated_value.ts";
 
 /** Maximum number of endpoints whose last invalid value is remembered. */
 const MAX_ENDPOINTS = 1_024;
@@ -14,12 +18,12 @@
 export class IgnoredValues {
   /** Invalid values since the process started. */
   count = 0;
-  readonly #log: TermsLog;
+  readonly #log: EndpointLog;
   readonly #message: string;
   readonly #lastTexts = new Map<EndpointId, string>();
 
   /** `message`: log message that says what is ignored. */
-  constructor(message: string, log: TermsLog) {
+  constructor(message: string, log: EndpointLog) {
     this.#message = message;
     this.#log = log;
   }
@@ -27,7 +31,7 @@
   note(
     { id: endpoint }: EndpointRecord,
     { stated: { text, reason }, answer, inForce }: {
-      stated: Extract<Stated, { kind: "invalid" }>;
+      stated: Extract<StatedValue, { kind: "invalid" }>;
       answer: AnswerSummary;
       /** The value that stays in force. */
       inForce?: number | undefined;
--- a/packages/core/src/endpoint_terms/stated.ts
+++ b/packages/core/src/endpoint_terms/stated_value.ts
@@ -5,7 +5,7 @@
  */
 
 /** A stated number, or the reason why it could not be parsed. */
-export type Stated =
+export type StatedValue =
   | { readonly kind: "value"; readonly value: number }
   /** Ignored: the previously known value stays in force. */
   | {
@@ -21,7 +21,7 @@
 }
 
 /** Writes a log line about an endpoint. */
-export type TermsLog = (
+export type EndpointLog = (
   text: string,
   fields: Readonly<Record<string, unknown>>,
 ) => void;
--- a/packages/core/src/endpoints/endpoint_controller.ts
+++ b/packages/core/src/endpoints/endpoint_controller.ts
@@ -19,7 +19,7 @@
   type ServiceId,
 } from "../ids/index.ts";
 import type { Emit, ListedVm, LoadReport } from "../messages/index.ts";
-import { LoadPollScheduler } from "./load_polls.ts";
+import { LoadPollScheduler } from "./load_poll_scheduler.ts";
 import {
   type MutableEndpoint,
   newEndpoint,
--- a/packages/core/src/endpoints/subset.ts
+++ b/packages/core/src/endpoints/subset.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { Endpoint, Self } from "../blackboard/index.ts";
+import type { Endpoint, EntryIdentity } from "../blackboard/index.ts";
 import { hash32 } from "../ids/index.ts";
 
 /** Maximum number of endpoints of one service that one entry uses. */
@@ -14,7 +14,7 @@
  * entry uses its own subset, so that it knows their load and caches well. All entries together use all endpoints.
  */
 export function subsetOf(
-  self: Self,
+  self: EntryIdentity,
   serving: readonly Endpoint[],
 ): readonly Endpoint[] {
   if (serving.length <= SUBSET_SIZE) {
--- a/packages/core/src/explain/explanations.ts
+++ b/packages/core/src/explain/decision_log.ts
@@ -12,7 +12,7 @@
 const MAX_STEPS_PER_REQUEST = 32;
 
 /** A decision about a request, with the time since the first decision about it. */
-export interface Step {
+export interface DecisionStep {
   readonly afterMs: number;
   readonly text: string;
   readonly fields: Readonly<Record<string, unknown>>;
@@ -20,15 +20,15 @@
 
 interface RequestHistory {
   readonly since: Instant;
-  readonly steps: Step[];
+  readonly steps: DecisionStep[];
 }
 
 /** The decisions made for the most recent requests. */
-export class Explanations {
+export class DecisionLog {
   readonly #byRequest = new Map<RequestId, RequestHistory>();
 
   /** Records a decision. */
-  note(
+  record(
     request: RequestId,
     now: Instant,
     { text, ...fields }: { text: string; [field: string]: unknown },
@@ -51,7 +51,7 @@
   /**
    * Returns the decisions about a request in order, `undefined` if the request is not or no longer recorded.
    */
-  of(request: RequestId): readonly Step[] | undefined {
+  find(request: RequestId): readonly DecisionStep[] | undefined {
     return this.#byRequest.get(request)?.steps;
   }
 
--- a/packages/core/src/explain/index.ts
+++ b/packages/core/src/explain/index.ts
@@ -1,1 +1,1 @@
-export * from "./explanations.ts";
+export * from "./decision_log.ts";
--- a/packages/core/src/fleet/__tests__/fleet_controller.test.ts
+++ b/packages/core/src/fleet/__tests__/fleet_controller.test.ts
@@ -3,11 +3,11 @@
   type EntryId,
   type Incarnation,
   instant,
-  ListenedTime,
   NO_POSITION,
   type RegionId,
   type Revision,
   SeededRandomness,
+  StallAdjustedClock,
   type ZoneId,
 } from "../../index.ts";
 import { FleetController } from "../fleet_controller.ts";
@@ -53,11 +53,11 @@
           weight: 1,
         },
         seeds,
-        period: PERIOD_MS,
-        resting: () => this.standby.has(name),
-        holds: () => [],
+        pingPeriodMs: PERIOD_MS,
+        isStandby: () => this.standby.has(name),
+        nextHolds: () => [],
         random: new SeededRandomness(this.#starts),
-        listened: new ListenedTime(instant(this.now)),
+        clock: new StallAdjustedClock(instant(this.now)),
         send: (to, message) => this.#send(`${name}:1`, to, message),
         holdings: () => ({ document: 0 as Revision, catalogue: NO_POSITION }),
         summary: () => ({
@@ -84,12 +84,14 @@
   }
 
   live(name: string): string[] {
-    return this.nodes.get(`${name}:1`)!.live().map(({ record }) => record.id)
+    return this.nodes.get(`${name}:1`)!.liveMembers().map(({ record }) =>
+      record.id
+    )
       .sort();
   }
 
   states(name: string): string[] {
-    return this.nodes.get(`${name}:1`)!.live().map(({ record }) =>
+    return this.nodes.get(`${name}:1`)!.liveMembers().map(({ record }) =>
       `${record.id} ${record.state}`
     ).sort();
   }
--- a/packages/core/src/fleet/__tests__/join_backoff.test.ts
+++ b/packages/core/src/fleet/__tests__/join_phase.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from "vitest";
 import { instant } from "../../index.ts";
-import { JoinPhase } from "../join_backoff.ts";
+import { JoinPhase } from "../join_phase.ts";
 
 describe("the join phase of an entry", () => {
   it("starts at once and ends after a second without new members", () => {
--- a/packages/core/src/fleet/fleet_controller.ts
+++ b/packages/core/src/fleet/fleet_controller.ts
@@ -14,14 +14,14 @@
 } from "../ids/index.ts";
 import { type IndirectProbe, IndirectProbes } from "./indirect_probes.ts";
 import type {
+  EntryRecord,
   EntryState,
   FleetGossip,
   FleetMessage,
-  FleetRecord,
 } from "./fleet_messages.ts";
-import { FleetSender } from "./fleet_mail.ts";
+import { FleetSender } from "./fleet_sender.ts";
 import type { FleetOptions } from "./fleet_options.ts";
-import { JoinPhase } from "./join_backoff.ts";
+import { JoinPhase } from "./join_phase.ts";
 import { UnreachablePeers } from "./unreachable_peers.ts";
 import { MembershipList } from "./membership_list.ts";
 import type { FleetMember } from "./membership_list.ts";
@@ -30,12 +30,12 @@
   type DocumentHolder,
   PeerHoldings,
 } from "./peer_holdings.ts";
-import { pingPeriod, pingsPerPeriod } from "./ping_pace.ts";
+import { pingPeriod, pingsPerPeriod } from "./ping_rate.ts";
 import { ProbeSchedule } from "./probe_schedule.ts";
 import { RegionSummaries } from "./region_summaries.ts";
 
 /** How long a suspected member may refute the suspicion before it is declared dead. */
-export const SUSPICION_MS = 2_000;
+export const SUSPICION_TIMEOUT_MS = 2_000;
 /** Members asked to ping a member that did not answer. */
 const INDIRECT_PROBES_PER_PING = 2;
 /** Membership updates in one message: keeps a datagram under 1,400 bytes. */
@@ -49,9 +49,9 @@
 
 /** Tracks the other entries of the fleet and whether they are alive. */
 export class FleetController {
-  readonly regions: RegionSummaries;
+  readonly regionSummaries: RegionSummaries;
   /** Sends messages to other entries. */
-  readonly mail: FleetSender;
+  readonly sender: FleetSender;
   readonly #options: FleetOptions;
   readonly #members = new MembershipList();
   readonly #probeSchedule: ProbeSchedule;
@@ -59,19 +59,19 @@
   readonly #unreachablePeers: UnreachablePeers;
   readonly #joinPhase: JoinPhase;
   readonly #holdings = new PeerHoldings();
-  #record: FleetRecord;
+  #record: EntryRecord;
   #nextPeriodAt: Instant;
   #lastTickAt: Instant;
 
   constructor(options: FleetOptions, now: Instant) {
     this.#options = options;
-    this.#probeSchedule = new ProbeSchedule(options.random, options.listened);
+    this.#probeSchedule = new ProbeSchedule(options.random, options.clock);
     this.#record = { ...options.self, version: 1, state: "starting" };
-    this.mail = new FleetSender(options, {
+    this.sender = new FleetSender(options, {
       record: () => this.#record,
-      live: () => this.live(),
+      live: () => this.liveMembers(),
     });
-    this.regions = new RegionSummaries(options.self.region);
+    this.regionSummaries = new RegionSummaries(options.self.region);
     this.#nextPeriodAt = now;
     this.#lastTickAt = now;
     this.#joinPhase = new JoinPhase(now);
@@ -82,12 +82,12 @@
   }
 
   /** This entry's own record. */
-  get record(): FleetRecord {
+  get record(): EntryRecord {
     return this.#record;
   }
 
   /** Members that are considered live. */
-  live(): FleetMember[] {
+  liveMembers(): FleetMember[] {
     return this.#members.withHealth("live");
   }
 
@@ -95,12 +95,12 @@
    * Members that are not known to be dead. Shares of a limit are computed with these, so that all shares
    * together do not exceed it.
    */
-  possible(): FleetMember[] {
+  possiblyLiveMembers(): FleetMember[] {
     return [...this.#members.all()].filter(({ health }) => health !== "dead");
   }
 
   /** Peer address of a live member, `undefined` if the member is unknown or not live. */
-  addressOf(incarnation: Incarnation): string | undefined {
+  peerAddressOf(incarnation: Incarnation): string | undefined {
     const member = this.#members.get(incarnation);
     return member?.health === "live" ? member.record.peerAddress : undefined;
   }
@@ -109,13 +109,13 @@
    * Fraction of a region's known members that are live, 1 if none is known. Dead members count for a minute
    * before they are forgotten.
    */
-  heardPart(region: RegionId): number {
+  liveFraction(region: RegionId): number {
     const { known, live } = this.#countMembers(region);
     return known === 0 ? 1 : live / known;
   }
 
   /** The same fraction with this entry counted as a live member. */
-  heardPartWithSelf(region: RegionId): number {
+  liveFractionWithSelf(region: RegionId): number {
     const { known, live } = this.#countMembers(region);
     return (live + 1) / (known + 1);
   }
@@ -135,13 +135,13 @@
   }
 
   /** Live member that holds the newest catalogue, with the catalogue's position. */
-  newestHolder(): CatalogueHolder | undefined {
-    return this.#holdings.newestCatalogue(this.live());
+  newestCatalogueHolder(): CatalogueHolder | undefined {
+    return this.#holdings.newestCatalogue(this.liveMembers());
   }
 
   /** Live member that holds the newest routing document, with the document's version. */
-  newestDocument(): DocumentHolder | undefined {
-    return this.#holdings.newestDocument(this.live());
+  newestDocumentHolder(): DocumentHolder | undefined {
+    return this.#holdings.newestDocument(this.liveMembers());
   }
 
   /** Changes this entry's state and announces it at once, since other entries list this one to callers. */
@@ -154,7 +154,7 @@
       state,
       version: this.#record.version + 1,
     };
-    this.mail.announce();
+    this.sender.announce();
     this.#nextPeriodAt = now;
   }
 
@@ -173,10 +173,10 @@
       this.#nextPeriodAt = after(
         now,
         pingPeriod({
-          period: this.#options.period,
+          period: this.#options.pingPeriodMs,
           joining,
           members: this.#members.size,
-          standby: this.#options.resting(),
+          standby: this.#options.isStandby(),
         }),
       );
       this.#members.removeExpired(now);
@@ -241,7 +241,7 @@
         this.#members.applyUpdate(item, now);
       }
     }
-    regions.forEach((summary) => this.regions.update(summary, now));
+    regions.forEach((summary) => this.regionSummaries.update(summary, now));
   }
 
   /** Refutes another entry's suspicion of this one: a higher version overrides it wherever it has spread. */
@@ -284,11 +284,11 @@
     const news = suspected
       ? [{ record: target.record, health: target.health }, ...gossip.news]
       : gossip.news;
-    this.mail.send(to, { kind: "ping", sequence, ...gossip, news });
+    this.sender.send(to, { kind: "ping", sequence, ...gossip, news });
   }
 
-  #acknowledge(to: FleetRecord, sequence: number, now: Instant): void {
-    this.mail.send(to.peerAddress, {
+  #acknowledge(to: EntryRecord, sequence: number, now: Instant): void {
+    this.sender.send(to.peerAddress, {
       kind: "ack",
       sequence,
       ...this.#createGossip(this.#members.get(to.incarnation), now),
@@ -297,7 +297,7 @@
 
   #createGossip(to: FleetMember | undefined, now: Instant): FleetGossip {
     const ownSummary = this.#options.summary(now);
-    const holds = this.#options.holds(now);
+    const holds = this.#options.nextHolds(now);
     const isNewcomer = to !== undefined &&
       now - to.since < NEWCOMER_DURATION_MS;
     return isNewcomer
@@ -309,17 +309,17 @@
       : {
         holds,
         news: this.#members.nextUpdates(UPDATES_PER_MESSAGE),
-        regions: [ownSummary, ...this.regions.next(now)],
+        regions: [ownSummary, ...this.regionSummaries.next(now)],
       };
   }
 
   #requestIndirectProbes(target: FleetMember, sequence: number): void {
-    const others = this.live().filter(({ record }) =>
+    const others = this.liveMembers().filter(({ record }) =>
       record.incarnation !== target.record.incarnation
     );
     const { random } = this.#options;
     for (const { record } of sample(others, INDIRECT_PROBES_PER_PING, random)) {
-      this.mail.send(record.peerAddress, {
+      this.sender.send(record.peerAddress, {
         kind: "indirect",
         sequence,
         target: target.record.peerAddress,
@@ -336,7 +336,7 @@
   #answerIndirectProbe(sequence: number): void {
     const probe = this.#indirectProbes.take(sequence);
     if (probe !== undefined) {
-      this.mail.send(probe.to, {
+      this.sender.send(probe.to, {
         kind: "indirect_ack",
         sequence: probe.sequence,
       });
@@ -352,7 +352,7 @@
   #declareSuspectsDead(now: Instant): void {
     for (const { record, since } of this.#members.withHealth("suspect")) {
       // Stalls of this process don't count: a refutation may be waiting in the socket.
-      if (this.#options.listened.since(since, now) >= SUSPICION_MS) {
+      if (this.#options.clock.since(since, now) >= SUSPICION_TIMEOUT_MS) {
         this.#members.setHealth(record.incarnation, "dead", now);
         this.#holdings.delete(record.incarnation);
       }
--- a/packages/core/src/fleet/fleet_messages.ts
+++ b/packages/core/src/fleet/fleet_messages.ts
@@ -20,8 +20,8 @@
   ServiceId,
   ZoneId,
 } from "../ids/index.ts";
-import type { HoldNotice, QuarantineNews } from "../quarantine/index.ts";
-import type { CataloguePosition, CurrencyMessage } from "../routes/index.ts";
+import type { HoldNotice, QuarantineUpdate } from "../quarantine/index.ts";
+import type { CataloguePosition, FreshnessMessage } from "../routes/index.ts";
 
 /** Whether an entry takes new requests. */
 export type EntryState =
@@ -32,7 +32,7 @@
   | "stopping";
 
 /** An entry's description of itself. Only the entry itself creates new versions. */
-export interface FleetRecord {
+export interface EntryRecord {
   readonly id: EntryId;
   readonly incarnation: Incarnation;
   /** Increases with each change, and whenever the entry refutes a suspicion. */
@@ -53,7 +53,7 @@
 
 /** A record and the health that the sender assigns to it, as spread by gossip. */
 export interface MemberUpdate {
-  readonly record: FleetRecord;
+  readonly record: EntryRecord;
   readonly health: MemberHealth;
 }
 
@@ -87,7 +87,7 @@
 }
 
 /** Versions of the shared data that an entry holds. */
-export interface Holdings {
+export interface HeldVersions {
   /** Version of the routing document. */
   readonly document: Revision;
   /** Position of the catalogue, which holds everything that is published. */
@@ -108,7 +108,7 @@
 }
 
 /** A prompt prefix that was just sent to an endpoint. */
-export interface PrefixNews {
+export interface PrefixUpdate {
   readonly endpoint: EndpointId;
   readonly life: EndpointLife | undefined;
   /** Shareable parts of the prompt, in order. */
@@ -126,7 +126,7 @@
   /** Whether only changes are listed. Otherwise an endpoint that is not listed has no work. */
   readonly partial: boolean;
   readonly endpoints: readonly EndpointWork[];
-  readonly prefixes: readonly PrefixNews[];
+  readonly prefixes: readonly PrefixUpdate[];
   /** Work that arrived at this entry in the last second, by service. */
   readonly arrivals: readonly ServiceArrivals[];
   /** Hash of the sender's catalogue, by which entries that rarely read it notice a change. */
@@ -143,8 +143,8 @@
 }
 
 interface FleetMessageBase {
-  readonly from: FleetRecord;
-  readonly holdings: Holdings;
+  readonly from: EntryRecord;
+  readonly holdings: HeldVersions;
 }
 
 /** A datagram between entries. */
@@ -181,10 +181,10 @@
   | {
     readonly kind: "quarantine";
     readonly incarnation: Incarnation;
-    readonly news: QuarantineNews;
+    readonly news: QuarantineUpdate;
   }
   /** Queries and answers about how up to date an entry's catalogue is. */
-  | { readonly kind: "currency"; readonly message: CurrencyMessage }
+  | { readonly kind: "currency"; readonly message: FreshnessMessage }
   /** Usage of customers' limits. */
   | { readonly kind: "spending"; readonly message: SpendingMessage }
   /** Limits that endpoints stated, and permits to send to these endpoints. */
@@ -192,7 +192,7 @@
   /** Endpoints that are about to shut down. */
   | { readonly kind: "departures"; readonly message: DepartureMessage };
 
-type MessageBody<Message> = Message extends { readonly from: FleetRecord }
+type MessageBody<Message> = Message extends { readonly from: EntryRecord }
   ? Omit<Message, "from" | "holdings">
   : never;
 /** A message without the sender's record and holdings, which are added when it is sent. */
--- a/packages/core/src/fleet/fleet_options.ts
+++ b/packages/core/src/fleet/fleet_options.ts
@@ -4,17 +4,17 @@
  * @module
  */
 import type { Instant, Randomness } from "../ids/index.ts";
-import type { ListenedTimeView } from "../listening/index.ts";
+import type { StallAdjustedClockView } from "../listening/index.ts";
 import type { HoldNotice } from "../quarantine/index.ts";
 import type {
+  EntryRecord,
   FleetMessage,
-  FleetRecord,
-  Holdings,
+  HeldVersions,
   RegionSummary,
 } from "./fleet_messages.ts";
 
 /** The fixed part of this entry's record. */
-export type FleetIdentity = Omit<FleetRecord, "version" | "state">;
+export type FleetIdentity = Omit<EntryRecord, "version" | "state">;
 
 /** Settings of the fleet controller, and its access to the rest of the entry. */
 export interface FleetOptions {
@@ -22,15 +22,15 @@
   /** Peer addresses that are contacted first. */
   readonly seeds: readonly string[];
   /** Time between pings, in milliseconds. */
-  readonly period: number;
+  readonly pingPeriodMs: number;
   readonly random: Randomness;
-  readonly listened: ListenedTimeView;
+  readonly clock: StallAdjustedClockView;
   readonly send: (to: string, message: FleetMessage) => void;
-  readonly holdings: () => Holdings;
+  readonly holdings: () => HeldVersions;
   /** Whether this entry is on standby, that is, has had no requests lately. */
-  readonly resting: () => boolean;
+  readonly isStandby: () => boolean;
   /** Current load summary of this entry's region. */
   readonly summary: (now: Instant) => RegionSummary;
   /** The next few of the requests that are held back; successive calls go through all of them. */
-  readonly holds: (now: Instant) => readonly HoldNotice[];
+  readonly nextHolds: (now: Instant) => readonly HoldNotice[];
 }
--- a/packages/core/src/fleet/fleet_mail.ts
+++ b/packages/core/src/fleet/fleet_sender.ts
@@ -4,11 +4,11 @@
  * @module
  */
 import { sample } from "../ids/index.ts";
-import type { QuarantineNews } from "../quarantine/index.ts";
+import type { QuarantineUpdate } from "../quarantine/index.ts";
 import type {
+  EntryRecord,
   FleetMessage,
   FleetMessageBody,
-  FleetRecord,
   WorkReport,
 } from "./fleet_messages.ts";
 import type { FleetOptions } from "./fleet_options.ts";
@@ -23,7 +23,7 @@
 /** The sender's record and the possible recipients. */
 export interface SenderSources {
   /** This entry's current record. */
-  readonly record: () => FleetRecord;
+  readonly record: () => EntryRecord;
   /** Live members. */
   readonly live: () => FleetMember[];
 }
@@ -41,7 +41,7 @@
   /** Sends a report of this entry's work to the matching entries of its region. */
   sendWork(
     report: WorkReport,
-    isRecipient: (record: FleetRecord) => boolean,
+    isRecipient: (record: EntryRecord) => boolean,
   ): void {
     const { region, incarnation } = this.#options.self;
     this.#sendToMatching(
@@ -52,8 +52,8 @@
 
   /** Sends quarantine updates to the matching entries of all regions. */
   sendQuarantine(
-    news: QuarantineNews,
-    isRecipient: (record: FleetRecord) => boolean,
+    news: QuarantineUpdate,
+    isRecipient: (record: EntryRecord) => boolean,
   ): void {
     const { incarnation } = this.#options.self;
     this.#sendToMatching(
@@ -63,7 +63,7 @@
   }
 
   /** Sends a message that doesn't carry this entry's record. */
-  sendBare(
+  sendWithoutRecord(
     to: string,
     message: Extract<
       FleetMessage,
@@ -106,7 +106,7 @@
   /** Passes the same message object for all recipients, so that it is encoded only once. */
   #sendToMatching(
     message: FleetMessage,
-    isRecipient: (record: FleetRecord) => boolean,
+    isRecipient: (record: EntryRecord) => boolean,
   ): void {
     for (const { record } of this.#sources.live()) {
       if (isRecipient(record)) {
--- a/packages/core/src/fleet/membership_list.ts
+++ b/packages/core/src/fleet/membership_list.ts
@@ -5,7 +5,7 @@
  */
 import type { Incarnation, Instant } from "../ids/index.ts";
 import type {
-  FleetRecord,
+  EntryRecord,
   MemberHealth,
   MemberUpdate,
 } from "./fleet_messages.ts";
@@ -17,7 +17,7 @@
 
 /** One other entry. */
 export interface FleetMember {
-  readonly record: FleetRecord;
+  readonly record: EntryRecord;
   readonly health: MemberHealth;
   /** When the health last changed. */
   readonly since: Instant;
@@ -65,7 +65,7 @@
    * The copy with the higher version is kept. A dead incarnation that sends again was partitioned, unless
    * another incarnation is live at its address.
    */
-  recordHeard(record: FleetRecord, now: Instant): void {
+  recordHeard(record: EntryRecord, now: Instant): void {
     const known = this.#members.get(record.incarnation);
     if (known?.health === "dead" && this.#hasLiveMemberAt(record)) {
       return;
@@ -169,7 +169,7 @@
   }
 
   /** Marks former incarnations at a record's address as dead: two processes cannot listen there. */
-  #markPredecessorsDead(record: FleetRecord, now: Instant): void {
+  #markPredecessorsDead(record: EntryRecord, now: Instant): void {
     for (const [incarnation, member] of this.#members) {
       if (
         member.record.peerAddress === record.peerAddress &&
@@ -184,7 +184,7 @@
    * Whether a member is live at a record's address. A late update about a former incarnation must not
    * replace that member.
    */
-  #hasLiveMemberAt(record: FleetRecord): boolean {
+  #hasLiveMemberAt(record: EntryRecord): boolean {
     return [...this.#members.values()].some((member) =>
       member.health === "live" &&
       member.record.peerAddress === record.peerAddress
--- a/packages/core/src/fleet/peer_holdings.ts
+++ b/packages/core/src/fleet/peer_holdings.ts
@@ -6,10 +6,10 @@
 import type { Incarnation, Revision } from "../ids/index.ts";
 import {
   type CataloguePosition,
-  isAfter,
+  isLaterPosition,
   NO_POSITION,
 } from "../routes/index.ts";
-import type { Holdings } from "./fleet_messages.ts";
+import type { HeldVersions } from "./fleet_messages.ts";
 import type { FleetMember } from "./membership_list.ts";
 
 /** Address of an entry, and the position of the catalogue that it holds. */
@@ -26,9 +26,9 @@
 
 /** Holdings by the entries' incarnations. */
 export class PeerHoldings {
-  readonly #holdings = new Map<Incarnation, Holdings>();
+  readonly #holdings = new Map<Incarnation, HeldVersions>();
 
-  set(entry: Incarnation, holdings: Holdings): void {
+  set(entry: Incarnation, holdings: HeldVersions): void {
     this.#holdings.set(entry, holdings);
   }
 
@@ -45,7 +45,7 @@
       const position = this.#holdings.get(incarnation)?.catalogue;
       if (
         position !== undefined &&
-        isAfter(position, best?.position ?? NO_POSITION)
+        isLaterPosition(position, best?.position ?? NO_POSITION)
       ) {
         best = { address: peerAddress, position };
       }
--- a/packages/core/src/fleet/probe_schedule.ts
+++ b/packages/core/src/fleet/probe_schedule.ts
@@ -9,7 +9,7 @@
   type Randomness,
   sample,
 } from "../ids/index.ts";
-import type { ListenedTimeView } from "../listening/index.ts";
+import type { StallAdjustedClockView } from "../listening/index.ts";
 import type { FleetMember } from "./membership_list.ts";
 
 /** A ping without an answer is repeated through other members after this time: twice the longest round trip. */
@@ -28,12 +28,12 @@
 /** Goes through the members in a shuffled order, so that each is pinged within two rounds. */
 export class ProbeSchedule {
   readonly #random: Randomness;
-  readonly #clock: ListenedTimeView;
+  readonly #clock: StallAdjustedClockView;
   readonly #openProbes = new Map<number, Probe>();
   #remainingInRound: Incarnation[] = [];
   #sequence = 0;
 
-  constructor(random: Randomness, listened: ListenedTimeView) {
+  constructor(random: Randomness, listened: StallAdjustedClockView) {
     this.#random = random;
     this.#clock = listened;
   }
--- a/packages/core/src/gateway/__tests__/arrival_meter.test.ts
+++ b/packages/core/src/gateway/__tests__/arrival_meter.test.ts
@@ -14,7 +14,7 @@
     const meter = new ArrivalMeter();
     meter.add(POOL, 200, instant(0));
     meter.add(POOL, 70, instant(1_400));
-    meter.takeOff(POOL, 200, instant(0), instant(1_500));
+    meter.subtract(POOL, 200, instant(0), instant(1_500));
     expect(meter.lastSecond(POOL, instant(1_500))).toBe(70);
   });
 
@@ -22,7 +22,7 @@
     const meter = new ArrivalMeter();
     meter.add(POOL, 200, instant(0));
     meter.add(POOL, 70, instant(400));
-    meter.takeOff(POOL, 200, instant(0), instant(500));
+    meter.subtract(POOL, 200, instant(0), instant(500));
     expect(meter.lastSecond(POOL, instant(500))).toBe(70);
     expect(meter.lastSecond(POOL, instant(1_050))).toBe(70);
     expect(meter.lastSecond(POOL, instant(1_500))).toBe(0);
--- a/packages/core/src/gateway/__tests__/limits.test.ts
+++ b/packages/core/src/gateway/__tests__/budgets.test.ts
@@ -11,13 +11,13 @@
 import { EndpointHealth } from "../endpoint_health.ts";
 import { EndpointState } from "../endpoint_state.ts";
 import type { GatewayBounds } from "../messages.ts";
-import { RepeatBudget } from "../repeat_budget.ts";
+import { RetryBudget } from "../retry_budget.ts";
 
 const SERVICE = "s" as ServiceId;
 const BOUNDS: GatewayBounds = {
-  repeatRatio: 0.2,
-  repeatWindow: milliseconds(10_000),
-  repeatSlack: 54,
+  retryRatio: 0.2,
+  retryWindow: milliseconds(10_000),
+  retrySlack: 54,
   coldOvershoot: 1.5,
   coldSlack: 3,
   listLifetime: milliseconds(1_000),
@@ -31,21 +31,21 @@
     const firsts = 40;
     let repeats = 0;
     for (let entry = 0; entry < entries; entry++) {
-      const budget = new RepeatBudget(BOUNDS);
+      const budget = new RetryBudget(BOUNDS);
       for (let index = 0; index < firsts; index++) {
-        budget.noteFirst(SERVICE, instant(index));
+        budget.noteFirstSend(SERVICE, instant(index));
       }
       while (budget.spend(SERVICE, { entries }, instant(100))) {
         repeats++;
       }
     }
-    const allowed = BOUNDS.repeatRatio * firsts * entries + BOUNDS.repeatSlack;
+    const allowed = BOUNDS.retryRatio * firsts * entries + BOUNDS.retrySlack;
     expect(repeats).toBeLessThanOrEqual(allowed);
     expect(repeats).toBeGreaterThan(0);
   });
 
   it("becomes available again after its window", () => {
-    const budget = new RepeatBudget(BOUNDS);
+    const budget = new RetryBudget(BOUNDS);
     while (budget.spend(SERVICE, { entries: 9 }, instant(0))) {
       // Uses up the budget.
     }
@@ -86,7 +86,7 @@
     for (const self of candidates) {
       const cold = new ColdAllowance(BOUNDS, instant(-10_000));
       while (cold.allows(state, { self, candidates }, instant(10))) {
-        cold.spend(state.record.id, instant(10));
+        cold.recordSend(state.record.id, instant(10));
         sent++;
       }
     }
@@ -99,9 +99,9 @@
 describe("an endpoint's health", () => {
   it("is suspected after two consecutive broken connections, not after one", () => {
     const health = new EndpointHealth();
-    health.note("broken", instant(0));
+    health.recordOutcome("broken", instant(0));
     expect(health.isUsable(instant(1))).toBe(true);
-    health.note("broken", instant(2));
+    health.recordOutcome("broken", instant(2));
     expect(health.isUsable(instant(3))).toBe(false);
   });
 
@@ -109,9 +109,9 @@
     const health = new EndpointHealth();
     health.suspect(instant(0));
     expect(health.isUsable(instant(600))).toBe(true);
-    health.used(instant(600));
+    health.noteRequestSent(instant(600));
     expect(health.isUsable(instant(601))).toBe(false);
-    health.note("good", instant(650));
+    health.recordOutcome("good", instant(650));
     expect(health.isUsable(instant(651))).toBe(true);
     expect(health.isSuspected).toBe(false);
   });
--- a/packages/core/src/gateway/__tests__/call_controller.test.ts
+++ b/packages/core/src/gateway/__tests__/call_controller.test.ts
@@ -4,13 +4,13 @@
   type CallId,
   type EndpointId,
   instant,
-  ListenedTime,
   milliseconds,
   type RequestId,
   type Revision,
   type RouteName,
   SeededRandomness,
   type ServiceId,
+  StallAdjustedClock,
   type ZoneId,
 } from "../../index.ts";
 import {
@@ -23,10 +23,10 @@
 import { ColdAllowance } from "../cold_allowance.ts";
 import { EndpointState } from "../endpoint_state.ts";
 import type { CallAnswer, GatewayBounds, GatewayEffect } from "../messages.ts";
-import { RepeatBudget } from "../repeat_budget.ts";
+import { RetryBudget } from "../retry_budget.ts";
 import type { RegionController } from "../region_controller.ts";
-import { noTerms } from "./endpoint_terms_fixture.ts";
-import { engine } from "./engine_fixture.ts";
+import { emptyTerms } from "./endpoint_terms_fixture.ts";
+import { createEngine } from "./engine_fixture.ts";
 import { emptyQuarantine, fingerprint } from "./quarantine_fixture.ts";
 
 const SERVICE = "pool" as ServiceId;
@@ -59,9 +59,9 @@
   },
 };
 const BOUNDS: GatewayBounds = {
-  repeatRatio: 0.2,
-  repeatWindow: milliseconds(10_000),
-  repeatSlack: 10,
+  retryRatio: 0.2,
+  retryWindow: milliseconds(10_000),
+  retrySlack: 10,
   coldOvershoot: 1,
   coldSlack: 1,
   listLifetime: milliseconds(1_000),
@@ -103,13 +103,13 @@
       readPart: 0,
     } as unknown as RegionController,
     router,
-    budget: new RepeatBudget(BOUNDS),
+    budget: new RetryBudget(BOUNDS),
     cold: new ColdAllowance(BOUNDS, instant(0)),
     quarantine: emptyQuarantine(),
-    terms: noTerms(),
+    terms: emptyTerms(),
     limits: {} as never,
     keyLifetime: () => undefined,
-    listened: new ListenedTime(instant(0)),
+    listened: new StallAdjustedClock(instant(0)),
     entries: () => 1,
     regionEntries: () => 1,
   });
@@ -204,7 +204,7 @@
   const ANSWER: CallAnswer = {
     status: 200,
     notRun: false,
-    genuine: true,
+    fromEndpoint: true,
     load: undefined,
     retryAfter: undefined,
     limit: undefined,
@@ -227,7 +227,7 @@
       kind: "endpoint",
       placement: {
         kind: "chosen",
-        state: engine("e1"),
+        state: createEngine("e1"),
         prefill: 0,
         tokens: 0,
         fetchFrom: undefined,
@@ -241,11 +241,11 @@
     controller.answered(attempt, ANSWER, instant(20));
     const events = { lastEventId: "1", unnumbered: false, unfinished: 0 };
     controller.progress(attempt, events, instant(30));
-    controller.held(attempt, true, instant(30));
+    controller.noteBackpressure(attempt, true, instant(30));
     for (let at = 100; at < 6_000; at += 25) {
       controller.tick(instant(at));
     }
-    controller.held(attempt, false, instant(6_000));
+    controller.noteBackpressure(attempt, false, instant(6_000));
     controller.tick(instant(6_025));
     controller.tick(instant(7_400));
     expect(sends()).toBe(1);
--- a/packages/core/src/gateway/__tests__/call_queue.test.ts
+++ b/packages/core/src/gateway/__tests__/call_queue.test.ts
@@ -38,7 +38,7 @@
       endsAt: instant(at + 10_000),
     },
   );
-  call.unread = unread;
+  call.uncachedTokens = unread;
   return call;
 }
 
--- a/packages/core/src/gateway/__tests__/call_trace.test.ts
+++ b/packages/core/src/gateway/__tests__/call_trace.test.ts
@@ -12,7 +12,7 @@
 import { Call, type OpenAttempt } from "../call.ts";
 import { CallTrace } from "../call_trace.ts";
 import { fingerprint } from "./quarantine_fixture.ts";
-import { engine } from "./engine_fixture.ts";
+import { createEngine } from "./engine_fixture.ts";
 
 const ROUTE: Route = {
   name: "digest" as RouteName,
@@ -41,7 +41,7 @@
       urgency: undefined,
       prefixFrom: undefined,
     },
-    state: engine("e1"),
+    state: createEngine("e1"),
     createdAt: instant(0),
     sentAt: undefined,
     heardAt: undefined,
@@ -143,7 +143,7 @@
 
   it("is logged with what was known when the request was placed", () => {
     const open = attempt();
-    open.state!.begin(
+    open.state!.addAttempt(
       "other" as AttemptId,
       { prefill: 2_000, tokens: 2_500 },
       instant(0),
--- a/packages/core/src/gateway/__tests__/published_document.test.ts
+++ b/packages/core/src/gateway/__tests__/document_loss_detector.test.ts
@@ -1,7 +1,7 @@
 import { beforeEach, describe, expect, it } from "vitest";
 import type { DocumentHolder } from "../../fleet/index.ts";
 import { instant, type Revision } from "../../ids/index.ts";
-import { DocumentLossDetector } from "../published_document.ts";
+import { DocumentLossDetector } from "../document_loss_detector.ts";
 
 const version = (value: number): Revision => value as Revision;
 
--- a/packages/core/src/gateway/__tests__/endpoint_records.test.ts
+++ b/packages/core/src/gateway/__tests__/endpoint_records.test.ts
@@ -37,8 +37,8 @@
 describe("endpoint records", () => {
   let records: EndpointRecords;
   const restore = (...found: EndpointRecord[]): void =>
-    records.restore(found, { keptUntil: undefined, believedAt: ACCEPTED_AT });
-  const stateOf = (): string | undefined => records.all.get(ID)?.state;
+    records.restore(found, { keptUntil: undefined, acceptedAt: ACCEPTED_AT });
+  const stateOf = (): string | undefined => records.byId.get(ID)?.state;
 
   beforeEach(() => {
     records = new EndpointRecords();
@@ -58,14 +58,14 @@
     beforeEach(() => {
       records.remove(ID, undefined);
       restore(record(6));
-      expect(records.withheld).toBe(1);
+      expect(records.withheldCount).toBe(1);
     });
 
     it("until the endpoint writes a newer one", () => {
       expect(stateOf()).toBeUndefined();
       records.put(record(8));
       expect(stateOf()).toBe("ready");
-      expect(records.withheld).toBe(0);
+      expect(records.withheldCount).toBe(0);
     });
 
     it("even if the same record is read again", () => {
@@ -85,7 +85,7 @@
       records.remove(ID, undefined);
       records.expire(ACCEPTED_AT);
       expect(stateOf()).toBeUndefined();
-      expect(records.withheld).toBe(0);
+      expect(records.withheldCount).toBe(0);
     });
 
     it("but accept a record of another life", () => {
@@ -101,7 +101,7 @@
   });
 
   it("keep a record that a restored backup lacks for a while, unpublished", () => {
-    records.restore([], { keptUntil: instant(100), believedAt: ACCEPTED_AT });
+    records.restore([], { keptUntil: instant(100), acceptedAt: ACCEPTED_AT });
     expect(stateOf()).toBe("ready");
     expect(records.published).toEqual([]);
     records.expire(instant(100));
--- a/packages/core/src/gateway/__tests__/endpoint_lives.test.ts
+++ b/packages/core/src/gateway/__tests__/endpoint_restarts.test.ts
@@ -6,14 +6,14 @@
   type EndpointRecord,
   type Incarnation,
   instant,
-  ListenedTime,
   milliseconds,
   type RegionId,
+  StallAdjustedClock,
   supersedes,
   type ZoneId,
 } from "../../index.ts";
 import { EndpointRegistry } from "../endpoint_registry.ts";
-import { engine, POOL } from "./engine_fixture.ts";
+import { createEngine, POOL } from "./engine_fixture.ts";
 
 const REGION = "r" as RegionId;
 const PEER = "peer" as Incarnation;
@@ -22,7 +22,7 @@
 const PARTS = [{ id: "subject", tokens: 4_000 }];
 
 function record(fields: Partial<EndpointRecord>): EndpointRecord {
-  return { ...engine("e1").record, life: PREVIOUS_LIFE, ...fields };
+  return { ...createEngine("e1").record, life: PREVIOUS_LIFE, ...fields };
 }
 
 describe("the order of an endpoint's records", () => {
@@ -52,10 +52,10 @@
   const publish = (fields: Partial<EndpointRecord>): void => {
     published.set("e1" as EndpointId, record(fields));
     catalogue.generation++;
-    registry.follow(instant(0));
+    registry.syncWithCatalogue(instant(0));
   };
   const report = (life: EndpointLife): void =>
-    registry.learn(PEER, {
+    registry.receiveReport(PEER, {
       partial: false,
       endpoints: [
         {
@@ -84,26 +84,30 @@
       region: REGION,
       regionByZone: new Map([["z1" as ZoneId, REGION]]),
       catalogue: catalogue as never,
-      listened: new ListenedTime(instant(0)),
+      listened: new StallAdjustedClock(instant(0)),
       isLeaving: () => false,
-      restOf: () => milliseconds(0),
+      backoffOf: () => milliseconds(0),
     });
     publish({});
   });
 
   it("starts with no cached prefixes, requests or failures", () => {
     const previous = state();
-    previous.prefixes.use(PARTS);
-    previous.begin("a" as AttemptId, { prefill: 9, tokens: 9 }, instant(0));
-    previous.health.note("broken", instant(0));
-    previous.health.note("broken", instant(0));
+    previous.prefixes.recordUse(PARTS);
+    previous.addAttempt(
+      "a" as AttemptId,
+      { prefill: 9, tokens: 9 },
+      instant(0),
+    );
+    previous.health.recordOutcome("broken", instant(0));
+    previous.health.recordOutcome("broken", instant(0));
     publish({ life: CURRENT_LIFE });
     expect(state()).not.toBe(previous);
     expect(state().prefixes.cachedTokens(PARTS)).toBe(0);
     expect(state().requests).toBe(0);
     expect(registry.accepts(state(), instant(1))).toBe(true);
-    expect(registry.hasStartedAgain(previous)).toBe(true);
-    expect(registry.isOpen(previous)).toBe(false);
+    expect(registry.hasRestarted(previous)).toBe(true);
+    expect(registry.isInService(previous)).toBe(false);
   });
 
   // Guards against a restarted engine that counts as busy and as holding cached prefixes it has lost. A
--- a/packages/core/src/gateway/__tests__/endpoint_terms_fixture.ts
+++ b/packages/core/src/gateway/__tests__/endpoint_terms_fixture.ts
@@ -1,21 +1,21 @@
 import {
+  EndpointBackoffs,
   EndpointDepartures,
   EndpointLimits,
-  EndpointRests,
   type EndpointTerms,
   type Incarnation,
   instant,
 } from "../../index.ts";
 
 /** Endpoint terms for endpoints that state no limits, departures or rests. */
-export function noTerms(): EndpointTerms {
+export function emptyTerms(): EndpointTerms {
   const log = (): void => {};
   return {
     limits: new EndpointLimits({
       incarnation: "a1" as Incarnation,
       issuerOf: () => "a1" as Incarnation,
       peers: () => [],
-      heardPart: () => 1,
+      reachableFraction: () => 1,
       isPublished: () => true,
       send: () => {},
       log,
@@ -28,6 +28,6 @@
       send: () => {},
       log,
     }),
-    rests: new EndpointRests({ log }),
+    backoffs: new EndpointBackoffs({ log }),
   };
 }
--- a/packages/core/src/gateway/__tests__/engine_fixture.ts
+++ b/packages/core/src/gateway/__tests__/engine_fixture.ts
@@ -19,7 +19,7 @@
 };
 
 /** An engine of `POOL`, warm and idle. */
-export function engine(name: string, zone = "z1"): EndpointState {
+export function createEngine(name: string, zone = "z1"): EndpointState {
   return new EndpointState(
     {
       id: name as EndpointId,
--- a/packages/core/src/gateway/__tests__/currency_exchange.test.ts
+++ b/packages/core/src/gateway/__tests__/freshness_exchange.test.ts
@@ -6,14 +6,14 @@
   milliseconds,
   type Revision,
 } from "../../ids/index.ts";
-import { Currency } from "../../customers/index.ts";
+import { DocumentFreshness } from "../../customers/index.ts";
 import type {
   CataloguePosition,
-  CurrencyAnswer,
-  CurrencyMessage,
-  CurrencyQuestion,
+  FreshnessMessage,
+  FreshnessRequest,
+  FreshnessResponse,
 } from "../../routes/index.ts";
-import { FreshnessExchange } from "../currency_exchange.ts";
+import { FreshnessExchange } from "../freshness_exchange.ts";
 
 const VERSION = 7 as Revision;
 
@@ -23,13 +23,13 @@
 
 /** `randomValue`: what the random source returns. */
 function build(randomValue = 0): {
-  currency: Currency;
+  currency: DocumentFreshness;
   exchange: FreshnessExchange;
-  sent: CurrencyMessage[];
+  sent: FreshnessMessage[];
 } {
-  const currency = new Currency();
-  currency.hold(VERSION);
-  const sent: CurrencyMessage[] = [];
+  const currency = new DocumentFreshness();
+  currency.setHeldVersion(VERSION);
+  const sent: FreshnessMessage[] = [];
   const exchange = new FreshnessExchange({
     currency,
     random: { next: () => randomValue },
@@ -45,7 +45,7 @@
   return { currency, exchange, sent };
 }
 
-function answer(version: Revision, age: number): CurrencyAnswer {
+function answer(version: Revision, age: number): FreshnessResponse {
   return {
     kind: "answer",
     incarnation: "e2" as Incarnation,
@@ -70,7 +70,7 @@
   it("counts the time that the machine was suspended", () => {
     const { currency, exchange } = build();
     exchange.tick(instant(1_000));
-    currency.slept(milliseconds(4_000));
+    currency.addSuspendedTime(milliseconds(4_000));
     exchange.receive(answer(VERSION, 200), instant(1_100));
     expect(currency.age(instant(1_100))).toBe(4_300);
   });
@@ -92,7 +92,7 @@
     exchange.tick(instant(1_000));
     exchange.receive(answer(VERSION, 0), instant(1_100));
     expect(currency.age(instant(1_100))).toBe(Infinity);
-    const [{ sequence }] = sent as [CurrencyQuestion];
+    const [{ sequence }] = sent as [FreshnessRequest];
     exchange.receive({ ...answer(VERSION, 0), sequence }, instant(1_200));
     expect(currency.age(instant(1_200))).toBe(200);
   });
@@ -103,7 +103,7 @@
     exchange.tick(instant(1_000));
     exchange.receive(answer(newer, 100), instant(1_100));
     expect(currency.age(instant(1_100))).toBe(Infinity);
-    currency.hold(newer);
+    currency.setHeldVersion(newer);
     expect(currency.age(instant(1_200))).toBe(300);
   });
 
@@ -115,10 +115,10 @@
       sequence: 3,
       position: at(0),
     };
-    exchange.receive(question as CurrencyMessage, instant(500));
+    exchange.receive(question as FreshnessMessage, instant(500));
     expect(sent).toEqual([]);
-    currency.prove({ version: VERSION, at: currency.mark(instant(400)) });
-    exchange.receive(question as CurrencyMessage, instant(500));
+    currency.addProof({ version: VERSION, at: currency.mark(instant(400)) });
+    exchange.receive(question as FreshnessMessage, instant(500));
     expect(sent).toMatchObject([{ kind: "answer", sequence: 3, age: 100 }]);
   });
 });
--- a/packages/core/src/gateway/__tests__/gateway_fixture.ts
+++ b/packages/core/src/gateway/__tests__/gateway_fixture.ts
@@ -25,9 +25,9 @@
       seeds: [],
       regionByZone: new Map([[zone, region]]),
       bounds: {
-        repeatRatio: 0.2,
-        repeatWindow: milliseconds(10_000),
-        repeatSlack: 50,
+        retryRatio: 0.2,
+        retryWindow: milliseconds(10_000),
+        retrySlack: 50,
         coldOvershoot: 1.5,
         coldSlack: 3,
         listLifetime: milliseconds(1_000),
--- a/packages/core/src/gateway/__tests__/idle_limit.test.ts
+++ b/packages/core/src/gateway/__tests__/idle_limit.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from "vitest";
 import { instant } from "../../index.ts";
 import type { Route } from "../../routes/index.ts";
-import { mostIdle } from "../idle_limit.ts";
+import { maxIdleMs } from "../idle_limit.ts";
 
 function limit(
   kind: Route["kind"],
@@ -10,7 +10,7 @@
     mayRepeat?: boolean;
   },
 ): number {
-  return mostIdle(
+  return maxIdleMs(
     { mayRepeat, route: { kind } as Route },
     { heardAt: heardAt === undefined ? undefined : instant(heardAt) },
     instant(10_000),
--- a/packages/core/src/gateway/__tests__/line_tally.test.ts
+++ b/packages/core/src/gateway/__tests__/log_throttle.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from "vitest";
 import { instant } from "../../index.ts";
-import { LogThrottle } from "../line_tally.ts";
+import { LogThrottle } from "../log_throttle.ts";
 
 describe("a log throttle", () => {
   it("reports the first event, and later ones together once an interval", () => {
--- a/packages/core/src/gateway/__tests__/told_epochs.test.ts
+++ b/packages/core/src/gateway/__tests__/peer_epochs.test.ts
@@ -49,13 +49,13 @@
   it("are applied within an epoch", () => {
     receiveReport(at(2, 12));
     expect(catalogue.position).toEqual(at(2, 12));
-    expect([...catalogue.evacuated]).toEqual([ZONE]);
+    expect([...catalogue.evacuatedZones]).toEqual([ZONE]);
   });
 
   it.each([1, 3])("are not applied from epoch %i", (epoch) => {
     receiveReport(at(epoch, 12));
     expect(catalogue.position).toEqual(at(2, 10));
-    expect(catalogue.evacuated.size).toBe(0);
+    expect(catalogue.evacuatedZones.size).toBe(0);
   });
 
   it("are only sent to peers of the same epoch", () => {
--- a/packages/core/src/gateway/__tests__/placement.test.ts
+++ b/packages/core/src/gateway/__tests__/placement.test.ts
@@ -2,16 +2,18 @@
 import { type AttemptId, instant, type ZoneId } from "../../index.ts";
 import type { EndpointState } from "../endpoint_state.ts";
 import type { Prompt } from "../messages.ts";
-import { engine } from "./engine_fixture.ts";
+import { createEngine } from "./engine_fixture.ts";
 import {
   chooseEndpoint,
-  findHolder,
+  findPrefixHolder,
   MAX_PREFILL_BACKLOG_MS,
   type PlacementRequest,
-} from "../placement.ts";
-import { DEFAULT_PREFILL_RATE } from "../prompt_cost.ts";
+} from "../endpoint_placement.ts";
+import { DEFAULT_PREFILL_TOKENS_PER_MS } from "../prompt_cost.ts";
 
-const LONG = Math.floor(MAX_PREFILL_BACKLOG_MS * DEFAULT_PREFILL_RATE * 0.9);
+const LONG = Math.floor(
+  MAX_PREFILL_BACKLOG_MS * DEFAULT_PREFILL_TOKENS_PER_MS * 0.9,
+);
 const SHARED = { id: "s", tokens: 4_000 };
 
 function prompt(tokens: number, shared = false): Prompt {
@@ -35,7 +37,7 @@
     zone: "z1" as ZoneId,
     urgent: false,
     biasOf: () => 0,
-    holder: findHolder(requested, states),
+    holder: findPrefixHolder(requested, states),
   };
 }
 
@@ -43,7 +45,7 @@
 function send(state: EndpointState, prefill: number, at: number): AttemptId {
   attempts++;
   const id = `a${attempts}` as AttemptId;
-  state.begin(id, { prefill, tokens: prefill }, instant(at));
+  state.addAttempt(id, { prefill, tokens: prefill }, instant(at));
   return id;
 }
 
@@ -52,8 +54,8 @@
   let engine2: EndpointState;
 
   beforeEach(() => {
-    engine1 = engine("e1");
-    engine2 = engine("e2");
+    engine1 = createEngine("e1");
+    engine2 = createEngine("e2");
   });
 
   const chosen = (
@@ -75,12 +77,12 @@
   });
 
   it("prefers the engine that has the prefix cached", () => {
-    engine2.prefixes.use([SHARED]);
+    engine2.prefixes.recordUse([SHARED]);
     expect(chosen(prompt(6_000, true), [engine1, engine2], 1)).toBe("e2");
   });
 
   it("has the prefix fetched if its holder is busy", () => {
-    engine2.prefixes.use([SHARED]);
+    engine2.prefixes.recordUse([SHARED]);
     send(engine2, LONG, 0);
     const states = [engine1, engine2];
     const found = chooseEndpoint(
@@ -108,8 +110,8 @@
   it("pauses prefill on an engine while streams run there", () => {
     send(engine1, 500, 0);
     const long = send(engine1, LONG, 0);
-    engine1.firstEvent(long, instant(250));
-    engine1.firstEvent(`a${attempts - 1}` as AttemptId, instant(250));
+    engine1.noteFirstEvent(long, instant(250));
+    engine1.noteFirstEvent(`a${attempts - 1}` as AttemptId, instant(250));
     expect(chosen(prompt(LONG), [engine1], 255)).toBe("busy");
     expect(chosen(prompt(800), [engine1], 255)).toBe("e1");
     expect(chosen(prompt(LONG), [engine1], 340)).toBe("e1");
@@ -125,7 +127,7 @@
 
   it("does not overfill an engine's memory", () => {
     send(engine1, 0, 0);
-    engine1.begin(
+    engine1.addAttempt(
       "big" as AttemptId,
       { prefill: 0, tokens: 175_000 },
       instant(0),
@@ -136,13 +138,13 @@
 
   it("avoids an engine whose answers fail", () => {
     for (let index = 0; index < 8; index++) {
-      engine1.health.note("failed", instant(index));
+      engine1.health.recordOutcome("failed", instant(index));
     }
     expect(chosen(prompt(1_000), [engine1, engine2], 10)).toBe("e2");
   });
 
   it("stays in the own zone as long as that costs little", () => {
-    const other = engine("e3", "z2");
+    const other = createEngine("e3", "z2");
     expect(chosen(prompt(1_000), [other, engine1], 1)).toBe("e1");
     send(engine1, LONG, 0);
     expect(chosen(prompt(3_000), [other, engine1], 1)).toBe("e3");
--- a/packages/core/src/gateway/__tests__/quarantine_fixture.ts
+++ b/packages/core/src/gateway/__tests__/quarantine_fixture.ts
@@ -3,9 +3,9 @@
   type ContentDigest,
   type Incarnation,
   instant,
-  ListenedTime,
   milliseconds,
   type RequestFingerprint,
+  StallAdjustedClock,
 } from "../../index.ts";
 import { QuarantineController } from "../../quarantine/index.ts";
 
@@ -25,11 +25,11 @@
   return new QuarantineController({
     self: { incarnation: "i" as Incarnation },
     endpoints: () => new Map(),
-    carriers: () => ["i" as Incarnation],
-    listened: new ListenedTime(instant(0)),
-    claimTime: milliseconds(200),
-    knock: () => {},
-    tell: () => {},
+    servingEntries: () => ["i" as Incarnation],
+    clock: new StallAdjustedClock(instant(0)),
+    claimDelay: milliseconds(200),
+    probePort: () => {},
+    send: () => {},
     log: () => {},
   });
 }
--- a/packages/core/src/gateway/__tests__/restored_catalogue.test.ts
+++ b/packages/core/src/gateway/__tests__/restored_catalogue.test.ts
@@ -77,7 +77,7 @@
         changes: [{ kind: "evacuated", zone: ZONE }],
       },
     });
-    expect(gateway.catalogue.evacuated.size).toBe(0);
+    expect(gateway.catalogue.evacuatedZones.size).toBe(0);
     expect(nextRead().after).toBeUndefined();
   });
 
@@ -114,7 +114,7 @@
       },
     });
     expect(position()).toEqual([3, 4]);
-    expect(gateway.catalogue.evacuated.size).toBe(0);
+    expect(gateway.catalogue.evacuatedZones.size).toBe(0);
   });
 
   it("keeps its document if the restored one is older", () => {
--- a/packages/core/src/gateway/__tests__/resume_fixture.ts
+++ b/packages/core/src/gateway/__tests__/resume_fixture.ts
@@ -10,7 +10,7 @@
   type ZoneId,
 } from "../../index.ts";
 import type { CatalogueSnapshot, Route } from "../../routes/index.ts";
-import { engine, POOL } from "./engine_fixture.ts";
+import { createEngine, POOL } from "./engine_fixture.ts";
 import { fingerprint } from "./quarantine_fixture.ts";
 
 /** Availability zone and region of all entries and endpoints in these tests. */
@@ -48,7 +48,7 @@
       idleTime: milliseconds(1),
     },
   },
-  endpoints: [engine("e1").record, engine("e2").record],
+  endpoints: [createEngine("e1").record, createEngine("e2").record],
   evacuated: [],
 };
 /** A request on that route. */
--- a/packages/core/src/gateway/__tests__/serving_set.test.ts
+++ b/packages/core/src/gateway/__tests__/serving_set.test.ts
@@ -1,12 +1,12 @@
 import { describe, expect, it } from "vitest";
-import type { FleetRecord } from "../../fleet/index.ts";
+import type { EntryRecord } from "../../fleet/index.ts";
 import {
   MIN_SERVING_PER_ZONE,
   servingByZone,
   servingInZone,
 } from "../serving_set.ts";
 
-function entry(id: string, weight: number, zone = "z1"): FleetRecord {
+function entry(id: string, weight: number, zone = "z1"): EntryRecord {
   return { id, incarnation: `${id}-1`, weight, zone, region: "r" } as never;
 }
 
@@ -17,7 +17,7 @@
 const LARGE = [entry("large-0", 1.35), entry("large-1", 1.35)];
 const ALL = [...SMALL, ...LARGE];
 
-function names(records: readonly FleetRecord[]): string[] {
+function names(records: readonly EntryRecord[]): string[] {
   return records.map(({ id }) => id);
 }
 
@@ -58,7 +58,7 @@
     const restarted = ALL.map((record) => ({
       ...record,
       incarnation: `${record.id}-2`,
-    })) as never as FleetRecord[];
+    })) as never as EntryRecord[];
     expect(names(servingInZone(restarted, 60))).toEqual(
       names(servingInZone(ALL, 60)),
     );
--- a/packages/core/src/gateway/__tests__/stalls.test.ts
+++ b/packages/core/src/gateway/__tests__/stalls.test.ts
@@ -32,7 +32,7 @@
     const end = now + time;
     while (now < end) {
       handle({ kind: "tick" });
-      now += gateway.tickPause;
+      now += gateway.tickInterval;
     }
   };
   /** Lets time pass without a tick; the timer is the first event that is handled afterwards. */
@@ -77,7 +77,7 @@
       answer: {
         status: 200,
         notRun: false,
-        genuine: true,
+        fromEndpoint: true,
         load: undefined,
         retryAfter: undefined,
         limit: undefined,
@@ -212,9 +212,9 @@
   it("does not declare a suspected peer dead whose denial is unread", () => {
     hearPeer();
     const health = (): string =>
-      gateway.fleet.live().length > 0
+      gateway.fleet.liveMembers().length > 0
         ? "live"
-        : gateway.fleet.possible().length > 0
+        : gateway.fleet.possiblyLiveMembers().length > 0
         ? "suspect"
         : "dead";
     while (health() === "live") {
@@ -233,7 +233,7 @@
     }
     run(300);
     stall(750);
-    expect(gateway.fleet.live().length).toBe(1);
+    expect(gateway.fleet.liveMembers().length).toBe(1);
   });
 
   // Where a whole machine stalls, its endpoints could not renew their records either, and return soon.
--- a/packages/core/src/gateway/__tests__/rest.test.ts
+++ b/packages/core/src/gateway/__tests__/standby.test.ts
@@ -82,8 +82,8 @@
     const pauses: number[] = [];
     while (now < until) {
       handle({ kind: "tick" });
-      pauses.push(gateway.tickPause);
-      now += gateway.tickPause;
+      pauses.push(gateway.tickInterval);
+      now += gateway.tickInterval;
     }
     return pauses;
   };
@@ -146,15 +146,15 @@
     run(20_000);
     const last = reads.at(-1)!;
     run(last + 1_500);
-    receiveReport(gateway.catalogue.picture);
+    receiveReport(gateway.catalogue.contentHash);
     run(last + 3_000);
     expect(reads.at(-1)).toBe(last);
-    receiveReport(gateway.catalogue.picture + 1);
+    receiveReport(gateway.catalogue.contentHash + 1);
     run(now + 300);
     const next = reads.at(-1)!;
     expect(next).toBeGreaterThan(last);
     while (now < next + 2_500) {
-      receiveReport(gateway.catalogue.picture + 1);
+      receiveReport(gateway.catalogue.contentHash + 1);
       run(now + 100);
     }
     expect(reads.at(-1)).toBe(next);
--- a/packages/core/src/gateway/__tests__/subject_region.test.ts
+++ b/packages/core/src/gateway/__tests__/subject_region.test.ts
@@ -1,12 +1,15 @@
 import { describe, expect, it } from "vitest";
 import type { RegionId } from "../../index.ts";
-import { type SubjectRegion, subjectRegion } from "../subject_region.ts";
+import {
+  chooseSubjectRegion,
+  type RegionCandidate,
+} from "../subject_region.ts";
 
 function view(
   region: string,
   engines: number,
   utilization = 0.3,
-): SubjectRegion {
+): RegionCandidate {
   return { region: region as RegionId, engines, utilization };
 }
 
@@ -15,11 +18,11 @@
 /** The region that prefills a subject, as an entry of `own` sees it. */
 function prefillRegion(
   subject: string,
-  own: SubjectRegion,
-  all: readonly SubjectRegion[],
+  own: RegionCandidate,
+  all: readonly RegionCandidate[],
 ): string {
   const others = all.filter(({ region }) => region !== own.region);
-  return subjectRegion(subject, own, others) ?? own.region;
+  return chooseSubjectRegion(subject, own, others) ?? own.region;
 }
 
 describe("the region that prefills a subject", () => {
--- a/packages/core/src/gateway/__tests__/work_reporter.test.ts
+++ b/packages/core/src/gateway/__tests__/work_reporter.test.ts
@@ -2,29 +2,29 @@
 import {
   type AttemptId,
   type EndpointId,
+  type EntryRecord,
   type FleetMessage,
-  type FleetRecord,
   instant,
-  ListenedTime,
   NO_POSITION,
-  type PrefixNews,
+  type PrefixUpdate,
   type RegionId,
+  StallAdjustedClock,
   type WorkReport,
   type ZoneId,
 } from "../../index.ts";
 import type { EndpointRegistry } from "../endpoint_registry.ts";
 import type { EndpointState } from "../endpoint_state.ts";
-import { engine } from "./engine_fixture.ts";
+import { createEngine } from "./engine_fixture.ts";
 import { WorkReporter } from "../work_reporter.ts";
 
 const REGION = "r" as RegionId;
 const LONG = 8_000;
-const SUBJECT: PrefixNews = {
+const SUBJECT: PrefixUpdate = {
   endpoint: "e1" as EndpointId,
   life: undefined,
   parts: [{ id: "s", tokens: 4_000 }],
 };
-const GREETING: PrefixNews = {
+const GREETING: PrefixUpdate = {
   endpoint: "e1" as EndpointId,
   life: undefined,
   parts: [{ id: "g", tokens: 200 }],
@@ -44,8 +44,8 @@
   let reporter: WorkReporter;
 
   beforeEach(() => {
-    ownZoneEngine = engine("e1", "z1");
-    otherZoneEngine = engine("e2", "z2");
+    ownZoneEngine = createEngine("e1", "z1");
+    otherZoneEngine = createEngine("e2", "z2");
     available = new Set([ownZoneEngine, otherZoneEngine]);
     sent = [];
     reporter = new WorkReporter({
@@ -59,11 +59,11 @@
         ]),
       },
       fleet: {
-        live: () => [{ record: { region: REGION } }],
-        mail: {
+        liveMembers: () => [{ record: { region: REGION } }],
+        sender: {
           sendWork: (
             report: WorkReport,
-            isRecipient: (record: FleetRecord) => boolean,
+            isRecipient: (record: EntryRecord) => boolean,
           ) =>
             sent.push({
               zones: ["z1", "z2", "z3"].filter((zone) =>
@@ -83,16 +83,16 @@
         hasReport: (incarnation: string) => incarnation === "busy",
       } as unknown as EndpointRegistry,
       regions: { report: () => [] } as never,
-      picture: () => 7,
+      catalogueHash: () => 7,
       serving: {
-        has: ({ incarnation }: FleetRecord) => incarnation === "carrier",
+        has: ({ incarnation }: EntryRecord) => incarnation === "carrier",
       } as never,
     });
     reporter.tick([], instant(0));
   });
 
   const begin = (state: EndpointState): void =>
-    state.begin(
+    state.addAttempt(
       `a${state.requests}` as AttemptId,
       { prefill: LONG, tokens: LONG },
       instant(20),
@@ -143,10 +143,10 @@
 
   it("are full once a second for other zones, twice a second for the own zone", () => {
     begin(ownZoneEngine);
-    ownZoneEngine.end("a0" as AttemptId, instant(21));
+    ownZoneEngine.removeAttempt("a0" as AttemptId, instant(21));
     begin(otherZoneEngine);
-    otherZoneEngine.end("a0" as AttemptId, instant(21));
-    ownZoneEngine.begin(
+    otherZoneEngine.removeAttempt("a0" as AttemptId, instant(21));
+    ownZoneEngine.addAttempt(
       "b" as AttemptId,
       { prefill: 0, tokens: 1 },
       instant(22),
@@ -173,7 +173,7 @@
     begin(ownZoneEngine);
     reporter.tick([], instant(5_025));
     expect(sent.length).toBe(3);
-    ownZoneEngine.end("a0" as AttemptId, instant(5_050));
+    ownZoneEngine.removeAttempt("a0" as AttemptId, instant(5_050));
     for (let now = 5_050; now <= 9_000; now += 25) {
       reporter.tick([], instant(now));
     }
@@ -218,11 +218,11 @@
     const fleet = new FleetController({
       self,
       seeds: [],
-      period: 500,
-      resting: () => false,
-      holds: () => [],
+      pingPeriodMs: 500,
+      isStandby: () => false,
+      nextHolds: () => [],
       random: { next: () => 0.5 } as never,
-      listened: new ListenedTime(instant(0)),
+      clock: new StallAdjustedClock(instant(0)),
       send: (_to, message) => sent.push(message),
       holdings: () => ({ document: 0, catalogue: NO_POSITION }) as never,
       summary: () => ({}) as never,
@@ -248,10 +248,10 @@
       arrivals: [],
       picture: 0,
     };
-    fleet.mail.sendWork(report, ({ zone }) => zone === "z1");
+    fleet.sender.sendWork(report, ({ zone }) => zone === "z1");
     expect(sent.length).toBe(2);
     expect(sent[0]).toBe(sent[1]);
-    fleet.mail.sendWork(report, ({ zone }) => zone === "z2");
+    fleet.sender.sendWork(report, ({ zone }) => zone === "z2");
     expect(sent.length).toBe(2);
   });
 });
--- a/packages/core/src/gateway/arrival_meter.ts
+++ b/packages/core/src/gateway/arrival_meter.ts
@@ -23,7 +23,7 @@
   }
 
   /** Subtracts work that was added at `at`, unless its bucket has already expired. */
-  takeOff(service: ServiceId, work: number, at: Instant, now: Instant): void {
+  subtract(service: ServiceId, work: number, at: Instant, now: Instant): void {
     const buckets = this.#advance(service, now);
     const bucket = Math.floor(at / BUCKET_MS);
     if (buckets.currentBucket - bucket < BUCKETS) {
--- a/packages/core/src/gateway/call.ts
+++ b/packages/core/src/gateway/call.ts
@@ -66,16 +66,16 @@
   readonly endsAt: Instant;
   readonly log = new AttemptLog();
   readonly trace = new CallTrace();
-  readonly tried = new Set<EndpointId>();
+  readonly triedEndpoints = new Set<EndpointId>();
   /** Endpoints in `tried` to which no byte of the request was written. */
-  readonly unreached = new Set<EndpointId>();
+  readonly unreachedEndpoints = new Set<EndpointId>();
   phase: CallPhase = "waiting";
   attempt: OpenAttempt | undefined;
   attempts = 0;
   /** Attempts that an endpoint or a peer may have received. */
   sentAttempts = 0;
   /** Prompt tokens that no engine of the region had cached at the last placement. */
-  unread = 0;
+  uncachedTokens = 0;
   /** Endpoints that received or refused the request, through this entry or through peers. */
   offered = 0;
   /** How often an endpoint or a peer refused the request without running it. */
--- a/packages/core/src/gateway/call_admission.ts
+++ b/packages/core/src/gateway/call_admission.ts
@@ -4,17 +4,17 @@
  * @module
  */
 import {
+  checkKey,
   costOf,
   type Customer,
   type CustomerLimits,
-  judgeKey,
   RefusedKeys,
 } from "../customers/index.ts";
 import type { Instant, Milliseconds, RequestId } from "../ids/index.ts";
 import type { Route, RouteTable } from "../routes/index.ts";
-import { type PendingCall, PendingCalls } from "./arrival_hold.ts";
+import { type PendingCall, PendingCalls } from "./pending_calls.ts";
 import type { Call } from "./call.ts";
-import type { CallOutcomes } from "./call_ends.ts";
+import type { CallOutcomes } from "./call_outcomes.ts";
 import type { CatalogueView } from "./catalogue_view.ts";
 
 /** Longest wait for other entries' customer usage: a round trip to the region's limit keeper, and one tick. */
@@ -72,11 +72,11 @@
       return outcomes.refuseUnrouted({ head, version }, now);
     }
     const facts = { key: head.key, relayed: head.relay, arrivedAt };
-    const verdict = judgeKey({ ...facts, public: route.public }, {
+    const verdict = checkKey({ ...facts, public: route.public }, {
       customers: table.customers,
-      currency: catalogue.currency,
+      currency: catalogue.documentFreshness,
       refused: this.#refusedKeys,
-      bound: keyLifetime(),
+      maxAge: keyLifetime(),
     }, now);
     switch (verdict.kind) {
       case "unknown":
@@ -105,13 +105,13 @@
   /** Refunds the units of an admitted request that did not run and never will. */
   refund({ customer, charged }: Call, now: Instant): void {
     if (customer !== undefined && charged > 0) {
-      this.#deps.limits.giveBack(customer.id, charged, now);
+      this.#deps.limits.refund(customer.id, charged, now);
     }
   }
 
   /** Holds a request until the catalogue has been read again, or refuses it where no read can be waited for. */
   #holdForCatalogue(pending: PendingCall, now: Instant): void {
-    if (now < pending.until && this.#deps.catalogue.noteDoubt(now)) {
+    if (now < pending.until && this.#deps.catalogue.readForUnknownKey(now)) {
       return this.#pending.put(pending);
     }
     this.#deps.outcomes.refuseHead(pending.head, "key_in_doubt");
--- a/packages/core/src/gateway/call_attempts.ts
+++ b/packages/core/src/gateway/call_attempts.ts
@@ -4,19 +4,22 @@
  * @module
  */
 import type { EndpointTerms } from "../endpoint_terms/index.ts";
-import type { PrefixNews } from "../fleet/index.ts";
+import type { PrefixUpdate } from "../fleet/index.ts";
 import { type AttemptId, type Instant, milliseconds } from "../ids/index.ts";
 import type { Call, OpenAttempt } from "./call.ts";
 import type { CallRouter, RoutingDecision } from "./call_router.ts";
-import type { Chosen } from "./local_places.ts";
+import type { ChosenEndpoint } from "./local_placement.ts";
 import type { ColdAllowance } from "./cold_allowance.ts";
 import type { EndpointState } from "./endpoint_state.ts";
 import type { CallAnswer, CallTarget, GatewayEmit } from "./messages.ts";
-import { mostIdle } from "./idle_limit.ts";
-import { sharedParts } from "./placement.ts";
-import type { QuarantineController, RunEnd } from "../quarantine/index.ts";
+import { maxIdleMs } from "./idle_limit.ts";
+import { sharedParts } from "./endpoint_placement.ts";
+import type {
+  AttemptOutcome,
+  QuarantineController,
+} from "../quarantine/index.ts";
 import type { RegionController } from "./region_controller.ts";
-import type { RepeatBudget } from "./repeat_budget.ts";
+import type { RetryBudget } from "./retry_budget.ts";
 
 /** HTTP status of an address at which another process than the intended endpoint answers. */
 export const MISDIRECTED_REQUEST = 421;
@@ -29,7 +32,7 @@
   readonly emit: GatewayEmit;
   readonly regions: RegionController;
   readonly router: CallRouter;
-  readonly budget: RepeatBudget;
+  readonly budget: RetryBudget;
   readonly cold: ColdAllowance;
   readonly quarantine: QuarantineController;
   readonly terms: EndpointTerms;
@@ -45,7 +48,7 @@
 export class CallAttempts {
   readonly #deps: AttemptDependencies;
   readonly #calls = new Map<AttemptId, Call>();
-  #prefixNews: PrefixNews[] = [];
+  #prefixNews: PrefixUpdate[] = [];
 
   constructor(deps: AttemptDependencies) {
     this.#deps = deps;
@@ -61,25 +64,25 @@
   }
 
   /** Removes and returns the prompt prefixes that were sent to engines since the last call. */
-  takePrefixNews(): PrefixNews[] {
+  takeSentPrefixes(): PrefixUpdate[] {
     const prefixes = this.#prefixNews;
     this.#prefixNews = [];
     return prefixes;
   }
 
   /** Starts an attempt at an endpoint. */
-  sendToEndpoint(call: Call, chosen: Chosen, now: Instant): void {
+  sendToEndpoint(call: Call, chosen: ChosenEndpoint, now: Instant): void {
     const { state, prefill, tokens } = chosen;
     const target = this.#deps.router.targetOf(call, chosen, now);
     const attempt = this.#open(call, { target, state, now });
     call.trace.notePrefill(prefill);
-    state.begin(attempt.id, { prefill, tokens }, now);
-    state.health.used(now);
+    state.addAttempt(attempt.id, { prefill, tokens }, now);
+    state.health.noteRequestSent(now);
     const { prompt } = call.head;
     if (prompt !== undefined && state.service?.engine !== undefined) {
       const parts = sharedParts(prompt);
-      this.#deps.regions.noteReading(prefill, prompt.promptTokens);
-      state.prefixes.use(parts);
+      this.#deps.regions.recordPrefill(prefill, prompt.promptTokens);
+      state.prefixes.recordUse(parts);
       const { id, life } = state.record;
       this.#prefixNews.push({ endpoint: id, life, parts });
     }
@@ -98,7 +101,7 @@
     if (call.attempts === 0) {
       const { regions } = this.#deps;
       const { arrivedAt } = call;
-      regions.noteRelayed(call.services[0]!, call.head.prompt, {
+      regions.recordRelayed(call.services[0]!, call.head.prompt, {
         arrivedAt,
         now,
       });
@@ -121,20 +124,20 @@
     call.trace.noteSent(now);
     call.log.record(id, "sent");
     if (state !== undefined) {
-      call.tried.add(state.record.id);
-      call.unreached.delete(state.record.id);
+      call.triedEndpoints.add(state.record.id);
+      call.unreachedEndpoints.delete(state.record.id);
       call.offered++;
       if (call.possibleDeliveries === 0) {
-        this.#deps.budget.noteFirst(state.record.service, now);
+        this.#deps.budget.noteFirstSend(state.record.service, now);
       }
       if (state.isCold(now)) {
-        this.#deps.cold.spend(state.record.id, now);
+        this.#deps.cold.recordSend(state.record.id, now);
       }
       const { fingerprint } = call.head;
       const { path } = call;
       const run = { attempt: id, fingerprint, path, sentAt: now };
-      this.#deps.quarantine.began(state, run, call.head.id);
-      this.#deps.terms.rests.noteSent(state.record, now);
+      this.#deps.quarantine.noteSent(state, run, call.head.id);
+      this.#deps.terms.backoffs.recordSent(state.record, now);
     }
     call.sentAttempts += countAttempts(call, attempt);
   }
@@ -149,7 +152,10 @@
       return;
     }
     if (attempt.state !== undefined) {
-      this.#deps.quarantine.held(attempt.state, attempt.id, { held, now });
+      this.#deps.quarantine.noteBackpressure(attempt.state, attempt.id, {
+        held,
+        now,
+      });
     }
     if (attempt.backpressureSince === undefined) {
       attempt.backpressureSince = now;
@@ -174,23 +180,30 @@
     }
     const { load, status } = answer;
     state.heardAt = now;
-    state.load = load ?? state.load;
-    state.loadAt = load === undefined ? state.loadAt : now;
+    state.reportedLoad = load ?? state.reportedLoad;
+    state.reportedLoadAt = load === undefined ? state.reportedLoadAt : now;
     if (status === MISDIRECTED_REQUEST) {
       return;
     }
     const { record } = state;
     const { terms } = this.#deps;
     const context = { call: head.call, status };
-    terms.limits.hear(record, { stated: answer.limit, answer: context }, now);
+    terms.limits.handleAnswer(
+      record,
+      { stated: answer.limit, answer: context },
+      now,
+    );
     if (answer.leaving) {
-      terms.departures.hear(record, context);
+      terms.departures.handleAnswer(record, context);
     }
     if (!answer.notRun && status < FIRST_SERVER_ERROR) {
-      terms.rests.noteServed(record, now);
+      terms.backoffs.recordServed(record, now);
     }
     if (answer.rest !== undefined) {
-      terms.rests.hear(record, { stated: answer.rest, answer: context }, now);
+      terms.backoffs.handleAnswer(record, {
+        stated: answer.rest,
+        answer: context,
+      }, now);
     }
   }
 
@@ -205,10 +218,10 @@
       this.noteBackpressure(call, attempt, { held: false, now });
       const { permit, sentAt } = attempt;
       if (permit !== undefined && sentAt === undefined) {
-        this.#deps.terms.limits.giveBack(attempt.state!.record, permit);
+        this.#deps.terms.limits.returnPermit(attempt.state!.record, permit);
       }
       call.log.record(attempt.id, state);
-      attempt.state?.end(attempt.id, now);
+      attempt.state?.removeAttempt(attempt.id, now);
       this.#calls.delete(attempt.id);
       call.attempt = undefined;
       this.#noteEnd(call, attempt, { state, now });
@@ -227,15 +240,15 @@
       return;
     }
     const lost = state === "lost" || failed;
-    const end: RunEnd = lost
+    const end: AttemptOutcome = lost
       ? "lost"
       : state === "completed"
       ? "answered"
       : "refused";
     const run = { attempt: id, fingerprint, end };
-    this.#deps.quarantine.ended(endpoint, run, now);
+    this.#deps.quarantine.noteOutcome(endpoint, run, now);
     if (failed) {
-      this.#deps.quarantine.broken(endpoint, now);
+      this.#deps.quarantine.noteBrokenConnection(endpoint, now);
     }
   }
 
@@ -293,7 +306,7 @@
         request: call.head.id,
         target,
         streaming: call.route.kind === "stream",
-        mostIdle: milliseconds(mostIdle(call, state, now)),
+        maxIdleTime: milliseconds(maxIdleMs(call, state, now)),
         customer: call.customer?.id,
         resumeAfter: call.position.lastId,
       },
--- a/packages/core/src/gateway/call_controller.ts
+++ b/packages/core/src/gateway/call_controller.ts
@@ -5,7 +5,7 @@
  */
 import type { CustomerLimits } from "../customers/index.ts";
 import type { EndpointTerms } from "../endpoint_terms/index.ts";
-import type { PrefixNews } from "../fleet/index.ts";
+import type { PrefixUpdate } from "../fleet/index.ts";
 import {
   after,
   type AttemptId,
@@ -16,12 +16,12 @@
   type Randomness,
   type RequestId,
 } from "../ids/index.ts";
-import type { ListenedTimeView } from "../listening/index.ts";
-import { createPendingCall, PendingCalls } from "./arrival_hold.ts";
+import type { StallAdjustedClockView } from "../listening/index.ts";
+import { createPendingCall, PendingCalls } from "./pending_calls.ts";
 import { Call, type OpenAttempt } from "./call.ts";
 import { type AdmittedCall, CallAdmission } from "./call_admission.ts";
 import { CallAttempts, FIRST_SERVER_ERROR } from "./call_attempts.ts";
-import { CallOutcomes } from "./call_ends.ts";
+import { CallOutcomes } from "./call_outcomes.ts";
 import { CallPlacer, MIN_SEND_TIME_MS } from "./call_placer.ts";
 import { CallRecovery } from "./call_recovery.ts";
 import { type CallRouter } from "./call_router.ts";
@@ -38,7 +38,7 @@
 } from "./messages.ts";
 import type { QuarantineController } from "../quarantine/index.ts";
 import type { RegionController } from "./region_controller.ts";
-import type { RepeatBudget } from "./repeat_budget.ts";
+import type { RetryBudget } from "./retry_budget.ts";
 
 /** How long after its deadline a non-idempotent request may run on once its caller has left. */
 const ORPHAN_GRACE_MS = 5_000;
@@ -52,14 +52,14 @@
   readonly endpoints: EndpointRegistry;
   readonly regions: RegionController;
   readonly router: CallRouter;
-  readonly budget: RepeatBudget;
+  readonly budget: RetryBudget;
   readonly cold: ColdAllowance;
   readonly quarantine: QuarantineController;
   readonly terms: EndpointTerms;
   readonly limits: CustomerLimits;
   /** Age of the document from which keys are no longer trusted, `undefined` where there is no such limit. */
   readonly keyLifetime: () => Milliseconds | undefined;
-  readonly listened: ListenedTimeView;
+  readonly listened: StallAdjustedClockView;
   /** Number of entries that may be alive, including this one. */
   readonly entries: () => number;
   /** Number of live entries in the region, including this one. */
@@ -108,8 +108,8 @@
   }
 
   /** Removes and returns the prompt prefixes that were sent to engines since the last call. */
-  takePrefixNews(): PrefixNews[] {
-    return this.#attempts.takePrefixNews();
+  takeSentPrefixes(): PrefixUpdate[] {
+    return this.#attempts.takeSentPrefixes();
   }
 
   /** Number of requests without a final answer. */
@@ -122,12 +122,12 @@
   }
 
   /** Number of streams that were resumed at another endpoint since the start. */
-  get resumed(): number {
-    return this.#recovery.resumed;
+  get resumedStreams(): number {
+    return this.#recovery.resumedStreams;
   }
 
   /** Number of requests without a matching route since the start. */
-  get unrouted(): number {
+  get unroutedRequests(): number {
     return this.#outcomes.unrouted.count;
   }
 
@@ -148,7 +148,7 @@
     this.#lastArrivalAt = now;
     const { catalogue } = this.#deps;
     const { table, failing } = catalogue;
-    if (table !== undefined && !catalogue.isOld(now)) {
+    if (table !== undefined && !catalogue.isStale(now)) {
       return this.#admission.admit(table, createPendingCall(head, now), now);
     }
     if (failing) {
@@ -212,7 +212,7 @@
   /** Last check of an endpoint's rate limit. Every request to an endpoint passes through here. */
   #hasPermit({ state, permit }: OpenAttempt, now: Instant): boolean {
     return state === undefined ||
-      this.#deps.terms.limits.covers(state.record, permit, now);
+      this.#deps.terms.limits.authorizeSend(state.record, permit, now);
   }
 
   /** Handles the head of an answer. */
@@ -228,7 +228,7 @@
       return this.#recovery.rejected(call, answer, now);
     }
     const failed = answer.status >= FIRST_SERVER_ERROR;
-    attempt.state?.health.note(failed ? "failed" : "good", now);
+    attempt.state?.health.recordOutcome(failed ? "failed" : "good", now);
     if (call.phase === "answering") {
       return this.#recovery.resumeStream(call, answer, now);
     }
@@ -270,7 +270,7 @@
     }
     attempt.partialEventBytes = update.unfinished;
     call.trace.noteBytes(now);
-    attempt.state?.firstEvent(id, now);
+    attempt.state?.noteFirstEvent(id, now);
     call.position.advance(update);
     if (hadPrefill) {
       this.#placer.drain(now);
@@ -278,7 +278,7 @@
   }
 
   /** Handles the start or end of backpressure: the caller's connection is full, or accepts data again. */
-  held(id: AttemptId, held: boolean, now: Instant): void {
+  noteBackpressure(id: AttemptId, held: boolean, now: Instant): void {
     const found = this.#attempts.find(id);
     if (found !== undefined) {
       this.#attempts.noteBackpressure(found.call, found.attempt, { held, now });
@@ -322,7 +322,7 @@
 
   /** Ends requests that have run out of time, and abandons endpoints that have gone silent. */
   tick(now: Instant): void {
-    this.releaseHeld(now);
+    this.retryPending(now);
     for (const call of [...this.#calls.values()]) {
       if (call.orphaned) {
         this.#endOrphan(call, now);
@@ -338,14 +338,14 @@
   }
 
   /** Continues with waiting requests once the catalogue is available, its read has failed or their time is up. */
-  releaseHeld(now: Instant): void {
+  retryPending(now: Instant): void {
     this.#admission.retryPending(now);
     if (this.#pending.size === 0) {
       return;
     }
     const { catalogue } = this.#deps;
     const { table, failing } = catalogue;
-    const ready = table !== undefined && !catalogue.isOld(now);
+    const ready = table !== undefined && !catalogue.isStale(now);
     const decided = ready || failing
       ? this.#pending.takeAll()
       : this.#pending.takeExpired(now);
@@ -358,12 +358,12 @@
   }
 
   /** Handles new permits for endpoints with a rate limit. */
-  notePermits(now: Instant): void {
+  handleNewPermits(now: Instant): void {
     this.#placer.drain(now);
   }
 
   /** Handles a report of what other entries charged to customers. */
-  noteSpending(now: Instant): void {
+  handleCustomerUsage(now: Instant): void {
     this.#admission.retryPending(now);
   }
 
@@ -385,7 +385,7 @@
   #recordArrival({ head, services, route }: Call, now: Instant): void {
     const [service] = services;
     const { regions } = this.#deps;
-    regions.noteArrival(service!, head.prompt, now);
+    regions.recordArrival(service!, head.prompt, now);
     if (head.relay === undefined) {
       regions.traffic.add(route.name, now);
     }
--- a/packages/core/src/gateway/call_ends.ts
+++ b/packages/core/src/gateway/call_outcomes.ts
@@ -13,7 +13,7 @@
 } from "../ids/index.ts";
 import type { Call } from "./call.ts";
 import type { LossCause } from "./call_trace.ts";
-import { LogThrottle } from "./line_tally.ts";
+import { LogThrottle } from "./log_throttle.ts";
 import type {
   CallHead,
   CallRefusal,
--- a/packages/core/src/gateway/call_placer.ts
+++ b/packages/core/src/gateway/call_placer.ts
@@ -12,17 +12,17 @@
 } from "../ids/index.ts";
 import type { Call } from "./call.ts";
 import type { CallAttempts } from "./call_attempts.ts";
-import type { CallOutcomes } from "./call_ends.ts";
+import type { CallOutcomes } from "./call_outcomes.ts";
 import { CallQueue } from "./call_queue.ts";
 import {
   type CallRouter,
   MAX_ATTEMPTS,
   type RoutingDecision,
 } from "./call_router.ts";
-import type { Ahead } from "./local_places.ts";
+import type { QueueAhead } from "./local_placement.ts";
 import type { EndpointRegistry } from "./endpoint_registry.ts";
-import { isShort } from "./placement.ts";
-import { DEFAULT_PREFILL_RATE } from "./prompt_cost.ts";
+import { isShortPrompt } from "./endpoint_placement.ts";
+import { DEFAULT_PREFILL_TOKENS_PER_MS } from "./prompt_cost.ts";
 import type {
   QuarantineController,
   RequestFingerprint,
@@ -91,13 +91,13 @@
     // If one request has to wait, those of the same kind behind it have to wait too. Checking each of them
     // would cost more the longer the queue is, and slow the entry down when it has most to do.
     const blocked = new Set<string>();
-    const { readPart } = this.#deps.regions;
+    const { prefillFraction: readPart } = this.#deps.regions;
     for (const call of this.queue.ordered(readPart, now)) {
       if (this.#checkQuarantine(call, now) !== "free") {
         continue;
       }
       const { rank, services, head } = call;
-      const kind = `${services[0]} ${rank} ${isShort(head.prompt)}`;
+      const kind = `${services[0]} ${rank} ${isShortPrompt(head.prompt)}`;
       if (blocked.has(kind)) {
         continue;
       }
@@ -117,7 +117,7 @@
 
   /** Whether a connected request may be written. It may have been held back since it was placed. */
   maySend(call: Call, now: Instant): boolean {
-    const { kind } = this.#deps.quarantine.judge(quarantineSubject(call), now);
+    const { kind } = this.#deps.quarantine.check(quarantineSubject(call), now);
     if (kind === "held" || kind === "wait") {
       this.#deps.attempts.close(call, "unsent", now);
       this.#checkQuarantine(call, now);
@@ -140,7 +140,7 @@
    * trial waits for the outcome.
    */
   #checkQuarantine(call: Call, now: Instant): "free" | "over" | "waits" {
-    const verdict = this.#deps.quarantine.judge(quarantineSubject(call), now);
+    const verdict = this.#deps.quarantine.check(quarantineSubject(call), now);
     switch (verdict.kind) {
       case "held":
         this.#deps.outcomes.fail(call, "held", now, verdict.wait);
@@ -191,7 +191,7 @@
     call: Call,
     { decision, ahead, now }: {
       decision: Extract<RoutingDecision, { kind: "wait" }>;
-      ahead: Ahead;
+      ahead: QueueAhead;
       now: Instant;
     },
   ): void {
@@ -226,7 +226,7 @@
     this.#deps.outcomes.fail(call, "endpoints_resting", now, wait);
   }
 
-  #queueAhead(call: Call): Ahead {
+  #queueAhead(call: Call): QueueAhead {
     const { services, rank } = call;
     // Entries of the region take turns, and each is assumed to have as much waiting as this one.
     const turns = (1 + this.queue.callsAhead(services[0]!, rank)) *
@@ -243,8 +243,8 @@
     // Callers choose among the region's entries at random, so that each has about as much waiting.
     const waiting = this.queue.tokensAhead(rank) *
       this.#deps.regionEntries();
-    return waiting * this.#deps.regions.readPart /
-      (DEFAULT_PREFILL_RATE * Math.max(1, engines));
+    return waiting * this.#deps.regions.prefillFraction /
+      (DEFAULT_PREFILL_TOKENS_PER_MS * Math.max(1, engines));
   }
 }
 
--- a/packages/core/src/gateway/call_queue.ts
+++ b/packages/core/src/gateway/call_queue.ts
@@ -12,7 +12,7 @@
   type ServiceId,
 } from "../ids/index.ts";
 import type { Call } from "./call.ts";
-import { DEFAULT_PREFILL_RATE, readingTime } from "./prompt_cost.ts";
+import { DEFAULT_PREFILL_TOKENS_PER_MS, prefillTimeMs } from "./prompt_cost.ts";
 
 const MS_PER_SECOND = 1_000;
 /** Time to the first event apart from reading the prompt: connection, engine steps and the way back. */
@@ -118,13 +118,13 @@
 }
 
 /** Virtual time of a request before its customer's other requests are taken into account. */
-function virtualArrival({ arrivedAt, unread }: Call): number {
-  return arrivedAt + COST_WEIGHT * unread / DEFAULT_PREFILL_RATE;
+function virtualArrival({ arrivedAt, uncachedTokens: unread }: Call): number {
+  return arrivedAt + COST_WEIGHT * unread / DEFAULT_PREFILL_TOKENS_PER_MS;
 }
 
 /** Milliseconds from sending to the first event, where the fraction `readPart` of the prompt has to be read. */
 function startTime({ head }: Call, readPart: number): number {
   return head.prompt === undefined
     ? 0
-    : START_OVERHEAD_MS + readingTime(head.prompt, readPart);
+    : START_OVERHEAD_MS + prefillTimeMs(head.prompt, readPart);
 }
--- a/packages/core/src/gateway/call_recovery.ts
+++ b/packages/core/src/gateway/call_recovery.ts
@@ -4,24 +4,24 @@
  * @module
  */
 import type { Instant } from "../ids/index.ts";
-import type { ListenedTimeView } from "../listening/index.ts";
+import type { StallAdjustedClockView } from "../listening/index.ts";
 import type { Call, OpenAttempt } from "./call.ts";
 import {
   type CallAttempts,
   countAttempts,
   MISDIRECTED_REQUEST,
 } from "./call_attempts.ts";
-import type { CallOutcomes } from "./call_ends.ts";
+import type { CallOutcomes } from "./call_outcomes.ts";
 import type { CallPlacer } from "./call_placer.ts";
 import { type CallRouter, MAX_ATTEMPTS } from "./call_router.ts";
 import {
   type CallAnswer,
-  CONNECTION_LIMIT,
+  CONNECTION_LIMIT_REACHED,
   type GatewayEmit,
 } from "./messages.ts";
 import type { EndpointRegistry } from "./endpoint_registry.ts";
 import type { QuarantineController } from "../quarantine/index.ts";
-import type { RepeatBudget } from "./repeat_budget.ts";
+import type { RetryBudget } from "./retry_budget.ts";
 
 /** A repeat is only made with at least this much time left. */
 const MIN_REPEAT_TIME_MS = 150;
@@ -49,9 +49,9 @@
   readonly placer: CallPlacer;
   readonly router: CallRouter;
   readonly endpoints: EndpointRegistry;
-  readonly budget: RepeatBudget;
+  readonly budget: RetryBudget;
   readonly quarantine: QuarantineController;
-  readonly listened: ListenedTimeView;
+  readonly listened: StallAdjustedClockView;
   /** Number of entries that may be alive, including this one. */
   readonly entries: () => number;
   /** Removes a request that is over without sending anything to its caller. */
@@ -61,7 +61,7 @@
 /** Repeats a request where its route, its attempts and the budget allow it, and ends it otherwise. */
 export class CallRecovery {
   /** Number of streams that were resumed at another endpoint since the start. */
-  resumed = 0;
+  resumedStreams = 0;
   readonly #deps: RecoveryDependencies;
 
   constructor(deps: RecoveryDependencies) {
@@ -72,11 +72,11 @@
   rejected(call: Call, answer: CallAnswer, now: Instant): void {
     const { state } = call.attempt!;
     const deferred = answer.rest?.kind === "value";
-    state?.health.note(deferred ? "deferred" : "failed", now);
+    state?.health.recordOutcome(deferred ? "deferred" : "failed", now);
     if (answer.status === MISDIRECTED_REQUEST && state !== undefined) {
       state.health.suspect(now);
       // Another process uses the address, so the intended endpoint has ended.
-      this.#deps.quarantine.refused(state.record);
+      this.#deps.quarantine.notePortClosed(state.record);
     }
     const { target } = call.attempt!;
     const declined = target.kind === "peer" && answer.offered === 0;
@@ -124,7 +124,7 @@
       this.#deps.attempts.abandon(call, now);
       return this.#breakOffOrRetry(call, now);
     }
-    this.resumed++;
+    this.resumedStreams++;
     this.#deps.outcomes.log("Stream goes on elsewhere.", call, {
       afterEvent: call.position.lastId,
       ...call.trace.interruptionFields(),
@@ -142,15 +142,15 @@
       now: Instant;
     },
   ): void {
-    if (detail !== CONNECTION_LIMIT) {
-      state?.health.note("unreached", now);
+    if (detail !== CONNECTION_LIMIT_REACHED) {
+      state?.health.recordOutcome("unreached", now);
     }
     if (state !== undefined && refused) {
-      this.#deps.quarantine.refused(state.record);
+      this.#deps.quarantine.notePortClosed(state.record);
     }
     if (state !== undefined) {
-      call.tried.add(state.record.id);
-      call.unreached.add(state.record.id);
+      call.triedEndpoints.add(state.record.id);
+      call.unreachedEndpoints.add(state.record.id);
     }
     this.#deps.attempts.close(call, "unsent", now);
     this.#deps.outcomes.log("Attempt was not sent.", call, { detail });
@@ -168,11 +168,11 @@
     { detail, now }: { detail: string; now: Instant },
   ): void {
     const { state } = attempt;
-    state?.health.note("broken", now);
+    state?.health.recordOutcome("broken", now);
     call.trace.noteInterrupted(attempt, detail);
     this.#deps.attempts.close(call, "lost", now);
     if (state !== undefined) {
-      this.#deps.quarantine.broken(state, now);
+      this.#deps.quarantine.noteBrokenConnection(state, now);
     }
     this.#deps.outcomes.log("Attempt was lost.", call, { detail });
     if (call.orphaned) {
@@ -189,7 +189,7 @@
   /** Checks whether the endpoint of an attempt has restarted or gone silent. */
   checkEndpoint(call: Call, attempt: OpenAttempt, now: Instant): void {
     const { state } = attempt;
-    if (state !== undefined && this.#deps.endpoints.hasStartedAgain(state)) {
+    if (state !== undefined && this.#deps.endpoints.hasRestarted(state)) {
       this.#handleRestart(call, attempt, now);
     } else {
       this.#checkSilence(call, attempt, now);
@@ -237,7 +237,7 @@
       this.#deps.outcomes.log("Endpoint is silent.", call, {
         endpoint: state.record.id,
       });
-      state.health.note("broken", now);
+      state.health.recordOutcome("broken", now);
     }
   }
 
--- a/packages/core/src/gateway/call_router.ts
+++ b/packages/core/src/gateway/call_router.ts
@@ -15,17 +15,21 @@
 import type { Call } from "./call.ts";
 import type { EndpointState } from "./endpoint_state.ts";
 import {
-  type Ahead,
-  type Chosen,
-  LocalPlaces,
-  type PlaceSources,
+  type ChosenEndpoint,
+  LocalPlacement,
+  type LocalPlacementSources,
+  type QueueAhead,
   type WaitReason,
-} from "./local_places.ts";
+} from "./local_placement.ts";
 import type { CallTarget } from "./messages.ts";
-import { findHolder, LEAST_FETCH_TOKENS, sharedParts } from "./placement.ts";
+import {
+  findPrefixHolder,
+  MIN_FETCH_TOKENS,
+  sharedParts,
+} from "./endpoint_placement.ts";
 import type { RegionController, RegionView } from "./region_controller.ts";
 import type { ServingSet } from "./serving_set.ts";
-import { type SubjectRegion, subjectRegion } from "./subject_region.ts";
+import { chooseSubjectRegion, type RegionCandidate } from "./subject_region.ts";
 
 /** Cost of relaying a request to another region and back. Shorter waits are not worth it. */
 const RELAY_COST_MS = 200;
@@ -44,7 +48,7 @@
 
 /** Where a request goes next. */
 export type RoutingDecision =
-  | { readonly kind: "endpoint"; readonly placement: Chosen }
+  | { readonly kind: "endpoint"; readonly placement: ChosenEndpoint }
   | {
     readonly kind: "peer";
     readonly incarnation: Incarnation;
@@ -59,7 +63,7 @@
   | { readonly kind: "none" };
 
 /** Dependencies of `CallRouter`. */
-export interface RouterSources extends PlaceSources {
+export interface RouterSources extends LocalPlacementSources {
   readonly regions: RegionController;
   readonly serving: ServingSet;
   readonly random: Randomness;
@@ -71,15 +75,15 @@
   /** When a region last declined a request of a service. */
   readonly #declined = new Map<string, Instant>();
 
-  readonly #places: LocalPlaces;
+  readonly #places: LocalPlacement;
 
   constructor(sources: RouterSources) {
     this.#sources = sources;
-    this.#places = new LocalPlaces(sources);
+    this.#places = new LocalPlacement(sources);
   }
 
   /** Returns where a request goes next. */
-  next(call: Call, ahead: Ahead, now: Instant): RoutingDecision {
+  next(call: Call, ahead: QueueAhead, now: Instant): RoutingDecision {
     const { self } = this.#sources;
     const home = call.mayServe(self.region);
     const mayRelay = call.head.relay === undefined;
@@ -114,7 +118,7 @@
     const subject = parts[parts.length - 1];
     const tokens = parts.reduce((sum, part) => sum + part.tokens, 0);
     const first = call.attempts === 0 && subject !== undefined;
-    if (!first || tokens - this.#cachedTokens(call, now) < LEAST_FETCH_TOKENS) {
+    if (!first || tokens - this.#cachedTokens(call, now) < MIN_FETCH_TOKENS) {
       return undefined;
     }
     const { self, regions } = this.#sources;
@@ -123,17 +127,17 @@
     const others = this.#openRegions(call, now).map(subjectView);
     const region = own.engines === 0
       ? undefined
-      : subjectRegion(subject.id, own, others);
+      : chooseSubjectRegion(subject.id, own, others);
     return region === undefined ? undefined : this.#entryIn(region, call, now);
   }
 
   /** Returns how many shared tokens of the prompt an engine of this region has cached. */
   #cachedTokens({ head, services }: Call, now: Instant): number {
     const { endpoints } = this.#sources;
-    const usable = endpoints.of(services[0]!).filter((state) =>
+    const usable = endpoints.ofService(services[0]!).filter((state) =>
       endpoints.accepts(state, now)
     );
-    return findHolder(head.prompt, usable)?.tokens ?? 0;
+    return findPrefixHolder(head.prompt, usable)?.tokens ?? 0;
   }
 
   /** Records that a region had no capacity for a relayed request. */
@@ -141,7 +145,7 @@
     this.#declined.set(`${region} ${call.services[0]}`, now);
     if (call.attempts === 1) {
       const { regions } = this.#sources;
-      regions.noteDeclined(call.services[0]!, call.head.prompt, now);
+      regions.recordDeclined(call.services[0]!, call.head.prompt, now);
     }
   }
 
@@ -155,7 +159,10 @@
     const { endpoints } = this.#sources;
     const published = call.head.relay === undefined && call.offered === 0 &&
       call.services.some((service) =>
-        endpoints.isPublished(service, (region) => call.mayServe(region))
+        endpoints.hasAvailableEndpoint(
+          service,
+          (region) => call.mayServe(region),
+        )
       );
     return published
       ? {
@@ -169,13 +176,18 @@
   /** Returns whether an endpoint may still get a request that was placed at it. */
   isStillEligible(call: Call, state: EndpointState, now: Instant): boolean {
     const { endpoints } = this.#sources;
-    return endpoints.isOpen(state) && endpoints.restOf(state, now) === 0 &&
-      this.#places.coldAllows(state, now) &&
+    return endpoints.isInService(state) &&
+      endpoints.backoffOf(state, now) === 0 &&
+      this.#places.allowsWhileCold(state, now) &&
       call.services.includes(state.record.service);
   }
 
   /** Describes the target to the shell. */
-  targetOf(call: Call, { state, fetchFrom }: Chosen, now: Instant): CallTarget {
+  targetOf(
+    call: Call,
+    { state, fetchFrom }: ChosenEndpoint,
+    now: Instant,
+  ): CallTarget {
     const entries = 1 + this.#regionPeers().length;
     const connections = (state.service?.connectionLimit ?? entries) *
       CONNECTION_FRACTION / entries;
@@ -194,7 +206,7 @@
   /** Other entries of this region that may be alive. */
   #regionPeers(): Incarnation[] {
     const { self, fleet } = this.#sources;
-    return fleet.possible()
+    return fleet.possiblyLiveMembers()
       .filter(({ record }) => record.region === self.region)
       .map(({ record }) => record.incarnation);
   }
@@ -224,7 +236,7 @@
   #openRegions(call: Call, now: Instant): RegionView[] {
     const { fleet, regions, self } = this.#sources;
     const [service] = call.services;
-    return regions.others(service!, fleet, now).filter(({ region }) =>
+    return regions.otherRegions(service!, fleet, now).filter(({ region }) =>
       call.mayServe(region) && region !== self.region &&
       now - (this.#declined.get(`${region} ${service}`) ?? -Infinity) >=
         DECLINE_BACKOFF_MS
@@ -256,7 +268,7 @@
     : load.work / (load.endpoints * MS_PER_SECOND);
 }
 
-function subjectView(view: RegionView): SubjectRegion {
+function subjectView(view: RegionView): RegionCandidate {
   return {
     region: view.region,
     engines: view.load?.endpoints ?? 0,
--- a/packages/core/src/gateway/catalogue_controller.ts
+++ b/packages/core/src/gateway/catalogue_controller.ts
@@ -14,26 +14,26 @@
   type ZoneId,
 } from "../ids/index.ts";
 import type { CatalogueHolder, DocumentHolder } from "../fleet/index.ts";
-import { Currency } from "../customers/index.ts";
+import { DocumentFreshness } from "../customers/index.ts";
 import {
   type CatalogueChanges,
+  type CatalogueDelta,
   type CataloguePosition,
   type CatalogueSnapshot,
   type EndpointRecord,
-  isAfter,
+  isLaterPosition,
   isSamePosition,
   NO_POSITION,
-  type PictureNews,
   type RouteTable,
   type RoutingDocument,
 } from "../routes/index.ts";
 import type { CatalogueView } from "./catalogue_view.ts";
-import { LocalCatalogue } from "./held_catalogue.ts";
+import { LocalCatalogue } from "./local_catalogue.ts";
 import type { GatewayEmit } from "./messages.ts";
 import { PeerCopies } from "./peer_copies.ts";
-import { FreshnessProofs } from "./read_proofs.ts";
+import { FreshnessProofs } from "./freshness_proofs.ts";
 import { type AnswerValidity, EpochTracker } from "./epoch_tracker.ts";
-import { ReturnGrace } from "./return_grace.ts";
+import { MissingRecordGrace } from "./missing_record_grace.ts";
 import { ReadSchedule, type ReadScheduleOptions } from "./read_schedule.ts";
 
 /**
@@ -52,7 +52,7 @@
   readonly version: Revision;
   readonly position: CataloguePosition;
   /** The changes since the local revision, if they are few. */
-  readonly news: PictureNews | undefined;
+  readonly news: CatalogueDelta | undefined;
   /** When the peer's document was known to be the newest. */
   readonly at: Instant;
   /** Address of the peer, from which the catalogue can be copied. */
@@ -61,17 +61,17 @@
 
 /** Decides when to read the catalogue, and applies the answers. */
 export class CatalogueController implements CatalogueView {
-  wholeReads = 0;
-  historyMisses = 0;
-  confirmedAt: Instant | undefined;
+  fullReads = 0;
+  compactedReads = 0;
+  lastAnsweredAt: Instant | undefined;
   reachable = false;
-  readonly currency = new Currency();
+  readonly documentFreshness = new DocumentFreshness();
   readonly #emit: GatewayEmit;
   readonly #schedule: ReadSchedule;
   readonly #isStandby: () => boolean;
   readonly #local = new LocalCatalogue({
     onDocument: ({ version, routes }) => {
-      this.currency.hold(version);
+      this.documentFreshness.setHeldVersion(version);
       this.#log("Document is in force.", { version, routes: routes.length });
     },
     log: (text, fields) => this.#log(text, fields),
@@ -80,7 +80,7 @@
   #fullReadNeeded = true;
   /** Whether the full read that is needed will return another epoch than the local one. */
   #restorePending = false;
-  readonly #grace: ReturnGrace;
+  readonly #grace: MissingRecordGrace;
   readonly #freshness: FreshnessProofs;
   readonly #copies: PeerCopies;
   /** When the read under way was sent, and its timeout. */
@@ -103,9 +103,9 @@
     this.#emit = emit;
     this.#isStandby = schedule.isStandby;
     this.#schedule = new ReadSchedule(schedule, now);
-    this.#grace = new ReturnGrace(now);
+    this.#grace = new MissingRecordGrace(now);
     this.#freshness = new FreshnessProofs({
-      currency: this.currency,
+      currency: this.documentFreshness,
       newestDocument,
     });
     this.#copies = new PeerCopies({ emit, newestHolder }, now);
@@ -114,7 +114,7 @@
 
   /** Whether requests have to identify their customer by a key, which can be revoked. */
   get requiresKeys(): boolean {
-    return this.table?.customers.required ?? false;
+    return this.table?.customers.requiresKeys ?? false;
   }
 
   get position(): CataloguePosition {
@@ -137,11 +137,11 @@
     return this.#local.endpoints;
   }
 
-  get evacuated(): ReadonlySet<ZoneId> {
+  get evacuatedZones(): ReadonlySet<ZoneId> {
     return this.#local.evacuated;
   }
 
-  get picture(): number {
+  get contentHash(): number {
     return this.#local.contentHash;
   }
 
@@ -165,13 +165,13 @@
     this.#schedule.readAtOnce(now);
   }
 
-  isOld(now: Instant): boolean {
+  isStale(now: Instant): boolean {
     return this.table !== undefined && this.#schedule.isStale(now);
   }
 
   /** Records the catalogue hash that a serving peer reported. */
   notePeerCatalogue(hash: number, now: Instant): void {
-    if (hash !== this.picture) {
+    if (hash !== this.contentHash) {
       this.#schedule.hastenForPeerCatalogue(now);
     }
   }
@@ -189,11 +189,14 @@
       { isFullRead: true },
       now,
     );
-    const isBehind = isAfter(this.position, this.#local.positionOf(snapshot));
+    const isBehind = isLaterPosition(
+      this.position,
+      this.#local.positionOf(snapshot),
+    );
     if (validity === "late" || (isBehind && this.#hasChangedSinceRead)) {
       return this.#schedule.readAtOnce(now);
     }
-    this.wholeReads++;
+    this.fullReads++;
     this.#schedule.noteFullRead(now);
     if (validity === "restored" || isBehind) {
       this.#noteRestore(now);
@@ -268,7 +271,7 @@
   }
 
   /** The changes since a position, for a peer that has the catalogue as of that position. */
-  changesSince(position: CataloguePosition): PictureNews | undefined {
+  changesSince(position: CataloguePosition): CatalogueDelta | undefined {
     return this.#local.changesSince(position);
   }
 
@@ -277,7 +280,7 @@
     return this.#local.snapshot();
   }
 
-  noteDoubt(now: Instant): boolean {
+  readForUnknownKey(now: Instant): boolean {
     if (!this.failing) {
       this.#schedule.hastenForUnknownKey(now);
       this.tick(now);
@@ -307,7 +310,7 @@
     if (validity !== "current") {
       return this.#discardAnswer(validity, now);
     }
-    this.historyMisses++;
+    this.compactedReads++;
     this.#log("Changes are not available, reading everything.", {
       after: this.position.revision,
     });
@@ -321,7 +324,7 @@
     this.#schedule.noteFailure(now);
     // A read that times out may have hung since before the platform came back.
     const timedOut = now - this.#readSentAt >= this.#readTimeout;
-    this.#grace.noteBefore(timedOut ? this.#readSentAt : now);
+    this.#grace.noteNotRestored(timedOut ? this.#readSentAt : now);
     // A read that waited for changes may have hung and missed some.
     this.#fullReadNeeded = this.#fullReadNeeded || this.#schedule.failures > 1;
     if (this.reachable) {
@@ -339,7 +342,7 @@
       this.#local.adoptDocument(snapshot.document);
     }
     const { epoch = this.position.epoch, revision } = snapshot;
-    if (!isAfter({ epoch, revision }, this.position)) {
+    if (!isLaterPosition({ epoch, revision }, this.position)) {
       return;
     }
     const keptUntil = this.#keptUntil(now);
@@ -408,7 +411,7 @@
     now: Instant,
   ): void {
     if (!this.#restorePending) {
-      this.#grace.noteBefore(now);
+      this.#grace.noteNotRestored(now);
     }
     const holder = this.#freshness.evaluate(this.#local, { isFullRead, now });
     if (holder !== undefined) {
@@ -446,7 +449,7 @@
     now: Instant,
   ): AnswerValidity {
     const returned = this.#schedule.noteAnswer(now);
-    this.confirmedAt = now;
+    this.lastAnsweredAt = now;
     if (!this.reachable) {
       this.reachable = true;
       this.#log("Platform answers.", { ...this.position });
@@ -456,7 +459,7 @@
       isFullRead,
     });
     if (returned) {
-      this.#grace.noteReturn(now);
+      this.#grace.noteOutageEnd(now);
     }
     return validity;
   }
@@ -467,7 +470,7 @@
    */
   #keptUntil(now: Instant): Instant | undefined {
     return this.failing
-      ? this.#grace.keptWhileAway(now)
+      ? this.#grace.keptUntilDuringOutage(now)
       : this.#grace.keptUntil(now);
   }
 
@@ -481,7 +484,7 @@
   view: CatalogueView,
   now: Instant,
 ): Milliseconds | undefined {
-  return view.confirmedAt === undefined
+  return view.lastAnsweredAt === undefined
     ? undefined
-    : milliseconds(now - view.confirmedAt);
+    : milliseconds(now - view.lastAnsweredAt);
 }
--- a/packages/core/src/gateway/catalogue_view.ts
+++ b/packages/core/src/gateway/catalogue_view.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { CurrencyView } from "../customers/index.ts";
+import type { FreshnessView } from "../customers/index.ts";
 import type { EndpointId, Instant, ZoneId } from "../ids/index.ts";
 import type {
   CataloguePosition,
@@ -16,30 +16,30 @@
 export interface CatalogueView {
   readonly position: CataloguePosition;
   /** Number of full reads since the process started. */
-  readonly wholeReads: number;
+  readonly fullReads: number;
   /** Number of reads of changes that failed because the platform had compacted them. */
-  readonly historyMisses: number;
+  readonly compactedReads: number;
   readonly document: RoutingDocument | undefined;
   readonly table: RouteTable | undefined;
   /** How recently the document was known to be the newest. */
-  readonly currency: CurrencyView;
+  readonly documentFreshness: FreshnessView;
   readonly endpoints: ReadonlyMap<EndpointId, EndpointRecord>;
-  readonly evacuated: ReadonlySet<ZoneId>;
+  readonly evacuatedZones: ReadonlySet<ZoneId>;
   /** Incremented with each change of the document, the endpoints or the evacuations. */
   readonly generation: number;
   /** When the platform last answered. */
-  readonly confirmedAt: Instant | undefined;
+  readonly lastAnsweredAt: Instant | undefined;
   /** Whether the platform answered the last read. False until the first answer. */
   readonly reachable: boolean;
   /** Whether the last read failed. */
   readonly failing: boolean;
   /** Hash of everything that routing decisions depend on. Instances with equal content have equal hashes. */
-  readonly picture: number;
+  readonly contentHash: number;
   /** Whether the catalogue is so old that requests have to wait for the read under way. */
-  isOld(now: Instant): boolean;
+  isStale(now: Instant): boolean;
   /**
    * Schedules an early read, for a request that only a newer document can decide. Returns false if reads are
    * failing, so that waiting is of no use.
    */
-  noteDoubt(now: Instant): boolean;
+  readForUnknownKey(now: Instant): boolean;
 }
--- a/packages/core/src/gateway/cold_allowance.ts
+++ b/packages/core/src/gateway/cold_allowance.ts
@@ -53,7 +53,7 @@
   }
 
   /** Applies changed bounds from the settings. */
-  rebound(bounds: GatewayBounds): void {
+  updateBounds(bounds: GatewayBounds): void {
     this.#bounds = bounds;
   }
 
@@ -80,7 +80,7 @@
   }
 
   /** Records a request that is sent to a cold endpoint. */
-  spend(endpoint: EndpointId, now: Instant): void {
+  recordSend(endpoint: EndpointId, now: Instant): void {
     this.#sent.set(endpoint, [...this.#recentSends(endpoint, now), now]);
     evictOldest(this.#sent);
   }
--- a/packages/core/src/gateway/quarantine_link.ts
+++ b/packages/core/src/gateway/create_quarantine.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { FleetController, FleetRecord } from "../fleet/index.ts";
+import type { EntryRecord, FleetController } from "../fleet/index.ts";
 import {
   type Instant,
   milliseconds,
@@ -11,12 +11,12 @@
   sample,
 } from "../ids/index.ts";
 import {
-  type NewsRecipients,
   QuarantineController,
+  type UpdateRecipients,
 } from "../quarantine/index.ts";
-import type { ListenedTimeView } from "../listening/index.ts";
+import type { StallAdjustedClockView } from "../listening/index.ts";
 import type { CatalogueView } from "./catalogue_view.ts";
-import type { GatewayEmit, GatewaySelf } from "./messages.ts";
+import type { GatewayEmit, GatewayIdentity } from "./messages.ts";
 import type { ServingSet } from "./serving_set.ts";
 
 /**
@@ -32,13 +32,13 @@
 
 /** Dependencies of the quarantine. */
 export interface QuarantineDependencies {
-  readonly self: Pick<GatewaySelf, "incarnation" | "regionByZone">;
+  readonly self: Pick<GatewayIdentity, "incarnation" | "regionByZone">;
   readonly emit: GatewayEmit;
   readonly random: Randomness;
   readonly catalogue: CatalogueView;
   readonly fleet: FleetController;
   readonly serving: ServingSet;
-  readonly listened: ListenedTimeView;
+  readonly listened: StallAdjustedClockView;
   readonly now: () => Instant;
 }
 
@@ -49,14 +49,14 @@
   const { self, emit, catalogue, fleet, serving, listened, now } = dependencies;
   return new QuarantineController({
     self,
-    listened,
-    claimTime: milliseconds(CLAIM_TIME_MS),
-    tell: (news, to) =>
-      fleet.mail.sendQuarantine(news, selectRecipients(dependencies, to)),
-    knock: ({ id, life, address }) =>
+    clock: listened,
+    claimDelay: milliseconds(CLAIM_TIME_MS),
+    send: (news, to) =>
+      fleet.sender.sendQuarantine(news, selectRecipients(dependencies, to)),
+    probePort: ({ id, life, address }) =>
       emit({ kind: "knock", endpoint: id, life, address }),
     endpoints: () => catalogue.endpoints,
-    carriers: (zones) => {
+    servingEntries: (zones) => {
       const regions = new Set(
         [...zones].map((zone) => self.regionByZone.get(zone)),
       );
@@ -71,13 +71,13 @@
 /** Returns a filter of the peers that receive news. */
 function selectRecipients(
   { fleet, random, serving, now }: QuarantineDependencies,
-  to: NewsRecipients,
-): (record: FleetRecord) => boolean {
+  to: UpdateRecipients,
+): (record: EntryRecord) => boolean {
   if (to === "carriers") {
     const at = now();
     return (record) => serving.has(record, at);
   }
-  const live = fleet.live().map(({ record }) => record);
+  const live = fleet.liveMembers().map(({ record }) => record);
   const selected = live.length <= SMALL_FLEET_SIZE
     ? live
     : sample(live, NEWS_FANOUT, random);
--- a/packages/core/src/gateway/customer_link.ts
+++ b/packages/core/src/gateway/customer_roles.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import { CustomerLimits } from "../customers/index.ts";
-import type { FleetController, FleetRecord } from "../fleet/index.ts";
+import type { EntryRecord, FleetController } from "../fleet/index.ts";
 import {
   type CustomerId,
   type Incarnation,
@@ -15,9 +15,9 @@
   sample,
 } from "../ids/index.ts";
 import type { CatalogueController } from "./catalogue_controller.ts";
-import { FreshnessExchange } from "./currency_exchange.ts";
-import type { GatewaySelf } from "./messages.ts";
-import { ranked, takersOf } from "./serving_set.ts";
+import { FreshnessExchange } from "./freshness_exchange.ts";
+import type { GatewayIdentity } from "./messages.ts";
+import { acceptingEntriesOf, rankEntries } from "./serving_set.ts";
 
 /**
  * Number of instances of a region that read the platform on behalf of the others. One of them may be rejected
@@ -33,7 +33,7 @@
 
 /** Dependencies of the freshness exchange and of the customer limits. */
 export interface CustomerLinkDependencies {
-  readonly self: GatewaySelf;
+  readonly self: GatewayIdentity;
   readonly fleet: FleetController;
   readonly catalogue: CatalogueController;
   readonly random: Randomness;
@@ -46,8 +46,8 @@
  */
 interface RegionRoles {
   readonly assignedAt: Instant;
-  readonly spendingKeeper: FleetRecord | undefined;
-  readonly readers: readonly FleetRecord[];
+  readonly spendingKeeper: EntryRecord | undefined;
+  readonly readers: readonly EntryRecord[];
 }
 
 /** Roles of the instances of each region, as seen by one instance. */
@@ -68,7 +68,7 @@
   }
 
   /** Instances of the own region that read the platform on behalf of the others. */
-  readers(now: Instant): readonly FleetRecord[] {
+  readers(now: Instant): readonly EntryRecord[] {
     return this.#rolesOf(this.#dependencies.self.region, now).readers;
   }
 
@@ -79,7 +79,7 @@
   spendingKeeper(region: RegionId, now: Instant): Incarnation | undefined {
     const { fleet, self } = this.#dependencies;
     const isolated = region === self.region &&
-      fleet.heardPart(region) < MIN_REACHABLE_SHARE;
+      fleet.liveFraction(region) < MIN_REACHABLE_SHARE;
     return isolated
       ? undefined
       : this.#rolesOf(region, now).spendingKeeper?.incarnation;
@@ -91,7 +91,7 @@
       return cached;
     }
     const { fleet, self } = this.#dependencies;
-    const candidates = ranked(takersOf(region, fleet));
+    const candidates = rankEntries(acceptingEntriesOf(region, fleet));
     const spendingKeeper = candidates[0] ??
       (region === self.region ? fleet.record : undefined);
     const readers = selectReaders(candidates);
@@ -105,7 +105,7 @@
  * Selects the instances with the least weight, which have the least other work, in different availability
  * zones if possible.
  */
-function selectReaders(candidates: readonly FleetRecord[]): FleetRecord[] {
+function selectReaders(candidates: readonly EntryRecord[]): EntryRecord[] {
   const ascending = [...candidates].reverse();
   const zones = new Set(ascending.map(({ zone }) => zone));
   const onePerZone = [...zones].map((zone) =>
@@ -125,7 +125,7 @@
   return new FreshnessExchange({
     self,
     random,
-    currency: catalogue.currency,
+    currency: catalogue.documentFreshness,
     isStandby,
     isEnabled: () => catalogue.requiresKeys,
     localState: () => ({
@@ -134,7 +134,7 @@
     }),
     changesSince: (position) => catalogue.changesSince(position),
     selectPeer: (attempt, now) => {
-      const live = fleet.live().map(({ record }) => record);
+      const live = fleet.liveMembers().map(({ record }) => record);
       const readers = roles.readers(now).filter(({ incarnation }) =>
         incarnation !== self.incarnation
       );
@@ -144,7 +144,7 @@
       return sample(candidates, 1, random)[0]?.peerAddress;
     },
     send: (to, message) =>
-      fleet.mail.sendBare(to, { kind: "currency", message }),
+      fleet.sender.sendWithoutRecord(to, { kind: "currency", message }),
     onPeerReport: (report, now) => catalogue.applyPeerReport(report, now),
   });
 }
@@ -158,14 +158,14 @@
     self,
     random,
     regions: [...new Set(self.regionByZone.values())],
-    keeperOf: (region, now) => roles.spendingKeeper(region, now),
-    limited: () => catalogue.table?.customers.limited ?? false,
+    aggregatorOf: (region, now) => roles.spendingKeeper(region, now),
+    hasLimits: () => catalogue.table?.customers.hasLimits ?? false,
     limitOf: (id: CustomerId) => catalogue.table?.customers.get(id)?.limit,
-    entries: () => fleet.possible().length + 1,
+    possibleEntries: () => fleet.possiblyLiveMembers().length + 1,
     send: (to, message) => {
-      const address = fleet.addressOf(to);
+      const address = fleet.peerAddressOf(to);
       if (address !== undefined) {
-        fleet.mail.sendBare(address, { kind: "spending", message });
+        fleet.sender.sendWithoutRecord(address, { kind: "spending", message });
       }
     },
   });
--- a/packages/core/src/gateway/endpoint_health.ts
+++ b/packages/core/src/gateway/endpoint_health.ts
@@ -52,7 +52,7 @@
   /** When the trial request of a suspected endpoint was sent, `undefined` while none is in flight. */
   #trialStartedAt: Instant | undefined;
 
-  note(outcome: AttemptOutcome, now: Instant): void {
+  recordOutcome(outcome: AttemptOutcome, now: Instant): void {
     const failure = outcome === "good" ? 0 : 1;
     const connectionFailed = outcome === "broken" || outcome === "unreached";
     const connectionFailure = connectionFailed ? 1 : 0;
@@ -109,7 +109,7 @@
   }
 
   /** Notes that a request is sent to the endpoint. For a suspected endpoint this request is the trial. */
-  used(now: Instant): void {
+  noteRequestSent(now: Instant): void {
     if (this.#suspectedUntil !== undefined) {
       this.#trialStartedAt = now;
     }
--- a/packages/core/src/gateway/placement.ts
+++ b/packages/core/src/gateway/endpoint_placement.ts
@@ -54,7 +54,7 @@
 const CROSS_ZONE_COST_MS = 60;
 
 /** Minimum number of tokens that fetching a prefix has to save to be worth the transfer. */
-export const LEAST_FETCH_TOKENS = 1_024;
+export const MIN_FETCH_TOKENS = 1_024;
 /** Time that a fetch takes before prefill continues. */
 const FETCH_COST_MS = 12;
 
@@ -126,7 +126,7 @@
 /**
  * Finds the endpoint with the longest cached prefix of a prompt, among those that others can fetch from.
  */
-export function findHolder(
+export function findPrefixHolder(
   prompt: Prompt | undefined,
   states: readonly EndpointState[],
 ): PrefixHolder | undefined {
@@ -161,7 +161,7 @@
   const saved = holder === undefined || holder.state === state
     ? 0
     : holder.tokens - cached;
-  const isWorthFetching = saved >= LEAST_FETCH_TOKENS;
+  const isWorthFetching = saved >= MIN_FETCH_TOKENS;
   const available = isWorthFetching ? holder!.tokens : cached;
   return {
     prefill: Math.max(0, prompt.promptTokens - available),
@@ -175,7 +175,7 @@
 }
 
 /** Whether a prompt is short enough to fit between the long ones. */
-export function isShort(prompt: Prompt | undefined): boolean {
+export function isShortPrompt(prompt: Prompt | undefined): boolean {
   return prompt !== undefined && prompt.promptTokens <= SHORT_PROMPT_TOKENS;
 }
 
--- a/packages/core/src/gateway/endpoint_records.ts
+++ b/packages/core/src/gateway/endpoint_records.ts
@@ -21,7 +21,7 @@
 
 /** Holds the records by endpoint. A record that goes missing from the catalogue may be kept for a while. */
 export class EndpointRecords {
-  readonly all = new Map<EndpointId, EndpointRecord>();
+  readonly byId = new Map<EndpointId, EndpointRecord>();
   /** Endpoints whose record is missing from the catalogue, with the time until which they stay in use. */
   readonly #missing = new Map<EndpointId, Instant>();
   /** Last records of endpoints that have departed, most recent departure last. */
@@ -34,26 +34,26 @@
    * removal.
    */
   get published(): EndpointRecord[] {
-    return [...this.all.values()].filter(({ id }) => !this.#missing.has(id));
+    return [...this.byId.values()].filter(({ id }) => !this.#missing.has(id));
   }
 
   /** Number of endpoints that are in use although their record is missing. */
-  get kept(): number {
+  get keptCount(): number {
     return this.#missing.size;
   }
 
   /** Number of endpoints that are not in use although they have a record. */
-  get withheld(): number {
+  get withheldCount(): number {
     return this.#withheldRecords.size;
   }
 
   /** Stores a record that an endpoint has written. */
   put(record: EndpointRecord): void {
-    const known = this.all.get(record.id);
+    const known = this.byId.get(record.id);
     this.#missing.delete(record.id);
     this.#withheldRecords.delete(record.id);
     if (known === undefined || supersedes(record, known)) {
-      this.all.set(record.id, record);
+      this.byId.set(record.id, record);
     }
   }
 
@@ -63,7 +63,7 @@
    */
   remove(id: EndpointId, keptUntil: Instant | undefined): void {
     this.#withheldRecords.delete(id);
-    if (keptUntil === undefined || !this.all.has(id)) {
+    if (keptUntil === undefined || !this.byId.has(id)) {
       this.#drop(id);
     } else if (!this.#missing.has(id)) {
       this.#missing.set(id, keptUntil);
@@ -78,7 +78,7 @@
     const present = new Set(records.map(({ id }) => id));
     records.filter((record) => !this.#isWithheld(record))
       .forEach((record) => this.put(record));
-    for (const id of [...this.all.keys(), ...this.#withheldRecords.keys()]) {
+    for (const id of [...this.byId.keys(), ...this.#withheldRecords.keys()]) {
       if (!present.has(id)) {
         this.remove(id, keptUntil);
       }
@@ -93,9 +93,9 @@
    */
   restore(
     records: readonly EndpointRecord[],
-    { keptUntil, believedAt }: {
+    { keptUntil, acceptedAt: believedAt }: {
       keptUntil: Instant | undefined;
-      believedAt: Instant;
+      acceptedAt: Instant;
     },
   ): void {
     for (const record of records.filter((item) => this.#hasDeparted(item))) {
@@ -116,9 +116,9 @@
   }
 
   #drop(id: EndpointId): void {
-    const known = this.all.get(id);
+    const known = this.byId.get(id);
     this.#missing.delete(id);
-    this.all.delete(id);
+    this.byId.delete(id);
     if (known !== undefined) {
       this.#departed.delete(id);
       this.#departed.set(id, known);
@@ -131,7 +131,7 @@
   /** Whether a record is no newer than the last record of an endpoint that has departed. */
   #hasDeparted(record: EndpointRecord): boolean {
     const last = this.#departed.get(record.id);
-    return last !== undefined && !this.all.has(record.id) &&
+    return last !== undefined && !this.byId.has(record.id) &&
       !isNewer(record, last);
   }
 
--- a/packages/core/src/gateway/endpoint_registry.ts
+++ b/packages/core/src/gateway/endpoint_registry.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { EndpointWork, PrefixNews, WorkReport } from "../fleet/index.ts";
+import type { EndpointWork, PrefixUpdate, WorkReport } from "../fleet/index.ts";
 import type {
   EndpointId,
   Incarnation,
@@ -13,7 +13,7 @@
   ServiceId,
   ZoneId,
 } from "../ids/index.ts";
-import type { ListenedTimeView } from "../listening/index.ts";
+import type { StallAdjustedClockView } from "../listening/index.ts";
 import { type EndpointRecord, isSameLife } from "../routes/index.ts";
 import type { CatalogueView } from "./catalogue_view.ts";
 import { EndpointState } from "./endpoint_state.ts";
@@ -34,7 +34,7 @@
   readonly #region: RegionId;
   readonly #regionByZone: ReadonlyMap<ZoneId, RegionId>;
   readonly #catalogue: CatalogueView;
-  readonly #listened: ListenedTimeView;
+  readonly #listened: StallAdjustedClockView;
   readonly #isLeaving: (record: EndpointRecord) => boolean;
   readonly #backoffOf: (record: EndpointRecord, now: Instant) => Milliseconds;
   readonly #states = new Map<EndpointId, EndpointState>();
@@ -44,16 +44,17 @@
   #generation = -1;
 
   constructor(
-    { region, regionByZone, catalogue, listened, isLeaving, restOf }: {
-      region: RegionId;
-      regionByZone: ReadonlyMap<ZoneId, RegionId>;
-      catalogue: CatalogueView;
-      listened: ListenedTimeView;
-      /** Whether an endpoint has announced in an answer that it is leaving. */
-      isLeaving: (record: EndpointRecord) => boolean;
-      /** Time for which an endpoint has asked this entry to send no requests. */
-      restOf: (record: EndpointRecord, now: Instant) => Milliseconds;
-    },
+    { region, regionByZone, catalogue, listened, isLeaving, backoffOf: restOf }:
+      {
+        region: RegionId;
+        regionByZone: ReadonlyMap<ZoneId, RegionId>;
+        catalogue: CatalogueView;
+        listened: StallAdjustedClockView;
+        /** Whether an endpoint has announced in an answer that it is leaving. */
+        isLeaving: (record: EndpointRecord) => boolean;
+        /** Time for which an endpoint has asked this entry to send no requests. */
+        backoffOf: (record: EndpointRecord, now: Instant) => Milliseconds;
+      },
   ) {
     this.#region = region;
     this.#regionByZone = regionByZone;
@@ -72,18 +73,18 @@
   }
 
   /** Endpoints of a service in this region, including those that are leaving. */
-  of(service: ServiceId): readonly EndpointState[] {
+  ofService(service: ServiceId): readonly EndpointState[] {
     return this.#byService.get(service) ?? [];
   }
 
   /** Whether new work may be sent to an endpoint now. */
   accepts(state: EndpointState, now: Instant): boolean {
-    return this.isOpen(state) && state.health.isUsable(now) &&
-      this.restOf(state, now) === 0;
+    return this.isInService(state) && state.health.isUsable(now) &&
+      this.backoffOf(state, now) === 0;
   }
 
   /** Time for which an endpoint has asked this entry to send no requests, 0 if it accepts them. */
-  restOf({ record }: EndpointState, now: Instant): Milliseconds {
+  backoffOf({ record }: EndpointState, now: Instant): Milliseconds {
     return this.#backoffOf(record, now);
   }
 
@@ -91,16 +92,16 @@
    * Whether the endpoint has restarted since this state was created: requests sent to it before are or
    * will be lost.
    */
-  hasStartedAgain(state: EndpointState): boolean {
+  hasRestarted(state: EndpointState): boolean {
     const current = this.#states.get(state.record.id);
     return current !== undefined && !isSameLife(current.record, state.record);
   }
 
   /** Whether an endpoint is in service: not restarted, leaving, gone or evacuated. */
-  isOpen(state: EndpointState): boolean {
+  isInService(state: EndpointState): boolean {
     const { record } = state;
-    return !this.hasStartedAgain(state) && this.#isServing(record) &&
-      !this.#catalogue.evacuated.has(record.zone) &&
+    return !this.hasRestarted(state) && this.#isServing(record) &&
+      !this.#catalogue.evacuatedZones.has(record.zone) &&
       this.#catalogue.endpoints.has(record.id);
   }
 
@@ -108,11 +109,11 @@
    * Whether any endpoint of a service, in a region that `isAllowed` accepts, is neither leaving nor
    * evacuated.
    */
-  isPublished(
+  hasAvailableEndpoint(
     service: ServiceId,
     isAllowed: (region: RegionId) => boolean,
   ): boolean {
-    const { endpoints, evacuated } = this.#catalogue;
+    const { endpoints, evacuatedZones: evacuated } = this.#catalogue;
     for (const record of endpoints.values()) {
       const region = this.#regionByZone.get(record.zone);
       if (
@@ -131,7 +132,7 @@
   }
 
   /** Applies the current catalogue if it has changed. */
-  follow(now: Instant): void {
+  syncWithCatalogue(now: Instant): void {
     if (this.#generation === this.#catalogue.generation) {
       return;
     }
@@ -147,7 +148,7 @@
   }
 
   /** Replaces a peer's previous report of its work, or merges a partial one into it. */
-  learn(from: Incarnation, report: WorkReport, now: Instant): void {
+  receiveReport(from: Incarnation, report: WorkReport, now: Instant): void {
     const known = this.#reports.get(from);
     const full = report.partial && known !== undefined
       ? mergeReports(known.report, report)
@@ -169,7 +170,7 @@
   }
 
   /** Number of peers in the region that have requests. */
-  busyPeers(): number {
+  busyPeerCount(): number {
     return [...this.#reports.values()].filter(({ report }) =>
       report.arrivals.length > 0 || report.endpoints.length > 0
     ).length;
@@ -213,13 +214,13 @@
 
   #syncEvacuations(now: Instant): void {
     for (const zone of this.#evacuated) {
-      if (!this.#catalogue.evacuated.has(zone)) {
+      if (!this.#catalogue.evacuatedZones.has(zone)) {
         [...this.#states.values()]
           .filter(({ record }) => record.zone === zone)
           .forEach((state) => state.markPossiblyCold(now));
       }
     }
-    this.#evacuated = new Set(this.#catalogue.evacuated);
+    this.#evacuated = new Set(this.#catalogue.evacuatedZones);
   }
 
   #indexByService(): void {
@@ -254,8 +255,8 @@
     }
   }
 
-  #notePrefix(update: PrefixNews): void {
-    this.#stateOfLife(update)?.prefixes.use(update.parts);
+  #notePrefix(update: PrefixUpdate): void {
+    this.#stateOfLife(update)?.prefixes.recordUse(update.parts);
   }
 
   /**
--- a/packages/core/src/gateway/endpoint_state.ts
+++ b/packages/core/src/gateway/endpoint_state.ts
@@ -8,9 +8,9 @@
 import { after, type AttemptId, type Instant, instant } from "../ids/index.ts";
 import type { EndpointRecord, RoutedService } from "../routes/index.ts";
 import { EndpointHealth } from "./endpoint_health.ts";
-import type { ToldLoad } from "./messages.ts";
-import { PrefixCacheModel } from "./prefix_memory.ts";
-import { DEFAULT_PREFILL_RATE } from "./prompt_cost.ts";
+import type { ReportedLoad } from "./messages.ts";
+import { PrefixCacheModel } from "./prefix_cache_model.ts";
+import { DEFAULT_PREFILL_TOKENS_PER_MS } from "./prompt_cost.ts";
 
 /** Weight of the newest measurement in the moving average of the prefill rate. */
 const PREFILL_RATE_WEIGHT = 0.2;
@@ -63,11 +63,11 @@
   readonly health = new EndpointHealth();
   readonly prefixes: PrefixCacheModel;
   /** The load that the endpoint reported with its last answer. */
-  load: ToldLoad | undefined;
-  loadAt: Instant | undefined;
+  reportedLoad: ReportedLoad | undefined;
+  reportedLoadAt: Instant | undefined;
   /** When the last bytes from the endpoint arrived. */
   heardAt: Instant | undefined;
-  prefillRate = DEFAULT_PREFILL_RATE;
+  prefillRate = DEFAULT_PREFILL_TOKENS_PER_MS;
   readonly own: LoadTotals = { prefill: 0, requests: 0, tokens: 0 };
   readonly peers: LoadTotals = { prefill: 0, requests: 0, tokens: 0 };
   #coldUntil: Instant;
@@ -174,7 +174,7 @@
   }
 
   /** Counts an attempt that is sent to the endpoint. */
-  begin(
+  addAttempt(
     attempt: AttemptId,
     { prefill, tokens }: { prefill: number; tokens: number },
     now: Instant,
@@ -188,7 +188,7 @@
   }
 
   /** Notes an attempt's first event, which shows that its prompt has been prefilled. */
-  firstEvent(attempt: AttemptId, now: Instant): void {
+  noteFirstEvent(attempt: AttemptId, now: Instant): void {
     const attemptLoad = this.#attempts.get(attempt);
     if (attemptLoad === undefined || attemptLoad.prefill === 0) {
       return;
@@ -200,7 +200,7 @@
   }
 
   /** Removes an attempt that has ended. */
-  end(attempt: AttemptId, now: Instant): void {
+  removeAttempt(attempt: AttemptId, now: Instant): void {
     const attemptLoad = this.#attempts.get(attempt);
     if (attemptLoad === undefined) {
       return;
--- a/packages/core/src/gateway/endpoint_terms_link.ts
+++ b/packages/core/src/gateway/endpoint_terms_factory.ts
@@ -6,11 +6,11 @@
  * @module
  */
 import {
+  EndpointBackoffs,
   EndpointDepartures,
   EndpointLimits,
-  EndpointRests,
+  type EndpointLog,
   type EndpointTerms,
-  type TermsLog,
 } from "../endpoint_terms/index.ts";
 import type { FleetController, FleetMessage } from "../fleet/index.ts";
 import {
@@ -20,12 +20,12 @@
   rendezvous,
 } from "../ids/index.ts";
 import type { CatalogueView } from "./catalogue_view.ts";
-import type { GatewayEmit, GatewaySelf } from "./messages.ts";
+import type { GatewayEmit, GatewayIdentity } from "./messages.ts";
 import { minimumServingOf } from "./serving_set.ts";
 
 /** The parts of the entry that the endpoint terms depend on. */
 export interface EndpointTermsSources {
-  readonly self: GatewaySelf;
+  readonly self: GatewayIdentity;
   readonly emit: GatewayEmit;
   readonly fleet: FleetController;
   readonly catalogue: CatalogueView;
@@ -36,18 +36,18 @@
   sources: EndpointTermsSources,
   now: Instant,
 ): EndpointTerms {
-  const log: TermsLog = (text, fields) =>
+  const log: EndpointLog = (text, fields) =>
     sources.emit({ kind: "log", part: "endpoint", text, fields });
   return {
     limits: createLimits(sources, log, now),
     departures: createDepartures(sources, log),
-    rests: new EndpointRests({ log }),
+    backoffs: new EndpointBackoffs({ log }),
   };
 }
 
 function createLimits(
   sources: EndpointTermsSources,
-  log: TermsLog,
+  log: EndpointLog,
   now: Instant,
 ): EndpointLimits {
   const { self, fleet, catalogue } = sources;
@@ -55,7 +55,7 @@
     incarnation: self.incarnation,
     issuerOf: (endpoint) => coordinatorOf(endpoint, sources),
     peers: () => peersOf(sources),
-    heardPart: () => fleet.heardPartWithSelf(self.region),
+    reachableFraction: () => fleet.liveFractionWithSelf(self.region),
     isPublished: (endpoint) => catalogue.endpoints.has(endpoint),
     send: (to, message) => sendTo(sources, to, { kind: "limits", message }),
     log,
@@ -64,7 +64,7 @@
 
 function createDepartures(
   sources: EndpointTermsSources,
-  log: TermsLog,
+  log: EndpointLog,
 ): EndpointDepartures {
   const { self, catalogue } = sources;
   return new EndpointDepartures({
@@ -79,7 +79,9 @@
 
 /** Other live entries of the region. */
 function peersOf({ self, fleet }: EndpointTermsSources): Incarnation[] {
-  return fleet.live().filter(({ record }) => record.region === self.region)
+  return fleet.liveMembers().filter(({ record }) =>
+    record.region === self.region
+  )
     .map(({ record }) => record.incarnation);
 }
 
@@ -88,9 +90,9 @@
   to: Incarnation,
   message: Extract<FleetMessage, { kind: "limits" | "departures" }>,
 ): void {
-  const address = fleet.addressOf(to);
+  const address = fleet.peerAddressOf(to);
   if (address !== undefined) {
-    fleet.mail.sendBare(address, message);
+    fleet.sender.sendWithoutRecord(address, message);
   }
 }
 
