--- a/packages/core/src/gateway/entry_directory.ts
+++ b/packages/core/src/gateway/entry_directory.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { FleetController, FleetRecord } from "../fleet/index.ts";
+import type { EntryRecord, FleetController } from "../fleet/index.ts";
 import {
   hash32,
   type Instant,
@@ -15,7 +15,7 @@
 } from "../ids/index.ts";
 import { mayServe, type Route } from "../routes/index.ts";
 import type { CatalogueView } from "./catalogue_view.ts";
-import type { GatewaySelf } from "./messages.ts";
+import type { GatewayIdentity } from "./messages.ts";
 import type { RegionController } from "./region_controller.ts";
 import type { ServingSet } from "./serving_set.ts";
 
@@ -43,7 +43,7 @@
 const MAX_RELAYED_FRACTION = 0.9;
 
 /** A caller's request for entries. */
-export interface DirectoryQuestion {
+export interface DirectoryRequest {
   readonly host: string;
   readonly region: RegionId;
   readonly zone: ZoneId;
@@ -59,7 +59,7 @@
 
 /** What the directory depends on. */
 export interface DirectorySources {
-  readonly self: GatewaySelf;
+  readonly self: GatewayIdentity;
   readonly fleet: FleetController;
   readonly catalogue: CatalogueView;
   readonly regions: RegionController;
@@ -73,14 +73,14 @@
  * caller stays in its region as long as the shares stay the same. A caller is sent only to its own region
  * and to the home regions of the host's routes.
  */
-export function nameEntries(
+export function chooseEntries(
   { self, fleet, catalogue, regions, serving }: DirectorySources,
-  question: DirectoryQuestion,
+  question: DirectoryRequest,
   now: Instant,
 ): DirectoryAnswer | undefined {
   const allowed = allowedRegions({ catalogue, regions }, question, now);
   const ready = new Set(
-    [fleet.record, ...fleet.live().map(({ record }) => record)]
+    [fleet.record, ...fleet.liveMembers().map(({ record }) => record)]
       .filter(({ state }) => state === "ready").map(({ region }) => region),
   );
   const present = [...ready].filter(allowed);
@@ -114,10 +114,10 @@
  */
 function allowedRegions(
   { catalogue, regions }: Pick<DirectorySources, "catalogue" | "regions">,
-  { host, region: own }: DirectoryQuestion,
+  { host, region: own }: DirectoryRequest,
   now: Instant,
 ): (region: RegionId) => boolean {
-  const routes = catalogue.table?.ofHost(host) ?? [];
+  const routes = catalogue.table?.routesOfHost(host) ?? [];
   const weights = routes.map(({ name }) => regions.traffic.of(name, now));
   const hasTraffic = weights.some((weight) => weight >= MIN_TRAFFIC);
   const weightOf = (index: number): number => hasTraffic ? weights[index]! : 1;
@@ -142,9 +142,9 @@
  */
 function hasEngines(
   { table, document }: CatalogueView,
-  { host }: DirectoryQuestion,
+  { host }: DirectoryRequest,
 ): boolean {
-  return (table?.ofHost(host) ?? []).some(({ targets }) =>
+  return (table?.routesOfHost(host) ?? []).some(({ targets }) =>
     targets.some(({ service }) =>
       document?.services.get(service)?.engine !== undefined
     )
@@ -156,7 +156,7 @@
  * range, the caller's own region the rest.
  */
 function pickRegion(
-  question: DirectoryQuestion,
+  question: DirectoryRequest,
   { present, shares }: {
     present: readonly RegionId[];
     shares: readonly { readonly region: RegionId; readonly share: number }[];
@@ -183,9 +183,9 @@
 
 /** Picks a few entries for a caller, heavier ones more often (weighted rendezvous hashing). */
 function pickEntries(
-  records: readonly FleetRecord[],
+  records: readonly EntryRecord[],
   caller: string,
-): FleetRecord[] {
+): EntryRecord[] {
   const ordered = weightedRendezvous(caller, records, {
     nameOf: ({ incarnation }) => incarnation,
     weightOf: ({ weight }) => Math.max(weight, MIN_WEIGHT),
--- a/packages/core/src/gateway/currency_exchange.ts
+++ b/packages/core/src/gateway/freshness_exchange.ts
@@ -17,13 +17,13 @@
   type Randomness,
   type Revision,
 } from "../ids/index.ts";
-import type { Currency, CurrencyMark } from "../customers/index.ts";
+import type { DocumentFreshness, FreshnessMark } from "../customers/index.ts";
 import type {
+  CatalogueDelta,
   CataloguePosition,
-  CurrencyAnswer,
-  CurrencyMessage,
-  CurrencyQuestion,
-  PictureNews,
+  FreshnessMessage,
+  FreshnessRequest,
+  FreshnessResponse,
 } from "../routes/index.ts";
 
 /**
@@ -44,29 +44,29 @@
 
 /** Dependencies of the exchange. */
 export interface FreshnessExchangeDependencies {
-  readonly currency: Currency;
+  readonly currency: DocumentFreshness;
   readonly random: Randomness;
   /** Whether the exchange is used, as it is where customers' keys are required. */
   readonly isEnabled: () => boolean;
   readonly isStandby: () => boolean;
   readonly self: {
-    readonly incarnation: CurrencyAnswer["incarnation"];
+    readonly incarnation: FreshnessResponse["incarnation"];
     readonly peerAddress: string;
   };
   readonly localState: () => { version: Revision; position: CataloguePosition };
   /** The changes since a position, if they are remembered and few. */
   readonly changesSince: (
     position: CataloguePosition,
-  ) => PictureNews | undefined;
+  ) => CatalogueDelta | undefined;
   /** Selects the peer to ask: readers first, and from the second attempt on any peer. */
   readonly selectPeer: (attempt: number, now: Instant) => string | undefined;
-  readonly send: (to: string, message: CurrencyMessage) => void;
+  readonly send: (to: string, message: FreshnessMessage) => void;
   /**
    * Called with the state that a peer reported, and the time at which its document was known to be the
    * newest.
    */
   readonly onPeerReport: (
-    report: Pick<CurrencyAnswer, "version" | "position" | "news"> & {
+    report: Pick<FreshnessResponse, "version" | "position" | "news"> & {
       readonly at: Instant;
       readonly from: string;
     },
@@ -75,7 +75,7 @@
 }
 
 interface PendingQuestion {
-  readonly sentAt: CurrencyMark;
+  readonly sentAt: FreshnessMark;
   readonly to: string;
 }
 
@@ -104,7 +104,7 @@
     }
   }
 
-  receive(message: CurrencyMessage, now: Instant): void {
+  receive(message: FreshnessMessage, now: Instant): void {
     if (message.kind === "question") {
       this.#sendAnswer(message, now);
     } else {
@@ -134,7 +134,7 @@
   }
 
   #sendAnswer(
-    { from, sequence, position }: CurrencyQuestion,
+    { from, sequence, position }: FreshnessRequest,
     now: Instant,
   ): void {
     const { currency, localState, changesSince, self, send } =
@@ -155,7 +155,7 @@
   }
 
   #applyAnswer(
-    { sequence, version, position, age, news }: CurrencyAnswer,
+    { sequence, version, position, age, news }: FreshnessResponse,
     now: Instant,
   ): void {
     const question = this.#pending.get(sequence);
@@ -164,7 +164,7 @@
     }
     this.#pending.delete(sequence);
     const { currency, onPeerReport } = this.#dependencies;
-    const at = question.sentAt - age as CurrencyMark;
+    const at = question.sentAt - age as FreshnessMark;
     const elapsed: Milliseconds = milliseconds(currency.mark(now) - at);
     onPeerReport(
       {
@@ -177,7 +177,7 @@
       now,
     );
     // After `onPeerReport`, which may learn of a new epoch and invalidate proofs such as this one.
-    currency.prove({ version, at });
+    currency.addProof({ version, at });
     if (currency.age(now) < ASK_AGE_MS) {
       this.#attempts = 0;
     }
--- a/packages/core/src/gateway/read_proofs.ts
+++ b/packages/core/src/gateway/freshness_proofs.ts
@@ -3,12 +3,12 @@
  *
  * @module
  */
-import type { Currency, CurrencyMark } from "../customers/index.ts";
+import type { DocumentFreshness, FreshnessMark } from "../customers/index.ts";
 import type { DocumentHolder } from "../fleet/index.ts";
 import { type Instant, milliseconds, type Revision } from "../ids/index.ts";
-import type { LocalCatalogue } from "./held_catalogue.ts";
-import type { ReadProof } from "./messages.ts";
-import { DocumentLossDetector } from "./published_document.ts";
+import type { LocalCatalogue } from "./local_catalogue.ts";
+import type { RequiredProof } from "./messages.ts";
+import { DocumentLossDetector } from "./document_loss_detector.ts";
 
 /**
  * After a restore, operators write again what the backup is missing within this time. Until then, the backup
@@ -23,10 +23,10 @@
 
 /** Records when the local document was last known to be the newest. */
 export class FreshnessProofs {
-  readonly #currency: Currency;
+  readonly #currency: DocumentFreshness;
   readonly #documentLoss: DocumentLossDetector;
   /** When the read under way was sent. */
-  #readSentAt: CurrencyMark | undefined;
+  #readSentAt: FreshnessMark | undefined;
   /**
    * Whether its answer, if it contains only changes, shows the platform's current state and so proves
    * freshness.
@@ -38,7 +38,7 @@
   /** `newestDocument` returns the peer with the newest document. */
   constructor(
     { currency, newestDocument }: {
-      currency: Currency;
+      currency: DocumentFreshness;
       newestDocument: () => DocumentHolder | undefined;
     },
   ) {
@@ -53,7 +53,7 @@
 
   /** Records that the platform was restored, so that data which it had acknowledged may be missing. */
   noteRestore(now: Instant): void {
-    this.#currency.doubt(milliseconds(REWRITE_AFTER_RESTORE_MS), now);
+    this.#currency.rejectProofsFor(milliseconds(REWRITE_AFTER_RESTORE_MS), now);
   }
 
   /**
@@ -63,7 +63,7 @@
   prepareRead(
     { document, position }: LocalState,
     { requiresKeys, now }: { requiresKeys: boolean; now: Instant },
-  ): ReadProof {
+  ): RequiredProof {
     const newer = this.#peerRevision;
     const reaches = newer !== undefined && newer > position.revision;
     this.#peerRevision = undefined;
@@ -94,7 +94,7 @@
       this.#readSentAt !== undefined &&
       document !== undefined
     ) {
-      this.#currency.prove({ version, at: this.#readSentAt });
+      this.#currency.addProof({ version, at: this.#readSentAt });
     }
     return undefined;
   }
--- a/packages/core/src/gateway/gateway.ts
+++ b/packages/core/src/gateway/gateway.ts
@@ -13,7 +13,7 @@
   milliseconds,
   type Randomness,
 } from "../ids/index.ts";
-import { ListenedTime } from "../listening/index.ts";
+import { StallAdjustedClock } from "../listening/index.ts";
 import type { CatalogueSnapshot } from "../routes/index.ts";
 import { CallController } from "./call_controller.ts";
 import { CallRouter } from "./call_router.ts";
@@ -23,28 +23,28 @@
   createCustomerLimits,
   createFreshnessExchange,
   CustomerRoles,
-} from "./customer_link.ts";
+} from "./customer_roles.ts";
 import { ColdAllowance } from "./cold_allowance.ts";
-import type { FreshnessExchange } from "./currency_exchange.ts";
-import { createEndpointTerms } from "./endpoint_terms_link.ts";
+import type { FreshnessExchange } from "./freshness_exchange.ts";
+import { createEndpointTerms } from "./endpoint_terms_factory.ts";
 import { EndpointRegistry } from "./endpoint_registry.ts";
 import {
+  chooseEntries,
   type DirectoryAnswer,
-  type DirectoryQuestion,
-  nameEntries,
+  type DirectoryRequest,
 } from "./entry_directory.ts";
 import type {
   GatewayBounds,
   GatewayEffect,
   GatewayEvent,
-  GatewaySelf,
+  GatewayIdentity,
 } from "./messages.ts";
 import { RegionController } from "./region_controller.ts";
 import type { QuarantineController } from "../quarantine/index.ts";
-import { createQuarantine } from "./quarantine_link.ts";
-import { RepeatBudget } from "./repeat_budget.ts";
+import { createQuarantine } from "./create_quarantine.ts";
+import { RetryBudget } from "./retry_budget.ts";
 import { ServingSet } from "./serving_set.ts";
-import { tickInterval } from "./tick_pause.ts";
+import { tickInterval } from "./tick_interval.ts";
 import { StopController } from "./stop_controller.ts";
 import { WorkReporter } from "./work_reporter.ts";
 
@@ -71,7 +71,7 @@
 
 /** Makes the decisions of one gateway instance. */
 export class Gateway {
-  readonly self: GatewaySelf;
+  readonly self: GatewayIdentity;
   readonly fleet: FleetController;
   readonly #catalogue: CatalogueController;
   readonly #endpoints: EndpointRegistry;
@@ -79,14 +79,14 @@
   readonly #calls: CallController;
   readonly #workReporter: WorkReporter;
   readonly #stopController: StopController;
-  readonly #repeatBudget: RepeatBudget;
+  readonly #repeatBudget: RetryBudget;
   readonly #coldAllowance: ColdAllowance;
   readonly #serving: ServingSet;
   readonly #quarantine: QuarantineController;
-  readonly #listenedTime: ListenedTime;
+  readonly #listenedTime: StallAdjustedClock;
   readonly #freshnessExchange: FreshnessExchange;
   readonly #customerLimits: CustomerLimits;
-  readonly terms: EndpointTerms;
+  readonly endpointTerms: EndpointTerms;
   #bounds: GatewayBounds;
   #effects: GatewayEffect[] = [];
   #lastEventAt: Instant;
@@ -94,13 +94,13 @@
   #isStandby = false;
 
   constructor(
-    { self, random }: { self: GatewaySelf; random: Randomness },
+    { self, random }: { self: GatewayIdentity; random: Randomness },
     now: Instant,
   ) {
     this.self = self;
     this.#bounds = self.bounds;
     this.#lastEventAt = now;
-    this.#listenedTime = new ListenedTime(now);
+    this.#listenedTime = new StallAdjustedClock(now);
     const emit = (effect: GatewayEffect): void => {
       this.#effects.push(effect);
     };
@@ -108,8 +108,8 @@
       emit,
       random,
       now,
-      newestHolder: () => this.fleet.newestHolder(),
-      newestDocument: () => this.fleet.newestDocument(),
+      newestHolder: () => this.fleet.newestCatalogueHolder(),
+      newestDocument: () => this.fleet.newestDocumentHolder(),
       isStandby: () => this.#isStandby,
       freshnessRole: (at) =>
         !this.#catalogue.requiresKeys
@@ -123,30 +123,31 @@
       regionByZone: self.regionByZone,
       catalogue: this.#catalogue,
       listened: this.#listenedTime,
-      isLeaving: (record) => this.terms.departures.has(record),
-      restOf: (record, at) => this.terms.rests.waitFor(record, at),
+      isLeaving: (record) => this.endpointTerms.departures.has(record),
+      backoffOf: (record, at) =>
+        this.endpointTerms.backoffs.waitFor(record, at),
     });
     this.#regions = new RegionController({
       region: self.region,
       catalogue: this.#catalogue,
       endpoints: this.#endpoints,
-      limitOf: (record) => this.terms.limits.limitOf(record),
+      limitOf: (record) => this.endpointTerms.limits.limitOf(record),
       now,
     });
     this.fleet = new FleetController({
       self,
       seeds: self.seeds,
-      period: PING_INTERVAL_MS,
+      pingPeriodMs: PING_INTERVAL_MS,
       random,
-      listened: this.#listenedTime,
+      clock: this.#listenedTime,
       send: (to, message) => emit({ kind: "datagram", to, message }),
       holdings: () => ({
         document: this.#catalogue.document?.version ?? 0 as never,
         catalogue: this.#catalogue.position,
       }),
       summary: (at) => this.#regions.summary(at),
-      resting: () => this.#isStandby,
-      holds: (at) => this.#quarantine.holds.next(at),
+      isStandby: () => this.#isStandby,
+      nextHolds: (at) => this.#quarantine.holds.nextNotices(at),
     }, now);
     const roles = new CustomerRoles({ self, fleet: this.fleet });
     const customerLink = {
@@ -175,8 +176,8 @@
     });
     const coldAllowance = new ColdAllowance(self.bounds, now);
     this.#coldAllowance = coldAllowance;
-    this.#repeatBudget = new RepeatBudget(self.bounds);
-    this.terms = createEndpointTerms({
+    this.#repeatBudget = new RetryBudget(self.bounds);
+    this.endpointTerms = createEndpointTerms({
       self,
       emit,
       fleet: this.fleet,
@@ -189,7 +190,7 @@
       regions: this.#regions,
       serving: this.#serving,
       cold: coldAllowance,
-      terms: this.terms,
+      terms: this.endpointTerms,
       random,
     });
     this.#calls = new CallController({
@@ -202,12 +203,12 @@
       budget: this.#repeatBudget,
       cold: coldAllowance,
       quarantine: this.#quarantine,
-      terms: this.terms,
+      terms: this.endpointTerms,
       limits: this.#customerLimits,
       keyLifetime: () => this.#keyLifetime(),
       listened: this.#listenedTime,
-      entries: () => this.fleet.possible().length + 1,
-      regionEntries: () => 1 + this.#endpoints.busyPeers(),
+      entries: () => this.fleet.possiblyLiveMembers().length + 1,
+      regionEntries: () => 1 + this.#endpoints.busyPeerCount(),
     });
     this.#workReporter = new WorkReporter({
       self,
@@ -215,7 +216,7 @@
       endpoints: this.#endpoints,
       regions: this.#regions,
       serving: this.#serving,
-      picture: () => this.#catalogue.picture,
+      catalogueHash: () => this.#catalogue.contentHash,
     });
     this.#stopController = new StopController({
       emit,
@@ -235,9 +236,10 @@
   }
 
   /** Time until the next tick is due if no event occurs before. */
-  get tickPause(): Milliseconds {
+  get tickInterval(): Milliseconds {
     return tickInterval({
-      active: this.#calls.active > 0 || this.terms.limits.isAsked,
+      active: this.#calls.active > 0 ||
+        this.endpointTerms.limits.hasPermitRequests,
       joining: this.fleet.isJoining(this.#lastEventAt),
     });
   }
@@ -280,10 +282,10 @@
 
   /** The instances that a caller should use. */
   nameEntries(
-    question: DirectoryQuestion,
+    question: DirectoryRequest,
     now: Instant,
   ): DirectoryAnswer | undefined {
-    return nameEntries(
+    return chooseEntries(
       {
         self: this.self,
         fleet: this.fleet,
@@ -297,7 +299,7 @@
   }
 
   #detectPause(now: Instant): void {
-    const gap = this.#listenedTime.note(now);
+    const gap = this.#listenedTime.recordTurn(now);
     this.#lastEventAt = now;
     if (gap < MIN_PAUSE_MS) {
       return;
@@ -309,7 +311,7 @@
       fields: { gapMs: Math.round(gap) },
     });
     this.#catalogue.handleWakeUp(now);
-    this.terms.limits.woke();
+    this.endpointTerms.limits.onResume();
   }
 
   #apply(event: GatewayEvent, now: Instant): void {
@@ -320,11 +322,11 @@
         this.fleet.changeState("stopping", now);
         return this.#stopController.begin(now);
       case "slept":
-        return this.#catalogue.currency.slept(event.time);
+        return this.#catalogue.documentFreshness.addSuspendedTime(event.time);
       case "rebound":
         this.#bounds = event.bounds;
-        this.#repeatBudget.rebound(event.bounds);
-        this.#coldAllowance.rebound(event.bounds);
+        this.#repeatBudget.updateBounds(event.bounds);
+        this.#coldAllowance.updateBounds(event.bounds);
         return this.#stopController.setStopTime(event.bounds.stopTime);
       case "datagram":
         return this.#receive(event.message, now);
@@ -361,14 +363,14 @@
       case "progress":
         return this.#calls.progress(event.attempt, event, now);
       case "held":
-        return this.#calls.held(event.attempt, event.held, now);
+        return this.#calls.noteBackpressure(event.attempt, event.held, now);
       case "ended":
         return this.#calls.ended(event.attempt, event.end, now);
       case "callerGone":
         return this.#calls.callerGone(event.request, now);
       case "portClosed": {
         const { endpoint: id, life } = event;
-        return this.#quarantine.refused({ id, life });
+        return this.#quarantine.notePortClosed({ id, life });
       }
       case "release":
         this.#quarantine.release(event.content, now);
@@ -400,17 +402,17 @@
     this.#quarantine.tick(now);
     this.#freshnessExchange.tick(now);
     this.#customerLimits.tick(now);
-    this.terms.limits.tick(now);
-    this.terms.departures.tick(now);
+    this.endpointTerms.limits.tick(now);
+    this.endpointTerms.departures.tick(now);
     this.#updateOutdatedState(now);
     this.#calls.tick(now);
-    this.#workReporter.tick(this.#calls.takePrefixNews(), now);
+    this.#workReporter.tick(this.#calls.takeSentPrefixes(), now);
     this.#stopController.tick(now);
   }
 
   #applyCatalogue(now: Instant): void {
-    this.#endpoints.follow(now);
-    this.#calls.releaseHeld(now);
+    this.#endpoints.syncWithCatalogue(now);
+    this.#calls.retryPending(now);
     const isStarting = this.fleet.record.state === "starting";
     if (isStarting && this.#catalogue.document !== undefined) {
       this.fleet.changeState("ready", now);
@@ -431,7 +433,7 @@
   #updateOutdatedState(now: Instant): void {
     const { state } = this.fleet.record;
     const lifetime = this.#bounds.keyLifetime;
-    const { currency, requiresKeys } = this.#catalogue;
+    const { documentFreshness: currency, requiresKeys } = this.#catalogue;
     const isOutdated = requiresKeys && lifetime !== undefined &&
       !currency.isWithin(milliseconds(lifetime * OUTDATED_SHARE), now);
     if (state === (isOutdated ? "ready" : "outdated")) {
@@ -445,23 +447,23 @@
   ): void {
     this.fleet.receive(message, now);
     if (message.kind === "quarantine") {
-      this.#quarantine.learn(message.news, message.incarnation, now);
+      this.#quarantine.apply(message.news, message.incarnation, now);
     } else if (message.kind === "ping" || message.kind === "ack") {
-      this.#quarantine.learnHolds(message.holds, now);
+      this.#quarantine.applyHolds(message.holds, now);
     } else if (message.kind === "currency") {
       this.#freshnessExchange.receive(message.message, now);
       this.#applyCatalogue(now);
     } else if (message.kind === "spending") {
       this.#customerLimits.receive(message.message, now);
-      this.#calls.noteSpending(now);
+      this.#calls.handleCustomerUsage(now);
     } else if (message.kind === "limits") {
-      if (this.terms.limits.receive(message.message, now)) {
-        this.#calls.notePermits(now);
+      if (this.endpointTerms.limits.receive(message.message, now)) {
+        this.#calls.handleNewPermits(now);
       }
     } else if (message.kind === "departures") {
-      this.terms.departures.receive(message.message);
+      this.endpointTerms.departures.receive(message.message);
     } else if (message.kind === "work") {
-      this.#endpoints.learn(message.incarnation, message.report, now);
+      this.#endpoints.receiveReport(message.incarnation, message.report, now);
       if (this.#isStandby) {
         this.#catalogue.notePeerCatalogue(message.report.picture, now);
       }
--- a/packages/core/src/gateway/idle_limit.ts
+++ b/packages/core/src/gateway/idle_limit.ts
@@ -26,7 +26,7 @@
 const MAX_UNHEARD_PLAIN_IDLE_MS = 0;
 
 /** The maximum idle time in milliseconds, unlimited if the call may be repeated. */
-export function mostIdle(
+export function maxIdleMs(
   { mayRepeat, route }: Pick<Call, "mayRepeat" | "route">,
   state: Pick<EndpointState, "heardAt"> | undefined,
   now: Instant,
--- a/packages/core/src/gateway/held_catalogue.ts
+++ b/packages/core/src/gateway/local_catalogue.ts
@@ -16,11 +16,11 @@
 import {
   type CatalogueChange,
   type CatalogueChanges,
+  type CatalogueDelta,
   type CataloguePosition,
   type CatalogueSnapshot,
   type EndpointRecord,
   NO_POSITION,
-  type PictureNews,
   RouteTable,
   type RoutingDocument,
 } from "../routes/index.ts";
@@ -76,7 +76,7 @@
   }
 
   get endpoints(): ReadonlyMap<EndpointId, EndpointRecord> {
-    return this.#records.all;
+    return this.#records.byId;
   }
 
   get evacuated(): ReadonlySet<ZoneId> {
@@ -104,8 +104,8 @@
    */
   get uncertainCounts(): Readonly<Record<string, number>> {
     return {
-      keptEndpoints: this.#records.kept,
-      withheldEndpoints: this.#records.withheld,
+      keptEndpoints: this.#records.keptCount,
+      withheldEndpoints: this.#records.withheldCount,
       keptZones: this.#evacuations.keptCount,
     };
   }
@@ -123,7 +123,7 @@
   /** The changes since a position, for a peer that has the catalogue as of that position. */
   changesSince(
     { epoch, revision }: CataloguePosition,
-  ): PictureNews | undefined {
+  ): CatalogueDelta | undefined {
     return epoch === this.position.epoch
       ? this.#recentChanges.since(revision)
       : undefined;
@@ -202,7 +202,10 @@
     { keptUntil, now }: { keptUntil: Instant | undefined; now: Instant },
   ): void {
     const believedAt = after(now, DEPARTED_WITHHELD_MS);
-    this.#records.restore(snapshot.endpoints, { keptUntil, believedAt });
+    this.#records.restore(snapshot.endpoints, {
+      keptUntil,
+      acceptedAt: believedAt,
+    });
     this.#evacuations.replace(
       snapshot.evacuated,
       after(now, EVACUATION_KEPT_MS),
--- a/packages/core/src/gateway/local_places.ts
+++ b/packages/core/src/gateway/local_placement.ts
@@ -16,13 +16,13 @@
 import type { ColdAllowance } from "./cold_allowance.ts";
 import type { EndpointRegistry } from "./endpoint_registry.ts";
 import type { EndpointState } from "./endpoint_state.ts";
-import type { GatewaySelf } from "./messages.ts";
+import type { GatewayIdentity } from "./messages.ts";
 import {
   chooseEndpoint,
-  findHolder,
+  findPrefixHolder,
   type Placement,
   type PlacementRequest,
-} from "./placement.ts";
+} from "./endpoint_placement.ts";
 import { minimumServingOf } from "./serving_set.ts";
 
 const MS_PER_SECOND = 1_000;
@@ -34,7 +34,7 @@
 const UINT32_RANGE = 2 ** 32;
 
 /** A placement with a chosen endpoint. */
-export type Chosen = Extract<Placement, { kind: "chosen" }>;
+export type ChosenEndpoint = Extract<Placement, { kind: "chosen" }>;
 
 /** Why a request has to wait. */
 export type WaitReason =
@@ -45,7 +45,7 @@
   | "resting";
 
 /** What is queued ahead of a request. */
-export interface Ahead {
+export interface QueueAhead {
   /** Milliseconds until the requests ahead will have been prefilled. */
   readonly wait: number;
   /**
@@ -65,8 +65,8 @@
   };
 
 /** What `LocalPlaces` depends on. */
-export interface PlaceSources {
-  readonly self: GatewaySelf;
+export interface LocalPlacementSources {
+  readonly self: GatewayIdentity;
   readonly fleet: FleetController;
   readonly endpoints: EndpointRegistry;
   readonly cold: ColdAllowance;
@@ -74,10 +74,10 @@
 }
 
 /** Finds places for requests in this region. */
-export class LocalPlaces {
-  readonly #sources: PlaceSources;
+export class LocalPlacement {
+  readonly #sources: LocalPlacementSources;
 
-  constructor(sources: PlaceSources) {
+  constructor(sources: LocalPlacementSources) {
     this.#sources = sources;
   }
 
@@ -89,19 +89,19 @@
   /** Finds the best place for a request, or the reason why it has to wait. */
   find(
     call: Call,
-    { ahead, now }: { ahead: Ahead; now: Instant },
+    { ahead, now }: { ahead: QueueAhead; now: Instant },
   ): LocalPlace {
     const { self, endpoints } = this.#sources;
     const { prompt } = call.head;
     let busy: LocalPlace = { kind: "none" };
     for (const service of call.services) {
-      const usable = endpoints.of(service).filter((state) =>
-        endpoints.accepts(state, now) && this.coldAllows(state, now) &&
+      const usable = endpoints.ofService(service).filter((state) =>
+        endpoints.accepts(state, now) && this.allowsWhileCold(state, now) &&
         !call.avoidedVersions.has(state.record.softwareVersion)
       );
       const untriedStates = untried(call, usable);
-      const holder = findHolder(prompt, usable);
-      call.unread = (prompt?.promptTokens ?? 0) - (holder?.tokens ?? 0);
+      const holder = findPrefixHolder(prompt, usable);
+      call.uncachedTokens = (prompt?.promptTokens ?? 0) - (holder?.tokens ?? 0);
       const request = {
         prompt,
         holder,
@@ -127,9 +127,9 @@
    */
   #earliestBackoffEnd({ services }: Call, now: Instant): LocalPlace {
     const { endpoints } = this.#sources;
-    const waits = services.flatMap((service) => endpoints.of(service))
-      .filter((state) => endpoints.isOpen(state))
-      .map((state) => endpoints.restOf(state, now));
+    const waits = services.flatMap((service) => endpoints.ofService(service))
+      .filter((state) => endpoints.isInService(state))
+      .map((state) => endpoints.backoffOf(state, now));
     const allBackedOff = waits.length > 0 && waits.every((wait) => wait > 0);
     return !allBackedOff ? { kind: "none" } : {
       kind: "busy",
@@ -142,7 +142,7 @@
   #placeWithinLimits(
     request: PlacementRequest,
     states: readonly EndpointState[],
-    { ahead, now }: { ahead: Ahead; now: Instant },
+    { ahead, now }: { ahead: QueueAhead; now: Instant },
   ): LocalPlace {
     const { limits } = this.#sources.terms;
     const best = chooseEndpoint(request, states, now);
@@ -151,7 +151,9 @@
     ) {
       return best.kind === "busy" ? { ...best, reason: "busy" } : best;
     }
-    const permitted = states.filter(({ record }) => limits.isFree(record, now));
+    const permitted = states.filter(({ record }) =>
+      limits.hasPermitOrNoLimit(record, now)
+    );
     // `allows` asks for a permit, which should only be done for the endpoint that will use it. The other
     // endpoints are asked only if none is usable without a new permit.
     const allowed = permitted.length > 0
@@ -170,7 +172,7 @@
   }
 
   /** Whether this entry may send a request to an endpoint, which is limited while the endpoint is cold. */
-  coldAllows(state: EndpointState, now: Instant): boolean {
+  allowsWhileCold(state: EndpointState, now: Instant): boolean {
     if (!state.isCold(now)) {
       return true;
     }
@@ -199,7 +201,7 @@
  * would be refused because it has tried that endpoint before.
  */
 function untried(
-  { tried, unreached }: Call,
+  { triedEndpoints: tried, unreachedEndpoints: unreached }: Call,
   states: readonly EndpointState[],
 ): readonly EndpointState[] {
   const untriedStates = states.filter(({ record }) => !tried.has(record.id));
--- a/packages/core/src/gateway/messages.ts
+++ b/packages/core/src/gateway/messages.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { Stated } from "../endpoint_terms/index.ts";
+import type { StatedValue } from "../endpoint_terms/index.ts";
 import type { FleetMessage, PromptPart } from "../fleet/index.ts";
 import type {
   AttemptId,
@@ -28,7 +28,7 @@
 import type { Verdict } from "../verdict/index.ts";
 
 /** The gateway instance's own identity and settings. Immutable. */
-export interface GatewaySelf {
+export interface GatewayIdentity {
   readonly id: EntryId;
   readonly incarnation: Incarnation;
   readonly zone: ZoneId;
@@ -46,9 +46,9 @@
 /** Limits and guarantees of the deployment, from the settings. */
 export interface GatewayBounds {
   /** Retries allowed over all instances: this fraction of the requests in a window, plus `repeatSlack`. */
-  readonly repeatRatio: number;
-  readonly repeatWindow: Milliseconds;
-  readonly repeatSlack: number;
+  readonly retryRatio: number;
+  readonly retryWindow: Milliseconds;
+  readonly retrySlack: number;
   /** How soon after its revocation a key is rejected everywhere; `undefined` where nothing is guaranteed. */
   readonly keyLifetime: Milliseconds | undefined;
   /** In any one second a cold endpoint receives at most its rate times this factor, plus `coldSlack`. */
@@ -90,11 +90,11 @@
   /** Identifies the request when it is sent again. */
   readonly fingerprint: RequestFingerprint;
   /** `undefined` if the request came directly from the caller. */
-  readonly relay: RelayFacts | undefined;
+  readonly relay: RelayInfo | undefined;
 }
 
 /** What an instance sends along with a request that it relays to a peer. */
-export interface RelayFacts {
+export interface RelayInfo {
   readonly from: Incarnation;
   /** The number of endpoints that may have received the request already. */
   readonly sentBefore: number;
@@ -134,7 +134,7 @@
    * Connections that were idle for longer are not reused: they may be dead, and the request may not be
    * retried.
    */
-  readonly mostIdle: Milliseconds;
+  readonly maxIdleTime: Milliseconds;
   /** The customer that sent the request. */
   readonly customer: CustomerId | undefined;
   /** The event after which an interrupted stream resumes. */
@@ -142,7 +142,7 @@
 }
 
 /** The load that an endpoint reported with an answer. */
-export interface ToldLoad {
+export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
@@ -154,19 +154,19 @@
   /** Whether the sender guarantees that the request was not executed and will not be. */
   readonly notRun: boolean;
   /** Whether the endpoint itself answered, rather than an instance on the way that refused the request. */
-  readonly genuine: boolean;
-  readonly load: ToldLoad | undefined;
+  readonly fromEndpoint: boolean;
+  readonly load: ReportedLoad | undefined;
   readonly retryAfter: Milliseconds | undefined;
   /**
    * Requests per second that the endpoint accepts from all instances together; `undefined` if it states none.
    */
-  readonly limit: Stated | undefined;
+  readonly limit: StatedValue | undefined;
   /** Whether the endpoint announces that it is shutting down. */
   readonly leaving: boolean;
   /**
    * Seconds for which an endpoint that rejected the request wants no requests; `undefined` if it states none.
    */
-  readonly rest: Stated | undefined;
+  readonly rest: StatedValue | undefined;
   /**
    * The number of endpoints to which a relaying instance offered the request before it refused it;
    * `undefined` if not stated.
@@ -184,7 +184,7 @@
  * Failure detail of an attempt for which all connections to the endpoint were in use. Not a fault of the
  * endpoint.
  */
-export const CONNECTION_LIMIT = "Connections are at their limit";
+export const CONNECTION_LIMIT_REACHED = "Connections are at their limit";
 
 /** How an attempt ended. */
 export type CallEnd =
@@ -309,7 +309,7 @@
 }
 
 /** Components of the gateway that log, each with its own prefix. */
-export type GatewayPart =
+export type GatewayLogComponent =
   | "catalogue"
   | "fleet"
   | "call"
@@ -319,7 +319,7 @@
   | "stop";
 
 /** What the answer to a catalogue read must prove about the changes in it. */
-export type ReadProof =
+export type RequiredProof =
   /** No proof is needed. */
   | { readonly kind: "none" }
   /** The changes must lead without a gap to the newest revision. */
@@ -364,7 +364,7 @@
   /** Read the whole catalogue, or only the changes after a revision, waiting for one if there is none. */
   | {
     readonly kind: "readCatalogue";
-    readonly proof: ReadProof;
+    readonly proof: RequiredProof;
     readonly after: Revision | undefined;
     readonly wait: Milliseconds;
     readonly timeout: Milliseconds;
@@ -376,7 +376,7 @@
   }
   | {
     readonly kind: "log";
-    readonly part: GatewayPart;
+    readonly part: GatewayLogComponent;
     readonly text: string;
     readonly fields: Readonly<Record<string, unknown>>;
   }
--- a/packages/core/src/gateway/return_grace.ts
+++ b/packages/core/src/gateway/missing_record_grace.ts
@@ -19,7 +19,7 @@
 const MAX_RESTORE_GRACE_MS = 3_200;
 
 /** Tracks the end of the grace period. */
-export class ReturnGrace {
+export class MissingRecordGrace {
   #lastBeforeRestoreAt: Instant;
   #endsAt: Instant | undefined;
 
@@ -28,12 +28,12 @@
   }
 
   /** Records that the platform had not been restored at that time, according to an answer or a failure. */
-  noteBefore(at: Instant): void {
+  noteNotRestored(at: Instant): void {
     this.#lastBeforeRestoreAt = at;
   }
 
   /** Records the platform's first answer after an outage. */
-  noteReturn(now: Instant): void {
+  noteOutageEnd(now: Instant): void {
     this.#endsAt = after(now, MISSING_RECORD_GRACE_MS);
   }
 
@@ -55,7 +55,7 @@
   }
 
   /** Returns until when a record that goes missing now is kept while the platform does not answer. */
-  keptWhileAway(now: Instant): Instant {
+  keptUntilDuringOutage(now: Instant): Instant {
     return after(now, MISSING_RECORD_GRACE_MS);
   }
 }
--- a/packages/core/src/gateway/peer_copies.ts
+++ b/packages/core/src/gateway/peer_copies.ts
@@ -5,7 +5,7 @@
  */
 import { after, type Instant, milliseconds } from "../ids/index.ts";
 import type { CatalogueHolder } from "../fleet/index.ts";
-import { type CataloguePosition, isAfter } from "../routes/index.ts";
+import { type CataloguePosition, isLaterPosition } from "../routes/index.ts";
 import type { GatewayEmit } from "./messages.ts";
 
 /** Minimum interval between two requests. */
@@ -39,7 +39,7 @@
    */
   requestNewer(position: CataloguePosition, now: Instant): void {
     const holder = now < this.#nextRequestAt ? undefined : this.#newestHolder();
-    if (holder !== undefined && isAfter(holder.position, position)) {
+    if (holder !== undefined && isLaterPosition(holder.position, position)) {
       this.request(holder.address, now);
     }
   }
--- a/packages/core/src/gateway/prefix_memory.ts
+++ b/packages/core/src/gateway/prefix_cache_model.ts
@@ -35,7 +35,7 @@
   }
 
   /** Records that the engine prefills these parts. */
-  use(parts: readonly PromptPart[]): void {
+  recordUse(parts: readonly PromptPart[]): void {
     for (const { id, tokens } of parts) {
       this.#tokens += tokens - (this.#parts.get(id) ?? 0);
       this.#parts.delete(id);
--- a/packages/core/src/gateway/prompt_cost.ts
+++ b/packages/core/src/gateway/prompt_cost.ts
@@ -6,7 +6,7 @@
 import type { Prompt } from "./messages.ts";
 
 /** Prompt tokens that an engine prefills per millisecond, assumed until the rate is measured. */
-export const DEFAULT_PREFILL_RATE = 35;
+export const DEFAULT_PREFILL_TOKENS_PER_MS = 35;
 /**
  * Time that one more answer token adds to its engine's steps, in milliseconds: one more slot and its
  * context in each step. Taken from the engines' data sheets.
@@ -36,14 +36,14 @@
  * every region looked too busy to take another region's requests while its engines were idle.
  */
 export function engineWorkMs(prompt: Prompt, prefillFraction: number): number {
-  return readingTime(prompt, prefillFraction) +
+  return prefillTimeMs(prompt, prefillFraction) +
     expectedOutputTokens(prompt) * OUTPUT_TOKEN_MS;
 }
 
 /** Time to prefill `prefillFraction` of a prompt, in milliseconds. */
-export function readingTime(
+export function prefillTimeMs(
   { promptTokens }: Pick<Prompt, "promptTokens">,
   prefillFraction: number,
 ): number {
-  return promptTokens * prefillFraction / DEFAULT_PREFILL_RATE;
+  return promptTokens * prefillFraction / DEFAULT_PREFILL_TOKENS_PER_MS;
 }
--- a/packages/core/src/gateway/recent_changes.ts
+++ b/packages/core/src/gateway/recent_changes.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Revision } from "../ids/index.ts";
-import type { CatalogueChange, PictureNews } from "../routes/index.ts";
+import type { CatalogueChange, CatalogueDelta } from "../routes/index.ts";
 
 /** Number of reads that are remembered. */
 const MAX_READS = 32;
@@ -41,7 +41,7 @@
    * A step that began before the revision is included completely: applying its changes again in order gives
    * the same result.
    */
-  since(revision: Revision): PictureNews | undefined {
+  since(revision: Revision): CatalogueDelta | undefined {
     const first = this.#steps.findIndex(({ from, to }) =>
       from <= revision && revision < to
     );
--- a/packages/core/src/gateway/region_controller.ts
+++ b/packages/core/src/gateway/region_controller.ts
@@ -101,7 +101,7 @@
   }
 
   /** Counts a request that arrived at this entry. */
-  noteArrival(
+  recordArrival(
     service: ServiceId,
     prompt: Prompt | undefined,
     now: Instant,
@@ -114,16 +114,16 @@
    * Removes the work of a request that arrived at `arrivedAt` and was relayed: it counts for the other
    * region.
    */
-  noteRelayed(
+  recordRelayed(
     service: ServiceId,
     prompt: Prompt | undefined,
     { arrivedAt, now }: { arrivedAt: Instant; now: Instant },
   ): void {
-    this.arrivals.takeOff(service, this.#workOf(prompt), arrivedAt, now);
+    this.arrivals.subtract(service, this.#workOf(prompt), arrivedAt, now);
   }
 
   /** Counts the work of a relayed request here again, because the other region declined it. */
-  noteDeclined(
+  recordDeclined(
     service: ServiceId,
     prompt: Prompt | undefined,
     now: Instant,
@@ -132,12 +132,12 @@
   }
 
   /** Average fraction of a prompt that engines have to prefill, as the rest is cached. */
-  get readPart(): number {
+  get prefillFraction(): number {
     return this.#prefillFraction;
   }
 
   /** Records how much of a prompt an engine had to prefill. */
-  noteReading(prefill: number, promptTokens: number): void {
+  recordPrefill(prefill: number, promptTokens: number): void {
     const part = prefill / Math.max(1, promptTokens);
     this.#prefillFraction += PREFILL_FRACTION_WEIGHT *
       (part - this.#prefillFraction);
@@ -156,7 +156,7 @@
 
   /** This region's load for one service, from this entry's own figures and its peers' reports. */
   load(service: ServiceId, now: Instant): ServiceLoad {
-    const usable = this.#endpoints.of(service).filter((state) =>
+    const usable = this.#endpoints.ofService(service).filter((state) =>
       this.#endpoints.accepts(state, now)
     );
     let work = this.arrivals.lastSecond(service, now);
@@ -203,7 +203,7 @@
     if (region === this.#region) {
       return this.#requestRate;
     }
-    const summary = fleet.regions.fresh(now).find((item) =>
+    const summary = fleet.regionSummaries.fresh(now).find((item) =>
       item.region === region
     );
     return summary === undefined ? 0 : sumRequests(summary);
@@ -219,16 +219,16 @@
   }
 
   /** Reachable other regions, with their load for a service. */
-  others(
+  otherRegions(
     service: ServiceId,
     fleet: FleetController,
     now: Instant,
   ): RegionView[] {
     const reachable = new Set(
-      fleet.live().filter(({ record }) => record.state === "ready")
+      fleet.liveMembers().filter(({ record }) => record.state === "ready")
         .map(({ record }) => record.region),
     );
-    return fleet.regions.fresh(now)
+    return fleet.regionSummaries.fresh(now)
       .filter(({ region }) => reachable.has(region))
       .map(({ region, loads }) => ({
         region,
@@ -248,12 +248,14 @@
       .filter(({ engine }) => engine !== undefined)
       .map(({ id }) => id);
     const reachable = new Set(
-      fleet.live().filter(({ record }) => record.state === "ready")
+      fleet.liveMembers().filter(({ record }) => record.state === "ready")
         .map(({ record }) => record.region),
     );
     const summaries = [
       this.summary(now),
-      ...fleet.regions.fresh(now).filter(({ region }) => reachable.has(region)),
+      ...fleet.regionSummaries.fresh(now).filter(({ region }) =>
+        reachable.has(region)
+      ),
     ];
     return summaries.map(({ region, loads, shares }) => {
       const engines = loads.filter(({ service }) => services.includes(service));
--- a/packages/core/src/gateway/repeat_budget.ts
+++ b/packages/core/src/gateway/retry_budget.ts
@@ -22,7 +22,7 @@
  * uses a share such that all shares add up to no more than the whole: the ratio applied to its own requests,
  * and the slack divided by the largest number of entries that may be alive.
  */
-export class RepeatBudget {
+export class RetryBudget {
   #bounds: GatewayBounds;
   readonly #services = new Map<ServiceId, Counts>();
 
@@ -31,12 +31,12 @@
   }
 
   /** Replaces the bounds and keeps the counts. */
-  rebound(bounds: GatewayBounds): void {
+  updateBounds(bounds: GatewayBounds): void {
     this.#bounds = bounds;
   }
 
   /** Counts the first send of a request. */
-  noteFirst(service: ServiceId, now: Instant): void {
+  noteFirstSend(service: ServiceId, now: Instant): void {
     this.#counts(service, now).firsts[0]!++;
   }
 
@@ -52,7 +52,7 @@
     now: Instant,
   ): boolean {
     const counts = this.#counts(service, now);
-    const { repeatRatio, repeatSlack } = this.#bounds;
+    const { retryRatio: repeatRatio, retrySlack: repeatSlack } = this.#bounds;
     const allowed = BUDGET_FRACTION *
       (repeatRatio * sum(counts.firsts) + repeatSlack / Math.max(1, entries));
     if (sum(counts.repeats) + 1 > allowed) {
@@ -63,7 +63,7 @@
   }
 
   #counts(service: ServiceId, now: Instant): Counts {
-    const bucket = Math.floor(now * BUCKETS / this.#bounds.repeatWindow);
+    const bucket = Math.floor(now * BUCKETS / this.#bounds.retryWindow);
     let counts = this.#services.get(service);
     if (counts === undefined) {
       counts = {
--- a/packages/core/src/gateway/serving_set.ts
+++ b/packages/core/src/gateway/serving_set.ts
@@ -13,7 +13,7 @@
  *
  * @module
  */
-import type { FleetController, FleetRecord } from "../fleet/index.ts";
+import type { EntryRecord, FleetController } from "../fleet/index.ts";
 import {
   hash32,
   type Incarnation,
@@ -21,7 +21,7 @@
   type RegionId,
   type ZoneId,
 } from "../ids/index.ts";
-import type { GatewaySelf } from "./messages.ts";
+import type { GatewayIdentity } from "./messages.ts";
 import type { RegionController } from "./region_controller.ts";
 
 /**
@@ -44,14 +44,14 @@
 
 /** What `ServingSet` depends on. */
 export interface ServingSources {
-  readonly self: Pick<GatewaySelf, "region">;
+  readonly self: Pick<GatewayIdentity, "region">;
   readonly fleet: FleetController;
   readonly regions: RegionController;
 }
 
 interface Selection {
   readonly at: Instant;
-  readonly records: readonly FleetRecord[];
+  readonly records: readonly EntryRecord[];
   readonly incarnations: ReadonlySet<Incarnation>;
 }
 
@@ -65,12 +65,12 @@
   }
 
   /** The serving entries of a region, which may include this one. */
-  of(region: RegionId, now: Instant): readonly FleetRecord[] {
+  of(region: RegionId, now: Instant): readonly EntryRecord[] {
     return this.#select(region, now).records;
   }
 
   /** Whether an entry is one of its region's serving entries. */
-  has({ region, incarnation }: FleetRecord, now: Instant): boolean {
+  has({ region, incarnation }: EntryRecord, now: Instant): boolean {
     return this.#select(region, now).incarnations.has(incarnation);
   }
 
@@ -80,7 +80,7 @@
       return cached;
     }
     const { fleet, regions } = this.#sources;
-    const ready = takersOf(region, fleet);
+    const ready = acceptingEntriesOf(region, fleet);
     const records = servingByZone(
       ready,
       regions.requestRate(region, fleet, now),
@@ -99,10 +99,10 @@
  * together.
  */
 export function servingByZone(
-  ready: readonly FleetRecord[],
+  ready: readonly EntryRecord[],
   requests: number,
-): FleetRecord[] {
-  const zones = new Map<ZoneId, FleetRecord[]>();
+): EntryRecord[] {
+  const zones = new Map<ZoneId, EntryRecord[]>();
   for (const record of ready) {
     const list = zones.get(record.zone) ?? [];
     list.push(record);
@@ -115,12 +115,12 @@
 
 /** The serving entries of one zone that receives `requests` per second, in order of rank. */
 export function servingInZone(
-  ready: readonly FleetRecord[],
+  ready: readonly EntryRecord[],
   requests: number,
-): FleetRecord[] {
+): EntryRecord[] {
   const requiredWeight = requests / REQUESTS_PER_CORE;
   let selectedWeight = 0;
-  return ranked(ready).filter(({ weight }, index) => {
+  return rankEntries(ready).filter(({ weight }, index) => {
     const needed = index < MIN_SERVING_PER_ZONE ||
       selectedWeight < requiredWeight;
     selectedWeight += weight;
@@ -132,20 +132,23 @@
 export function minimumServingOf(
   region: RegionId,
   fleet: FleetController,
-): FleetRecord[] {
+): EntryRecord[] {
   const candidates = [
     fleet.record,
-    ...fleet.possible().map(({ record }) => record),
+    ...fleet.possiblyLiveMembers().map(({ record }) => record),
   ].filter((record) => record.region === region);
   return servingByZone(candidates, 0);
 }
 
 /** Entries of a region that accept requests: the ready ones, or the outdated ones if none is ready. */
-export function takersOf(
+export function acceptingEntriesOf(
   region: RegionId,
   fleet: FleetController,
-): FleetRecord[] {
-  const present = [fleet.record, ...fleet.live().map(({ record }) => record)]
+): EntryRecord[] {
+  const present = [
+    fleet.record,
+    ...fleet.liveMembers().map(({ record }) => record),
+  ]
     .filter((record) => record.region === region);
   const ready = present.filter(({ state }) => state === "ready");
   return ready.length > 0
@@ -157,7 +160,7 @@
  * Orders entries by weight, heaviest first, and then by a hash of the id, so that a restart does not move
  * an entry.
  */
-export function ranked(records: readonly FleetRecord[]): FleetRecord[] {
+export function rankEntries(records: readonly EntryRecord[]): EntryRecord[] {
   return records
     .map((record) => ({ record, tieBreak: hash32(`serving ${record.id}`) }))
     .sort((left, right) =>
--- a/packages/core/src/gateway/stop_controller.ts
+++ b/packages/core/src/gateway/stop_controller.ts
@@ -9,7 +9,7 @@
   type Milliseconds,
   milliseconds,
 } from "../ids/index.ts";
-import type { ListenedTimeView } from "../listening/index.ts";
+import type { StallAdjustedClockView } from "../listening/index.ts";
 import type { CallController } from "./call_controller.ts";
 import type { GatewayEmit } from "./messages.ts";
 
@@ -34,7 +34,7 @@
 export class StopController {
   readonly #emit: GatewayEmit;
   readonly #calls: CallController;
-  readonly #listenedTime: ListenedTimeView;
+  readonly #listenedTime: StallAdjustedClockView;
   #stopTime: Milliseconds;
   #startedAt: Instant | undefined;
   #refusesNew = false;
@@ -44,7 +44,7 @@
     { emit, calls, listened, stopTime }: {
       emit: GatewayEmit;
       calls: CallController;
-      listened: ListenedTimeView;
+      listened: StallAdjustedClockView;
       stopTime: Milliseconds;
     },
   ) {
--- a/packages/core/src/gateway/subject_region.ts
+++ b/packages/core/src/gateway/subject_region.ts
@@ -15,7 +15,7 @@
 import { type RegionId, weightedRendezvous } from "../ids/index.ts";
 
 /** A region that could prefill a subject. */
-export interface SubjectRegion {
+export interface RegionCandidate {
   readonly region: RegionId;
   /** Engines that accept new work. */
   readonly engines: number;
@@ -29,10 +29,10 @@
 const MAX_UTILIZATION_EXCESS = 0.15;
 
 /** The region to relay a request to, `undefined` if it stays in its own region. */
-export function subjectRegion(
+export function chooseSubjectRegion(
   subject: string,
-  own: SubjectRegion,
-  others: readonly SubjectRegion[],
+  own: RegionCandidate,
+  others: readonly RegionCandidate[],
 ): RegionId | undefined {
   const [best] = weightedRendezvous(
     `subject ${subject}`,
--- a/packages/core/src/gateway/work_reporter.ts
+++ b/packages/core/src/gateway/work_reporter.ts
@@ -6,14 +6,14 @@
  */
 import type {
   EndpointWork,
+  EntryRecord,
   FleetController,
-  FleetRecord,
-  PrefixNews,
+  PrefixUpdate,
 } from "../fleet/index.ts";
 import type { EndpointId, Instant, ZoneId } from "../ids/index.ts";
 import type { EndpointRegistry } from "./endpoint_registry.ts";
-import type { GatewaySelf } from "./messages.ts";
-import { LEAST_FETCH_TOKENS } from "./placement.ts";
+import type { GatewayIdentity } from "./messages.ts";
+import { MIN_FETCH_TOKENS } from "./endpoint_placement.ts";
 import type { RegionController } from "./region_controller.ts";
 import type { ServingSet } from "./serving_set.ts";
 
@@ -40,13 +40,13 @@
 
 /** What reports are made from. */
 export interface ReporterSources {
-  readonly self: Pick<GatewaySelf, "region" | "zone" | "regionByZone">;
+  readonly self: Pick<GatewayIdentity, "region" | "zone" | "regionByZone">;
   readonly fleet: FleetController;
   readonly endpoints: EndpointRegistry;
   readonly regions: RegionController;
   readonly serving: ServingSet;
   /** Hash of the published catalogue as this entry holds it. */
-  readonly picture: () => number;
+  readonly catalogueHash: () => number;
 }
 
 /**
@@ -66,9 +66,9 @@
   #fullReports = 0;
   /** Consecutive full reports without any work. */
   #emptyReports = 0;
-  #prefixes: PrefixNews[] = [];
+  #prefixes: PrefixUpdate[] = [];
   /** Prefixes that were reported to the own zone but not yet to the others. */
-  #deferredPrefixes: PrefixNews[] = [];
+  #deferredPrefixes: PrefixUpdate[] = [];
 
   constructor(sources: ReporterSources) {
     const { region, regionByZone } = sources.self;
@@ -80,10 +80,12 @@
     );
   }
 
-  tick(prefixes: readonly PrefixNews[], now: Instant): void {
+  tick(prefixes: readonly PrefixUpdate[], now: Instant): void {
     const { fleet, self } = this.#sources;
     this.#prefixes.push(...prefixes);
-    if (!fleet.live().some(({ record }) => record.region === self.region)) {
+    if (
+      !fleet.liveMembers().some(({ record }) => record.region === self.region)
+    ) {
       this.#prefixes = [];
       this.#deferredPrefixes = [];
       return;
@@ -161,7 +163,7 @@
     const { endpoints, self } = this.#sources;
     const zonesWithEngine = new Set<ZoneId>();
     for (const state of endpoints.all()) {
-      if (state.service?.engine !== undefined && endpoints.isOpen(state)) {
+      if (state.service?.engine !== undefined && endpoints.isInService(state)) {
         zonesWithEngine.add(state.record.zone);
       }
     }
@@ -189,19 +191,19 @@
       endpoints,
       prefixes: this.#nextPrefixes(toAllZones),
       arrivals: regions.report(now),
-      picture: this.#sources.picture(),
+      picture: this.#sources.catalogueHash(),
     };
-    const servesCallers = (record: FleetRecord): boolean =>
+    const servesCallers = (record: EntryRecord): boolean =>
       serving.has(record, now) ||
       this.#sources.endpoints.hasReport(record.incarnation);
-    fleet.mail.sendWork(
+    fleet.sender.sendWork(
       report,
       (record) =>
         zones.has(record.zone) && (includeStandby || servesCallers(record)),
     );
   }
 
-  #nextPrefixes(toAllZones: boolean): PrefixNews[] {
+  #nextPrefixes(toAllZones: boolean): PrefixUpdate[] {
     const next = this.#prefixes.splice(0, MAX_PREFIXES);
     if (toAllZones) {
       return [
@@ -215,7 +217,7 @@
 }
 
 /** Whether a prefix is long enough to be fetched, which is all that other zones need it for. */
-function isWorthFetching({ parts }: PrefixNews): boolean {
+function isWorthFetching({ parts }: PrefixUpdate): boolean {
   const tokens = parts.reduce((sum, part) => sum + part.tokens, 0);
-  return tokens >= LEAST_FETCH_TOKENS;
+  return tokens >= MIN_FETCH_TOKENS;
 }
--- a/packages/core/src/lifecycle/lifecycle_controller.ts
+++ b/packages/core/src/lifecycle/lifecycle_controller.ts
@@ -15,12 +15,12 @@
 export const PAUSE_GAP_MS = 2_000;
 
 /** Creates the `lifecycle` section of a starting entry. */
-export function createLifecycle(now: Instant): Writable<LifecycleView> {
+export function createLifecycleSection(now: Instant): Writable<LifecycleView> {
   return {
     startedAt: now,
     lastLoopAt: now,
     phase: "starting",
-    wokeAt: undefined,
+    resumedAt: undefined,
     pauses: 0,
   };
 }
@@ -45,13 +45,13 @@
    * answers that come minutes late. Every event passes through here first, so that a pause is detected
    * before any decision is made after it.
    */
-  noteLoop(now: Instant): void {
+  recordTurn(now: Instant): void {
     const gap = now - this.#section.lastLoopAt;
     this.#section.lastLoopAt = now;
     if (gap < PAUSE_GAP_MS) {
       return;
     }
-    this.#section.wokeAt = now;
+    this.#section.resumedAt = now;
     this.#section.pauses++;
     this.#emit({
       kind: "log",
--- a/packages/core/src/listening/__tests__/listened_time.test.ts
+++ b/packages/core/src/listening/__tests__/stall_adjusted_clock.test.ts
@@ -1,27 +1,27 @@
 import { beforeEach, describe, expect, it } from "vitest";
 import { instant } from "../../ids/index.ts";
-import { ListenedTime } from "../listened_time.ts";
+import { StallAdjustedClock } from "../stall_adjusted_clock.ts";
 
 describe("the time without stalls of a process", () => {
-  let listened: ListenedTime;
+  let listened: StallAdjustedClock;
   let now: number;
   const run = (time: number): void => {
     const end = now + time;
     while (now < end) {
       now += 25;
-      listened.note(instant(now));
+      listened.recordTurn(instant(now));
     }
   };
   const stall = (time: number): void => {
     now += time;
-    listened.note(instant(now));
+    listened.recordTurn(instant(now));
   };
   const since = (from: number): number =>
     listened.since(instant(from), instant(now));
 
   beforeEach(() => {
     now = 0;
-    listened = new ListenedTime(instant(0));
+    listened = new StallAdjustedClock(instant(0));
   });
 
   it("equals the elapsed time while the event loop turns", () => {
--- a/packages/core/src/listening/index.ts
+++ b/packages/core/src/listening/index.ts
@@ -1,1 +1,4 @@
-export { ListenedTime, type ListenedTimeView } from "./listened_time.ts";
+export {
+  StallAdjustedClock as StallAdjustedClock,
+  type StallAdjustedClockView as StallAdjustedClockView,
+} from "./stall_adjusted_clock.ts";
--- a/packages/core/src/listening/listened_time.ts
+++ b/packages/core/src/listening/stall_adjusted_clock.ts
@@ -16,7 +16,7 @@
 const STALL_RETENTION_MS = 120_000;
 
 /** Read access, for code that evaluates silence. */
-export type ListenedTimeView = Pick<ListenedTime, "since">;
+export type StallAdjustedClockView = Pick<StallAdjustedClock, "since">;
 
 interface Stall {
   /** When the process resumed. */
@@ -33,7 +33,7 @@
  * silent or dead therefore count only time in which the process could read. The age of read data, leases and
  * callers' deadlines use the plain clock.
  */
-export class ListenedTime {
+export class StallAdjustedClock {
   #lastTurnAt: Instant;
   /** Recent stalls, oldest first. */
   readonly #stalls: Stall[] = [];
@@ -43,7 +43,7 @@
   }
 
   /** Records a turn of the event loop and returns the time since the previous one. */
-  note(now: Instant): Milliseconds {
+  recordTurn(now: Instant): Milliseconds {
     const gap = now - this.#lastTurnAt;
     this.#lastTurnAt = now;
     if (gap > MAX_NORMAL_GAP_MS) {
--- a/packages/core/src/membership/__tests__/silence.test.ts
+++ b/packages/core/src/membership/__tests__/silence.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from "vitest";
-import { ReadyCore } from "../../__tests__/ready_core.ts";
+import { CoreFixture } from "../../__tests__/core_fixture.ts";
 import type { Effect, Incarnation } from "../../index.ts";
 
 const OTHER = "bbbbbbbbbbbb" as Incarnation;
@@ -15,9 +15,9 @@
 
 describe("a member's silence", () => {
   it("makes it suspect while this entry runs", () => {
-    const core = new ReadyCore([]);
-    core.hear({ incarnation: OTHER });
-    expect(suspects(core.pass(SUSPECT_MS))).toBe(1);
+    const core = new CoreFixture([]);
+    core.receiveHeartbeat({ incarnation: OTHER });
+    expect(suspects(core.advance(SUSPECT_MS))).toBe(1);
   });
 
   describe("during a pause of this entry", () => {
@@ -25,19 +25,19 @@
     // first tick ran before the heartbeats in the sockets were read, and requests with idempotency keys that
     // peers own were refused until each peer was heard again.
     it("doesn't count", () => {
-      const core = new ReadyCore([]);
-      core.hear({ incarnation: OTHER });
-      expect(suspects(core.stall(PAUSE_MS))).toBe(0);
-      expect(suspects(core.pass(SUSPECT_MS / 2))).toBe(0);
-      core.hear({ incarnation: OTHER });
-      expect(suspects(core.pass(SUSPECT_MS / 2))).toBe(0);
+      const core = new CoreFixture([]);
+      core.receiveHeartbeat({ incarnation: OTHER });
+      expect(suspects(core.pause(PAUSE_MS))).toBe(0);
+      expect(suspects(core.advance(SUSPECT_MS / 2))).toBe(0);
+      core.receiveHeartbeat({ incarnation: OTHER });
+      expect(suspects(core.advance(SUSPECT_MS / 2))).toBe(0);
     });
 
     it("counts from the end of the pause", () => {
-      const core = new ReadyCore([]);
-      core.hear({ incarnation: OTHER });
-      core.stall(PAUSE_MS);
-      expect(suspects(core.pass(SUSPECT_MS))).toBe(1);
+      const core = new CoreFixture([]);
+      core.receiveHeartbeat({ incarnation: OTHER });
+      core.pause(PAUSE_MS);
+      expect(suspects(core.advance(SUSPECT_MS))).toBe(1);
     });
   });
 });
--- a/packages/core/src/membership/heartbeat_content.ts
+++ b/packages/core/src/membership/heartbeat_content.ts
@@ -6,13 +6,13 @@
 import type { Blackboard, Member } from "../blackboard/index.ts";
 import type { Instant } from "../ids/index.ts";
 import type {
-  Demand,
-  Freshness,
+  CustomerDemand,
+  MemberFreshness,
   MemberRecord,
-  ZoneNews,
+  ZoneReport,
 } from "../messages/index.ts";
 import type { MemberTable } from "./member_table.ts";
-import { takeCyclic } from "./pick_from.ts";
+import { takeCyclic } from "./take_cyclic.ts";
 import type { ZoneTable } from "./zone_table.ts";
 
 /** Members of the same region whose freshness one heartbeat carries, in turn where there are more. */
@@ -45,7 +45,7 @@
   }
 
   /** This entry's own freshness. */
-  ownFreshness(now: Instant): Freshness {
+  ownFreshness(now: Instant): MemberFreshness {
     const { incarnation, version } = this.ownRecord(now);
     return { incarnation, beat: this.#board.membership.beat, version };
   }
@@ -83,7 +83,7 @@
   }
 
   /** Customers near their limit with their request rates at this entry, highest first. */
-  demand(now: Instant): Demand[] {
+  demand(now: Instant): CustomerDemand[] {
     const customers = this.#board.configuration.deployment?.customers;
     return [...this.#board.requests.demand(now)]
       .filter(([customer, rate]) =>
@@ -100,7 +100,7 @@
   }
 
   /** Spare capacity of this entry's zone, and the total demand at the zone's entries. */
-  #ownZoneUpdate(now: Instant): ZoneNews {
+  #ownZoneUpdate(now: Instant): ZoneReport {
     const { self, requests } = this.#board;
     const totals = new Map(
       this.demand(now).map((
@@ -133,7 +133,7 @@
   zoneUpdatesFor(
     region: string,
     { sameZone, now }: { sameZone: boolean; now: Instant },
-  ): ZoneNews[] {
+  ): ZoneReport[] {
     const relayed =
       this.#board.membership.beat % ZONE_UPDATE_INTERVAL_BEATS === 0
         ? this.#zones.nextUpdateFor(region, now)
@@ -151,7 +151,7 @@
   }
 
   /** Freshness of the next members in turn: those of this zone and region, and a few of other regions. */
-  nextFreshness(): Freshness[] {
+  nextFreshness(): MemberFreshness[] {
     const { self } = this.#board;
     const live = this.#members.live();
     const sameRegion = live.filter(({ record }) =>
--- a/packages/core/src/membership/heartbeat_plan.ts
+++ b/packages/core/src/membership/heartbeat_plan.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-import type { Member, Self } from "../blackboard/index.ts";
+import type { EntryIdentity, Member } from "../blackboard/index.ts";
 import { rendezvous, type ZoneId } from "../ids/index.ts";
 import type { MemberRecord } from "../messages/index.ts";
 
@@ -55,7 +55,7 @@
 
 /** Selects the receivers of the heartbeats of beat number `beat`. */
 export function planHeartbeat(
-  self: Self,
+  self: EntryIdentity,
   members: Iterable<Member>,
   beat: number,
 ): HeartbeatPlan {
@@ -95,7 +95,7 @@
  * synchronized, which sometimes costs an extra message but is harmless.
  */
 function isDelegateTurn(
-  self: Self,
+  self: EntryIdentity,
   delegates: readonly DelegateCandidate[],
   beat: number,
 ): boolean {
--- a/packages/core/src/membership/member_table.ts
+++ b/packages/core/src/membership/member_table.ts
@@ -3,15 +3,15 @@
  *
  * @module
  */
-import type { Member, Self } from "../blackboard/index.ts";
+import type { EntryIdentity, Member } from "../blackboard/index.ts";
 import type { Incarnation, Instant, Revision } from "../ids/index.ts";
-import type { ListenedTimeView } from "../listening/index.ts";
+import type { StallAdjustedClockView } from "../listening/index.ts";
 import type {
-  Demand,
+  CustomerDemand,
   Emit,
-  Freshness,
-  MemberCopy,
+  MemberFreshness,
   MemberRecord,
+  RelayedMemberRecord,
 } from "../messages/index.ts";
 import { DELEGATES_PER_ZONE } from "./heartbeat_plan.ts";
 
@@ -31,9 +31,9 @@
 
 /** Dependencies and storage of the table. */
 export interface MemberTableOptions {
-  readonly self: Self;
+  readonly self: EntryIdentity;
   readonly emit: Emit;
-  readonly listened: ListenedTimeView;
+  readonly listened: StallAdjustedClockView;
   /** Maps of the `membership` section, written only by this table. */
   readonly members: Map<Incarnation, Member>;
   readonly gone: Map<Incarnation, Instant>;
@@ -41,9 +41,9 @@
 
 /** Maintains the other members with their beats and health. */
 export class MemberTable {
-  readonly #self: Self;
+  readonly #self: EntryIdentity;
   readonly #emit: Emit;
-  readonly #clock: ListenedTimeView;
+  readonly #clock: StallAdjustedClockView;
   readonly #members: Map<Incarnation, Member>;
   readonly #ended: Map<Incarnation, Instant>;
 
@@ -73,7 +73,7 @@
    * dead member look alive, or a stopping one look ready. Beats and versions only increase within an
    * incarnation, so an outdated copy is recognized without comparing clocks.
    */
-  applyCopy({ record, beat }: MemberCopy, now: Instant): void {
+  applyCopy({ record, beat }: RelayedMemberRecord, now: Instant): void {
     if (this.#isSelfOrEnded(record.incarnation)) {
       return;
     }
@@ -95,7 +95,10 @@
   }
 
   /** Updates a member's beat. Returns whether its record is needed. */
-  refresh({ incarnation, beat, version }: Freshness, now: Instant): boolean {
+  refresh(
+    { incarnation, beat, version }: MemberFreshness,
+    now: Instant,
+  ): boolean {
     if (this.#isSelfOrEnded(incarnation)) {
       return false;
     }
@@ -122,7 +125,10 @@
   /** Records a member's configuration revision and its demand, where that is given. */
   recordReport(
     incarnation: Incarnation,
-    { revision, demand }: { revision: Revision; demand?: readonly Demand[] },
+    { revision, demand }: {
+      revision: Revision;
+      demand?: readonly CustomerDemand[];
+    },
   ): void {
     const known = this.#members.get(incarnation);
     if (known !== undefined) {
@@ -173,7 +179,7 @@
       this.#ended.has(incarnation);
   }
 
-  #add({ record, beat }: MemberCopy, now: Instant): void {
+  #add({ record, beat }: RelayedMemberRecord, now: Instant): void {
     this.#members.set(record.incarnation, {
       record,
       beat,
--- a/packages/core/src/membership/membership_controller.ts
+++ b/packages/core/src/membership/membership_controller.ts
@@ -5,10 +5,10 @@
  */
 import type {
   Blackboard,
-  KnownZone,
   Member,
   MembershipView,
   Writable,
+  ZoneStatus,
 } from "../blackboard/index.ts";
 import {
   after,
@@ -18,20 +18,20 @@
   type Revision,
   type ZoneId,
 } from "../ids/index.ts";
-import type { ListenedTimeView } from "../listening/index.ts";
+import type { StallAdjustedClockView } from "../listening/index.ts";
 import type {
   Emit,
   Heartbeat,
   HeartbeatReply,
-  LeavingNews,
+  LeavingNotice,
   ListedVm,
-  MemberCopy,
   MemberRecord,
+  RelayedMemberRecord,
 } from "../messages/index.ts";
 import { HeartbeatContent } from "./heartbeat_content.ts";
 import { planHeartbeat } from "./heartbeat_plan.ts";
 import { MemberTable } from "./member_table.ts";
-import { takeCyclic } from "./pick_from.ts";
+import { takeCyclic } from "./take_cyclic.ts";
 import { ZoneTable } from "./zone_table.ts";
 
 const RECORDS_PER_HEARTBEAT = 4;
@@ -46,13 +46,18 @@
 /** The `membership` section, as its controller writes it. */
 export interface MembershipSection extends Writable<MembershipView> {
   members: Map<Incarnation, Member>;
-  gone: Map<Incarnation, Instant>;
-  zones: Map<ZoneId, KnownZone>;
+  endedIncarnations: Map<Incarnation, Instant>;
+  zones: Map<ZoneId, ZoneStatus>;
 }
 
 /** Creates the `membership` section of a starting entry. */
-export function createMembership(): MembershipSection {
-  return { members: new Map(), gone: new Map(), zones: new Map(), beat: 0 };
+export function createMembershipSection(): MembershipSection {
+  return {
+    members: new Map(),
+    endedIncarnations: new Map(),
+    zones: new Map(),
+    beat: 0,
+  };
 }
 
 /** Maintains the `membership` section. */
@@ -76,7 +81,7 @@
     section: MembershipSection,
     { emit, listened, now }: {
       emit: Emit;
-      listened: ListenedTimeView;
+      listened: StallAdjustedClockView;
       now: Instant;
     },
   ) {
@@ -88,7 +93,7 @@
       emit,
       listened,
       members: section.members,
-      gone: section.gone,
+      gone: section.endedIncarnations,
     });
     this.#zones = new ZoneTable(board.self, section.zones);
     this.#content = new HeartbeatContent(board, {
@@ -135,7 +140,7 @@
   }
 
   /** Handles the reply to a heartbeat of this entry. */
-  replied(
+  receiveReply(
     { from, revision, record, wanted }: HeartbeatReply,
     now: Instant,
   ): void {
@@ -156,13 +161,13 @@
   }
 
   /** Handles a refused connection to a control address. */
-  refused(url: string): void {
+  recordRefusedConnection(url: string): void {
     this.#sentVersions.delete(url);
     this.#members.refused(url);
   }
 
   /** Takes the entries of the VM list as addresses to contact. A listed entry is not yet a live member. */
-  listed(vms: readonly ListedVm[]): void {
+  receiveVmList(vms: readonly ListedVm[]): void {
     const entries = vms.filter((vm) =>
       vm.role === "entry" && vm.state === "live"
     );
@@ -170,7 +175,7 @@
   }
 
   /** Announces a leaving endpoint to the whole region at once, and repeats that in heartbeats for a while. */
-  announceLeaving(endpoint: EndpointId, now: Instant): void {
+  announceLeavingEndpoint(endpoint: EndpointId, now: Instant): void {
     if (!this.#leavingSince.has(endpoint)) {
       this.#leavingSince.set(endpoint, now);
       this.announce(now);
@@ -264,10 +269,10 @@
     });
   }
 
-  #recordsFor(url: string, now: Instant): MemberCopy[] {
+  #recordsFor(url: string, now: Instant): RelayedMemberRecord[] {
     const wanted = this.#requestedRecords.get(url) ?? [];
     this.#requestedRecords.delete(url);
-    const others = wanted.flatMap((incarnation): MemberCopy[] => {
+    const others = wanted.flatMap((incarnation): RelayedMemberRecord[] => {
       const member = this.#members.get(incarnation);
       return member === undefined
         ? []
@@ -281,7 +286,7 @@
     return [{ record: own, beat: this.#section.beat }, ...others];
   }
 
-  #currentLeavingUpdates(now: Instant): LeavingNews[] {
+  #currentLeavingUpdates(now: Instant): LeavingNotice[] {
     for (const [endpoint, since] of this.#leavingSince) {
       if (now - since > LEAVING_UPDATE_DURATION_MS) {
         this.#leavingSince.delete(endpoint);
--- a/packages/core/src/messages/events.ts
+++ b/packages/core/src/messages/events.ts
@@ -10,12 +10,12 @@
   RequestId,
   Revision,
 } from "../ids/index.ts";
-import type { QuarantineNews } from "../quarantine/index.ts";
+import type { QuarantineUpdate } from "../quarantine/index.ts";
 import type {
   ConfigurationCopy,
-  HandOver,
   Heartbeat,
   HeartbeatReply,
+  KeyHandOver,
   OutcomeCopy,
 } from "./peer.ts";
 import type { ListedVm, LoadReport } from "./platform.ts";
@@ -53,9 +53,9 @@
   /** A peer's control address refuses connections, so its process has ended. */
   | { readonly kind: "peerRefused"; readonly url: string }
   | { readonly kind: "outcomeCopy"; readonly copy: OutcomeCopy }
-  | { readonly kind: "handOver"; readonly handOver: HandOver }
+  | { readonly kind: "handOver"; readonly handOver: KeyHandOver }
   | { readonly kind: "handOverDone" }
-  | { readonly kind: "quarantineNews"; readonly news: QuarantineNews }
+  | { readonly kind: "quarantineNews"; readonly news: QuarantineUpdate }
   | {
     readonly kind: "load";
     readonly endpoint: EndpointId;
@@ -141,12 +141,12 @@
   | {
     readonly kind: "sendHandOver";
     readonly url: string;
-    readonly handOver: HandOver;
+    readonly handOver: KeyHandOver;
   }
   | {
     readonly kind: "sendQuarantine";
     readonly url: string;
-    readonly news: QuarantineNews;
+    readonly news: QuarantineUpdate;
   }
   | {
     readonly kind: "pollLoad";
--- a/packages/core/src/messages/peer.ts
+++ b/packages/core/src/messages/peer.ts
@@ -21,7 +21,7 @@
 export type MemberState = "starting" | "ready" | "stopping";
 
 /** Spare capacity for one service in the sender's zone. */
-export interface Spare {
+export interface SpareCapacity {
   readonly service: ServiceId;
   /** Number of slots that could take a request now. */
   readonly slots: number;
@@ -30,7 +30,7 @@
 }
 
 /** Demand of one customer at one entry. */
-export interface Demand {
+export interface CustomerDemand {
   readonly customer: CustomerId;
   readonly requestsPerSecond: number;
 }
@@ -55,7 +55,7 @@
 }
 
 /** A record with the last known `beat` of its entry. */
-export interface MemberCopy {
+export interface RelayedMemberRecord {
   readonly record: MemberRecord;
   readonly beat: number;
 }
@@ -64,55 +64,55 @@
  * Freshness of the data about a member. Each entry counts its own heartbeats in `beat`, so that the age of data
  * that is passed on can be compared without clocks.
  */
-export interface Freshness {
+export interface MemberFreshness {
   readonly incarnation: Incarnation;
   readonly beat: number;
   readonly version: number;
 }
 
 /** Spare capacity and demand of a zone, as reported by one of its delegates. */
-export interface ZoneNews {
+export interface ZoneReport {
   readonly zone: ZoneId;
   readonly region: RegionId;
   readonly issuer: Incarnation;
   readonly beat: number;
-  readonly spare: readonly Spare[];
+  readonly spare: readonly SpareCapacity[];
   /** Sent within the region only. */
-  readonly demand: readonly Demand[];
+  readonly demand: readonly CustomerDemand[];
 }
 
 /** Message that an endpoint is leaving, passed on until all entries of the region have it. */
-export interface LeavingNews {
+export interface LeavingNotice {
   readonly endpoint: EndpointId;
 }
 
 /** One heartbeat. */
 export interface Heartbeat {
   readonly deployment: string;
-  readonly from: Freshness;
+  readonly from: MemberFreshness;
   /** Revision in force at the sender, 0 before the first. */
   readonly revision: Revision;
   /** Revision that the sender read and rejected, 0 without one. */
   readonly rejected: Revision;
-  readonly demand: readonly Demand[];
+  readonly demand: readonly CustomerDemand[];
   /** Freshness of other members. A receiver with an older `beat` learns that they are alive. */
-  readonly freshness: readonly Freshness[];
+  readonly freshness: readonly MemberFreshness[];
   /** Records that the receiver requested or does not know yet. */
-  readonly records: readonly MemberCopy[];
-  readonly news: readonly ZoneNews[];
-  readonly leaving: readonly LeavingNews[];
+  readonly records: readonly RelayedMemberRecord[];
+  readonly news: readonly ZoneReport[];
+  readonly leaving: readonly LeavingNotice[];
 }
 
 /** Answer to a heartbeat. */
 export interface HeartbeatReply {
-  readonly from: Freshness;
+  readonly from: MemberFreshness;
   readonly revision: Revision;
   readonly rejected: Revision;
   /** Own record of the replying entry, sent to a sender that sent its own. */
   readonly record: MemberRecord | undefined;
   /** Members of which the replying entry has no record or an outdated one. */
   readonly wanted: readonly Incarnation[];
-  readonly leaving: readonly LeavingNews[];
+  readonly leaving: readonly LeavingNotice[];
 }
 
 /** The operators' configuration, as a whole or as a patch to a revision that the requesting entry holds. */
@@ -141,7 +141,7 @@
 export const MAX_STORED_ANSWER_BYTES = 16_384;
 
 /** Outcome of a used key, as known by its owner. */
-export type Outcome =
+export type ActionOutcome =
   | { readonly kind: "ran"; readonly answer: StoredAnswer }
   /** The call ran, and its answer was too large to keep. */
   | { readonly kind: "ran_unkept" }
@@ -153,7 +153,7 @@
   readonly home: RegionId;
   readonly key: IdempotencyKey;
   readonly bodyDigest: string;
-  readonly outcome: Outcome;
+  readonly outcome: ActionOutcome;
 }
 
 /** One used key in a hand-over. */
@@ -162,7 +162,7 @@
 }
 
 /** Transfer of the right to run an incarnation's keys. The sender gives up the right before sending it. */
-export interface HandOver {
+export interface KeyHandOver {
   readonly owner: Incarnation;
   readonly epoch: number;
   /** Time since that epoch began. */
--- a/packages/core/src/messages/request.ts
+++ b/packages/core/src/messages/request.ts
@@ -39,7 +39,7 @@
 }
 
 /** Prompt tokens of one prefix block. */
-export const BLOCK_TOKENS = 64;
+export const TOKENS_PER_BLOCK = 64;
 
 /** Target of an attempt. */
 export type AttemptTarget =
--- a/packages/core/src/metrics/metrics.ts
+++ b/packages/core/src/metrics/metrics.ts
@@ -23,7 +23,7 @@
   | "queue_wait";
 
 /** Percentiles of one histogram, in milliseconds. */
-export interface Summary {
+export interface HistogramSummary {
   readonly measure: Measure;
   readonly customer: string;
   readonly requestClass: RequestClass;
@@ -35,7 +35,7 @@
 }
 
 /** The value of one counter. */
-export interface Count {
+export interface CounterValue {
   readonly name: string;
   readonly label: string;
   readonly value: number;
@@ -97,7 +97,7 @@
   }
 
   /** Returns the percentiles of all histograms. */
-  summaries(): Summary[] {
+  summaries(): HistogramSummary[] {
     return [...this.#histograms.values()].map((
       { histogram, labels: [measure, customer, requestClass] },
     ) => ({
@@ -113,7 +113,7 @@
   }
 
   /** Returns all counters. */
-  counts(): Count[] {
+  counts(): CounterValue[] {
     return [...this.#counts.values()].map((count) => ({ ...count }));
   }
 
--- a/packages/core/src/placement/placement_controller.ts
+++ b/packages/core/src/placement/placement_controller.ts
@@ -69,7 +69,7 @@
    * Records an engine's answer to an order. A rejected order may be sent again after the engine's next
    * report.
    */
-  answered(endpoint: EndpointId, accepted: boolean): void {
+  noteOrderAnswer(endpoint: EndpointId, accepted: boolean): void {
     if (!accepted) {
       this.#lastOrders.delete(endpoint);
     }
@@ -89,8 +89,8 @@
     if (!this.#isConfigurationConfirmed()) {
       return false;
     }
-    const recentlyWoken = lifecycle.wokeAt !== undefined &&
-      now - lifecycle.wokeAt < ORDER_DELAY_AFTER_PAUSE_MS;
+    const recentlyWoken = lifecycle.resumedAt !== undefined &&
+      now - lifecycle.resumedAt < ORDER_DELAY_AFTER_PAUSE_MS;
     const recentlyStarted =
       now - lifecycle.startedAt < ORDER_DELAY_AFTER_START_MS;
     if (
@@ -126,7 +126,7 @@
     const { configuration, lifecycle } = this.#board;
     const { confirmedAt } = configuration;
     return confirmedAt !== undefined &&
-      (lifecycle.wokeAt === undefined || confirmedAt >= lifecycle.wokeAt);
+      (lifecycle.resumedAt === undefined || confirmedAt >= lifecycle.resumedAt);
   }
 
   #assignAll(now: Instant): void {
--- a/packages/core/src/quarantine/__tests__/crash_evidence.test.ts
+++ b/packages/core/src/quarantine/__tests__/crash_analysis.test.ts
@@ -6,7 +6,7 @@
   type ServiceId,
   type ZoneId,
 } from "../../index.ts";
-import { findCrashingRequests, type ObservedCrash } from "../crash_evidence.ts";
+import { findCrashingRequests, type ObservedCrash } from "../crash_analysis.ts";
 
 interface CrashSketch {
   readonly at: number;
--- a/packages/core/src/quarantine/__tests__/crash_watch.test.ts
+++ b/packages/core/src/quarantine/__tests__/crash_detector.test.ts
@@ -7,12 +7,12 @@
   type EndpointLife,
   type EndpointRecord,
   instant,
-  ListenedTime,
   milliseconds,
   type ServiceId,
+  StallAdjustedClock,
   type ZoneId,
 } from "../../index.ts";
-import { CrashDetector, type WatchedEndpoint } from "../crash_watch.ts";
+import { CrashDetector, type TrackedEndpoint } from "../crash_detector.ts";
 
 const RECORD: EndpointRecord = {
   id: "e" as EndpointId,
@@ -34,7 +34,7 @@
  */
 describe("the crash of an endpoint", () => {
   let recordGone: boolean;
-  let endpoint: { record: EndpointRecord; heardAt: WatchedEndpoint["heardAt"] };
+  let endpoint: { record: EndpointRecord; heardAt: TrackedEndpoint["heardAt"] };
   let detector: CrashDetector;
   const begin = (name: string, at: number): void =>
     detector.noteSent(endpoint, {
@@ -59,7 +59,7 @@
     endpoint = { record: RECORD, heardAt: undefined };
     detector = new CrashDetector(
       () => recordGone,
-      new ListenedTime(instant(0)),
+      new StallAdjustedClock(instant(0)),
     );
     begin("a", 0);
     begin("b", 100);
--- a/packages/core/src/quarantine/__tests__/crash_ledger.test.ts
+++ b/packages/core/src/quarantine/__tests__/crash_history.test.ts
@@ -8,9 +8,9 @@
   type ServiceId,
   type ZoneId,
 } from "../../index.ts";
-import { CrashHistory } from "../crash_ledger.ts";
+import { CrashHistory } from "../crash_history.ts";
 import type { CrashReport } from "../quarantine_messages.ts";
-import { AnswerHistory } from "../served_memory.ts";
+import { AnswerHistory } from "../answer_history.ts";
 
 const BAD = "bad" as ContentDigest;
 
--- a/packages/core/src/quarantine/__tests__/quarantine_controller.test.ts
+++ b/packages/core/src/quarantine/__tests__/quarantine_controller.test.ts
@@ -8,13 +8,13 @@
   hash32,
   type Incarnation,
   instant,
-  ListenedTime,
   milliseconds,
   type RequestId,
   type ServiceId,
+  StallAdjustedClock,
   type ZoneId,
 } from "../../index.ts";
-import type { QuarantineNews } from "../quarantine_messages.ts";
+import type { QuarantineUpdate } from "../quarantine_messages.ts";
 import { QuarantineController } from "../quarantine_controller.ts";
 
 const POOL = "pool" as ServiceId;
@@ -39,7 +39,7 @@
 }
 
 describe("an entry's quarantine", () => {
-  let sentNews: { news: QuarantineNews; to: string }[];
+  let sentNews: { news: QuarantineUpdate; to: string }[];
   let logEntries: { text: string; fields: Readonly<Record<string, unknown>> }[];
   let probes: string[];
   let controller: QuarantineController;
@@ -57,11 +57,11 @@
             (item) => [item.id, item],
           ),
         ),
-      carriers: () => ["another" as Incarnation],
-      listened: new ListenedTime(instant(0)),
-      claimTime: milliseconds(200),
-      knock: ({ id }) => probes.push(id),
-      tell: (news, to) => sentNews.push({ news, to }),
+      servingEntries: () => ["another" as Incarnation],
+      clock: new StallAdjustedClock(instant(0)),
+      claimDelay: milliseconds(200),
+      probePort: ({ id }) => probes.push(id),
+      send: (news, to) => sentNews.push({ news, to }),
       log: (_part, text, fields) => logEntries.push({ text, fields }),
     });
   });
@@ -82,7 +82,7 @@
         path: "/p",
         sentAt: instant(at),
       };
-      controller.began(
+      controller.noteSent(
         endpointState,
         attemptFields,
         `r${attemptCount}` as RequestId,
@@ -91,14 +91,14 @@
     });
     for (const { attempt, fingerprint } of attempts) {
       const attemptFields = { attempt, fingerprint, end: "lost" as const };
-      controller.ended(endpointState, attemptFields, instant(at + 100));
-      controller.broken(endpointState, instant(at + 100));
+      controller.noteOutcome(endpointState, attemptFields, instant(at + 100));
+      controller.noteBrokenConnection(endpointState, instant(at + 100));
     }
-    controller.refused(endpointState.record);
+    controller.notePortClosed(endpointState.record);
     controller.tick(instant(at + 100 + DETECTION_MS));
   };
   const decide = (at: number, id = "r") =>
-    controller.judge({
+    controller.check({
       id: id as RequestId,
       fingerprint: { content: BAD, caller: CALLER },
       services: [POOL],
@@ -131,10 +131,10 @@
     const receive = (from: Incarnation, sent: boolean, at: number): void => {
       const tried = [{ content: BAD, sent }];
       const news = { crashes: [], answered: [], holds: [], tried };
-      controller.learn(news, from, instant(at));
+      controller.apply(news, from, instant(at));
     };
     const send = (id: string, at: number): void =>
-      controller.began({ record: record("e3"), heardAt: undefined }, {
+      controller.noteSent({ record: record("e3"), heardAt: undefined }, {
         attempt: id as AttemptId,
         fingerprint: { content: BAD, caller: CALLER },
         path: "/p",
@@ -210,7 +210,7 @@
     }
     const crashes = sentNews.filter(({ news }) => news.crashes.length > 0);
     expect(crashes.length).toBe(8);
-    expect(controller.ends).toBe(40);
+    expect(controller.crashes).toBe(40);
   });
 
   it("logs a bounded number of requests per crash", () => {
--- a/packages/core/src/quarantine/crash_watch.ts
+++ b/packages/core/src/quarantine/crash_detector.ts
@@ -9,7 +9,7 @@
   type EndpointId,
   type Instant,
 } from "../ids/index.ts";
-import type { ListenedTimeView } from "../listening/index.ts";
+import type { StallAdjustedClockView } from "../listening/index.ts";
 import type { EndpointRecord } from "../routes/index.ts";
 import type { RequestFingerprint } from "./fingerprint.ts";
 
@@ -41,7 +41,7 @@
 const CRASH_MEMORY_MS = 10_000;
 
 /** The part of an endpoint's state that its attempts see. */
-export interface WatchedEndpoint {
+export interface TrackedEndpoint {
   readonly record: EndpointRecord;
   /** When bytes were last received from the endpoint. */
   readonly heardAt: Instant | undefined;
@@ -75,7 +75,7 @@
 }
 
 interface EndpointAttempts {
-  readonly endpoint: WatchedEndpoint;
+  readonly endpoint: TrackedEndpoint;
   readonly open: Map<AttemptId, TrackedAttempt>;
   lost: LostAttempt[];
   /** Whether nothing listens at the endpoint's address any more. */
@@ -95,19 +95,19 @@
  */
 export class CrashDetector {
   readonly #isRecordGone: (record: EndpointRecord) => boolean;
-  readonly #listenedTime: ListenedTimeView;
+  readonly #listenedTime: StallAdjustedClockView;
   readonly #endpoints = new Map<string, EndpointAttempts>();
 
   constructor(
     isRecordGone: (record: EndpointRecord) => boolean,
-    listenedTime: ListenedTimeView,
+    listenedTime: StallAdjustedClockView,
   ) {
     this.#isRecordGone = isRecordGone;
     this.#listenedTime = listenedTime;
   }
 
   /** Records that a request was sent. */
-  noteSent(endpoint: WatchedEndpoint, attempt: TrackedAttempt): void {
+  noteSent(endpoint: TrackedEndpoint, attempt: TrackedAttempt): void {
     this.#findOrAdd(endpoint).open.set(attempt.attempt, attempt);
   }
 
@@ -116,7 +116,7 @@
    * resumed.
    */
   noteBackpressure(
-    endpoint: WatchedEndpoint,
+    endpoint: TrackedEndpoint,
     id: AttemptId,
     { held, now }: { held: boolean; now: Instant },
   ): void {
@@ -129,12 +129,12 @@
   }
 
   /** Records that a request was answered, or abandoned while its endpoint answers others. */
-  noteEnded(endpoint: WatchedEndpoint, id: AttemptId): void {
+  noteEnded(endpoint: TrackedEndpoint, id: AttemptId): void {
     this.#findOrAdd(endpoint).open.delete(id);
   }
 
   /** Records that an answer broke off, failed, or was no longer waited for. */
-  noteLost(endpoint: WatchedEndpoint, id: AttemptId, now: Instant): void {
+  noteLost(endpoint: TrackedEndpoint, id: AttemptId, now: Instant): void {
     const tracked = this.#findOrAdd(endpoint);
     const attempt = tracked.open.get(id);
     tracked.open.delete(id);
@@ -149,7 +149,7 @@
   }
 
   /** Whether to probe the port of an endpoint after a loss. */
-  shouldProbe(endpoint: WatchedEndpoint, now: Instant): boolean {
+  shouldProbe(endpoint: TrackedEndpoint, now: Instant): boolean {
     const tracked = this.#endpoints.get(keyOf(endpoint.record));
     const due = tracked !== undefined && tracked.lost.length > 0 &&
       tracked.crashedAt === undefined &&
@@ -200,7 +200,7 @@
     return crashed;
   }
 
-  #findOrAdd(endpoint: WatchedEndpoint): EndpointAttempts {
+  #findOrAdd(endpoint: TrackedEndpoint): EndpointAttempts {
     const key = keyOf(endpoint.record);
     const existing = this.#endpoints.get(key);
     if (existing !== undefined) {
@@ -269,7 +269,7 @@
   }
 
   #hasSilentAttempt(
-    endpoint: WatchedEndpoint,
+    endpoint: TrackedEndpoint,
     open: ReadonlyMap<AttemptId, TrackedAttempt>,
     now: Instant,
   ): boolean {
@@ -284,7 +284,7 @@
    * answers would be taken for a crashed one.
    */
   #isSilent(
-    endpoint: WatchedEndpoint,
+    endpoint: TrackedEndpoint,
     attempt: TrackedAttempt,
     now: Instant,
   ): boolean {
@@ -299,7 +299,7 @@
  * of the request or the resumption of reading, whichever came last.
  */
 function lastHeardAt(
-  { heardAt }: WatchedEndpoint,
+  { heardAt }: TrackedEndpoint,
   { sentAt, readingResumedAt }: TrackedAttempt,
 ): Instant {
   return Math.max(
@@ -314,7 +314,7 @@
  * the request was sent.
  */
 function estimateCrashTime(
-  { heardAt }: WatchedEndpoint,
+  { heardAt }: TrackedEndpoint,
   { sentAt }: TrackedAttempt,
 ): Instant {
   return heardAt !== undefined && heardAt > sentAt
--- a/packages/core/src/quarantine/crash_ledger.ts
+++ b/packages/core/src/quarantine/crash_history.ts
@@ -8,7 +8,7 @@
   type CrashingRequest,
   findCrashingRequests,
   type ObservedCrash,
-} from "./crash_evidence.ts";
+} from "./crash_analysis.ts";
 import type { CrashReport, RequestAtCrash } from "./quarantine_messages.ts";
 
 /**
--- a/packages/core/src/quarantine/report_end.ts
+++ b/packages/core/src/quarantine/crash_report.ts
@@ -11,7 +11,7 @@
 } from "../ids/index.ts";
 import type { EndpointRecord } from "../routes/index.ts";
 import type { CrashReport, RequestAtCrash } from "./quarantine_messages.ts";
-import type { CrashedEndpoint, LostAttempt } from "./crash_watch.ts";
+import type { CrashedEndpoint, LostAttempt } from "./crash_detector.ts";
 
 /** Limit for the requests in one report. It exceeds the number that an entry usually has at one endpoint. */
 const MAX_REQUESTS = 128;
--- a/packages/core/src/quarantine/hold_keeper.ts
+++ b/packages/core/src/quarantine/hold_controller.ts
@@ -4,19 +4,19 @@
  * @module
  */
 import type { ContentDigest, Instant } from "../ids/index.ts";
-import type { CrashingRequest } from "./crash_evidence.ts";
+import type { CrashingRequest } from "./crash_analysis.ts";
 import {
   type AnsweredRequest,
   type CrashReport,
+  EMPTY_QUARANTINE_UPDATE,
   type HoldNotice,
-  NOTHING_NEW,
-  type QuarantineNews,
+  type QuarantineUpdate,
 } from "./quarantine_messages.ts";
 import { type HeldRequest, HoldList } from "./hold_list.ts";
-import { holdLogEntry } from "./quarantine_lines.ts";
+import { holdLogEntry } from "./quarantine_log.ts";
 
 /** The peers that receive a message. */
-export type NewsRecipients =
+export type UpdateRecipients =
   /** The serving entries, which all collect crash reports. */
   | "carriers"
   /** Some peers, which forward the message. */
@@ -24,7 +24,7 @@
 
 /** Dependencies of `HoldController`. */
 export interface HoldControllerDependencies {
-  readonly tell: (news: QuarantineNews, to: NewsRecipients) => void;
+  readonly send: (news: QuarantineUpdate, to: UpdateRecipients) => void;
   readonly log: (
     part: "quarantine",
     text: string,
@@ -132,7 +132,10 @@
   #announce(content: ContentDigest, now: Instant): void {
     const notice = this.holds.notice(content, now);
     if (notice !== undefined) {
-      this.#deps.tell({ ...NOTHING_NEW, holds: [notice] }, "spread");
+      this.#deps.send(
+        { ...EMPTY_QUARANTINE_UPDATE, holds: [notice] },
+        "spread",
+      );
     }
   }
 
--- a/packages/core/src/quarantine/hold_list.ts
+++ b/packages/core/src/quarantine/hold_list.ts
@@ -242,7 +242,7 @@
   }
 
   /** Returns the holds for the next message. Successive calls cycle through all holds. */
-  next(now: Instant): HoldNotice[] {
+  nextNotices(now: Instant): HoldNotice[] {
     const holds = [...this.#holds.values()];
     const count = Math.min(HOLDS_PER_MESSAGE, holds.length);
     const start = this.#nextIndex;
--- a/packages/core/src/quarantine/quarantine_controller.ts
+++ b/packages/core/src/quarantine/quarantine_controller.ts
@@ -17,34 +17,34 @@
   type Milliseconds,
   type RequestId,
 } from "../ids/index.ts";
-import type { ListenedTimeView } from "../listening/index.ts";
+import type { StallAdjustedClockView } from "../listening/index.ts";
 import type { EndpointRecord } from "../routes/index.ts";
-import { CrashHistory } from "./crash_ledger.ts";
-import { createReport, splitReport } from "./report_end.ts";
+import { CrashHistory } from "./crash_history.ts";
+import { createReport, splitReport } from "./crash_report.ts";
 import {
   CrashDetector,
   type CrashedEndpoint,
   type TrackedAttempt,
-  type WatchedEndpoint,
-} from "./crash_watch.ts";
+  type TrackedEndpoint,
+} from "./crash_detector.ts";
 import type { RequestFingerprint } from "./fingerprint.ts";
-import { HoldController, type NewsRecipients } from "./hold_keeper.ts";
+import { HoldController, type UpdateRecipients } from "./hold_controller.ts";
 import type { HoldDecision, HoldList } from "./hold_list.ts";
-import { TrialCoordinator } from "./open_trials.ts";
-import { crashLogFields } from "./quarantine_lines.ts";
+import { TrialCoordinator } from "./trial_coordinator.ts";
+import { crashLogFields } from "./quarantine_log.ts";
 import {
   type AnsweredRequest,
   type CrashReport,
+  EMPTY_QUARANTINE_UPDATE,
   type HoldNotice,
-  NOTHING_NEW,
-  type QuarantineNews,
+  type QuarantineUpdate,
   type TriedRequest,
 } from "./quarantine_messages.ts";
-import { AnswerHistory } from "./served_memory.ts";
+import { AnswerHistory } from "./answer_history.ts";
 import {
   createTrialPermission,
   type TrialDependencies,
-} from "./trial_owner.ts";
+} from "./trial_permission.ts";
 
 /** Number of answered requests in one datagram, which keeps it below 1,400 bytes. */
 const ANSWERED_PER_MESSAGE = 48;
@@ -58,15 +58,15 @@
 
 /** Dependencies of `QuarantineController`. */
 export interface QuarantineControllerDependencies extends TrialDependencies {
-  readonly listened: ListenedTimeView;
+  readonly clock: StallAdjustedClockView;
   /**
    * How long a claim of a trial waits for other claims. Exceeds the latency of a message between any two
    * entries. 0 if requests cannot be queued, in which case trials are not claimed.
    */
-  readonly claimTime: Milliseconds;
+  readonly claimDelay: Milliseconds;
   /** Lets the shell probe whether something listens at the endpoint's address. */
-  readonly knock: (record: EndpointRecord) => void;
-  readonly tell: (news: QuarantineNews, to: NewsRecipients) => void;
+  readonly probePort: (record: EndpointRecord) => void;
+  readonly send: (news: QuarantineUpdate, to: UpdateRecipients) => void;
   readonly log: (
     part: "endpoint" | "quarantine",
     text: string,
@@ -81,7 +81,7 @@
   | { readonly kind: "wait" };
 
 /** The outcome of an attempt at an endpoint. */
-export type RunEnd =
+export type AttemptOutcome =
   /** The endpoint answered the request. */
   | "answered"
   /** The answer broke off, failed or was no longer waited for. */
@@ -101,17 +101,17 @@
   /** When crashes were reported within the last second. */
   #reportTimes: Instant[] = [];
   /** Number of endpoint crashes in which this entry lost requests. */
-  ends = 0;
+  crashes = 0;
 
   constructor(deps: QuarantineControllerDependencies) {
     this.#deps = deps;
     this.#holdController = new HoldController(deps);
-    const { self: { incarnation }, claimTime } = deps;
+    const { self: { incarnation }, claimDelay: claimTime } = deps;
     this.#trials = new TrialCoordinator(incarnation, claimTime);
     this.#detector = new CrashDetector(({ id, life }) => {
       const current = deps.endpoints().get(id);
       return current === undefined || current.life !== life;
-    }, deps.listened);
+    }, deps.clock);
   }
 
   get holds(): HoldList {
@@ -122,7 +122,7 @@
    * Returns whether a request may be sent to an endpoint of the given services. Claims a trial if the request
    * needs one.
    */
-  judge(
+  check(
     { id, fingerprint, services }: {
       id: RequestId;
       fingerprint: RequestFingerprint;
@@ -154,8 +154,8 @@
   }
 
   /** Records that a request is written to an endpoint. */
-  began(
-    endpoint: WatchedEndpoint,
+  noteSent(
+    endpoint: TrackedEndpoint,
     attempt: Omit<TrackedAttempt, "trial">,
     request: RequestId,
   ): void {
@@ -171,15 +171,15 @@
   }
 
   #announceTrial(trial: TriedRequest): void {
-    this.#deps.tell({ ...NOTHING_NEW, tried: [trial] }, "carriers");
+    this.#deps.send({ ...EMPTY_QUARANTINE_UPDATE, tried: [trial] }, "carriers");
   }
 
   /**
    * Records that an answer is not being read because the caller's connection is full, or that reading
    * resumed.
    */
-  held(
-    endpoint: WatchedEndpoint,
+  noteBackpressure(
+    endpoint: TrackedEndpoint,
     attempt: AttemptId,
     change: { held: boolean; now: Instant },
   ): void {
@@ -187,12 +187,12 @@
   }
 
   /** Records the outcome of an attempt. */
-  ended(
-    endpoint: WatchedEndpoint,
+  noteOutcome(
+    endpoint: TrackedEndpoint,
     { attempt, fingerprint, end }: {
       attempt: AttemptId;
       fingerprint: RequestFingerprint;
-      end: RunEnd;
+      end: AttemptOutcome;
     },
     now: Instant,
   ): void {
@@ -211,21 +211,21 @@
    * Records that a connection broke or an answer failed. Probes the port, which is closed if the process
    * ended.
    */
-  broken(endpoint: WatchedEndpoint, now: Instant): void {
+  noteBrokenConnection(endpoint: TrackedEndpoint, now: Instant): void {
     if (this.#detector.shouldProbe(endpoint, now)) {
-      this.#deps.knock(endpoint.record);
+      this.#deps.probePort(endpoint.record);
     }
   }
 
   /** Records that nothing listens at an endpoint's address, or that another process does. */
-  refused(endpoint: Pick<EndpointRecord, "id" | "life">): void {
+  notePortClosed(endpoint: Pick<EndpointRecord, "id" | "life">): void {
     this.#detector.notePortClosed(endpoint);
   }
 
   /** Applies a message from a peer. */
-  learn(news: QuarantineNews, from: Incarnation, now: Instant): void {
+  apply(news: QuarantineUpdate, from: Incarnation, now: Instant): void {
     news.answered.forEach((answered) => this.#clearSuspicion(answered, now));
-    this.learnHolds(news.holds, now);
+    this.applyHolds(news.holds, now);
     for (const { content, sent } of news.tried) {
       const crashes = this.#history.crashCount(content);
       this.#trials.noteRemote(content, { from, sent, crashes }, now);
@@ -241,7 +241,7 @@
   }
 
   /** Applies holds received from a peer. */
-  learnHolds(holds: readonly HoldNotice[], now: Instant): void {
+  applyHolds(holds: readonly HoldNotice[], now: Instant): void {
     holds.forEach((notice) => this.#holdController.merge(notice, now));
   }
 
@@ -256,7 +256,7 @@
     this.#trials.removeExpired(now);
     if (this.#pendingAnswered.length > 0) {
       const answered = this.#pendingAnswered.splice(0, ANSWERED_PER_MESSAGE);
-      this.#deps.tell({ ...NOTHING_NEW, answered }, "carriers");
+      this.#deps.send({ ...EMPTY_QUARANTINE_UPDATE, answered }, "carriers");
     }
     this.#holdController.tick(now);
   }
@@ -288,7 +288,7 @@
   }
 
   /** Announces the requests of a peer's crash reports that were recently answered here. They caused no crash. */
-  #answerReports({ crashes }: QuarantineNews, now: Instant): void {
+  #answerReports({ crashes }: QuarantineUpdate, now: Instant): void {
     for (const { victims, softwareVersion } of crashes) {
       victims.filter(({ content }) => this.#recentAnswers.has(content, now))
         .forEach(({ content }) =>
@@ -299,7 +299,7 @@
 
   /** Logs and reports a crash that this entry detected. */
   #reportCrash({ record, at, attempts }: CrashedEndpoint, now: Instant): void {
-    this.ends++;
+    this.crashes++;
     const fields = crashLogFields(
       { record, attempts },
       (content) => this.#history.crashCount(content),
@@ -320,7 +320,10 @@
     }
     this.#reportTimes.push(now);
     for (const part of splitReport(report)) {
-      this.#deps.tell({ ...NOTHING_NEW, crashes: [part] }, "carriers");
+      this.#deps.send(
+        { ...EMPTY_QUARANTINE_UPDATE, crashes: [part] },
+        "carriers",
+      );
     }
   }
 
--- a/packages/core/src/quarantine/quarantine_lines.ts
+++ b/packages/core/src/quarantine/quarantine_log.ts
@@ -5,7 +5,7 @@
  */
 import type { ContentDigest } from "../ids/index.ts";
 import type { HoldNotice } from "./quarantine_messages.ts";
-import type { CrashedEndpoint, LostAttempt } from "./crash_watch.ts";
+import type { CrashedEndpoint, LostAttempt } from "./crash_detector.ts";
 
 /**
  * Number of requests in one log entry. Those with the shortest time to the crash come first, because requests
--- a/packages/core/src/quarantine/quarantine_messages.ts
+++ b/packages/core/src/quarantine/quarantine_messages.ts
@@ -69,7 +69,7 @@
 }
 
 /** One message to other entries. */
-export interface QuarantineNews {
+export interface QuarantineUpdate {
   readonly crashes: readonly CrashReport[];
   /** Requests lost in earlier crashes that an endpoint answered since. */
   readonly answered: readonly AnsweredRequest[];
@@ -79,7 +79,7 @@
 }
 
 /** A message without content, to which senders add the part they need. */
-export const NOTHING_NEW: QuarantineNews = {
+export const EMPTY_QUARANTINE_UPDATE: QuarantineUpdate = {
   crashes: [],
   answered: [],
   tried: [],
--- a/packages/core/src/quarantine/trial_owner.ts
+++ b/packages/core/src/quarantine/trial_permission.ts
@@ -20,7 +20,9 @@
   /** Returns the published endpoints of all regions. */
   readonly endpoints: () => ReadonlyMap<EndpointId, EndpointRecord>;
   /** Returns the entries that serve the regions of the given zones. */
-  readonly carriers: (zones: ReadonlySet<ZoneId>) => readonly Incarnation[];
+  readonly servingEntries: (
+    zones: ReadonlySet<ZoneId>,
+  ) => readonly Incarnation[];
 }
 
 /**
@@ -28,7 +30,7 @@
  * the entries that serve a region with endpoints to try the request on.
  */
 export function createTrialPermission(
-  { self, endpoints, carriers }: TrialDependencies,
+  { self, endpoints, servingEntries: carriers }: TrialDependencies,
   { content, services }: {
     content: ContentDigest;
     services: readonly ServiceId[];
--- a/packages/core/src/requests/__tests__/endpoint_rest.test.ts
+++ b/packages/core/src/requests/__tests__/endpoint_rest.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from "vitest";
 import {
-  dispatched,
-  ReadyCore,
-  refusedFor,
-} from "../../__tests__/ready_core.ts";
+  CoreFixture,
+  dispatchedTargets,
+  refusalReason,
+} from "../../__tests__/core_fixture.ts";
 import {
   type AttemptEnd,
   type AttemptId,
@@ -22,28 +22,33 @@
   };
 }
 
-function refuseWithRest(core: ReadyCore, effects: readonly Effect[]): Effect[] {
+function refuseWithRest(
+  core: CoreFixture,
+  effects: readonly Effect[],
+): Effect[] {
   const attempt = effects.flatMap((effect): AttemptId[] =>
     effect.kind === "dispatch" ? [effect.attempt.id] : []
   )[0]!;
-  core.tell({ kind: "commit", attempt });
-  return core.tell({ kind: "attemptEnded", attempt, end: refusedWithRest() });
+  core.handle({ kind: "commit", attempt });
+  return core.handle({ kind: "attemptEnded", attempt, end: refusedWithRest() });
 }
 
 describe("an endpoint that refuses a request with a retry time", () => {
   // Guards against sending requests to an endpoint during a time for which it asked for none by `Retry-After`.
   it("gets no requests until then, even if no other endpoint is available", () => {
-    const core = new ReadyCore(ENDPOINTS);
-    const first = core.send({ service: "lookup" }).effects;
+    const core = new CoreFixture(ENDPOINTS);
+    const first = core.sendRequest({ service: "lookup" }).effects;
     const second = refuseWithRest(core, first);
-    expect(new Set([...dispatched(first), ...dispatched(second)]))
+    expect(new Set([...dispatchedTargets(first), ...dispatchedTargets(second)]))
       .toEqual(new Set(["e1", "e2"]));
     refuseWithRest(core, second);
-    core.pass(REST_MS - 100);
-    const { effects } = core.send({ service: "lookup" });
-    expect(dispatched(effects)).toEqual([]);
-    expect(refusedFor(effects)).toBeDefined();
-    core.pass(200);
-    expect(dispatched(core.send({ service: "lookup" }).effects).length).toBe(1);
+    core.advance(REST_MS - 100);
+    const { effects } = core.sendRequest({ service: "lookup" });
+    expect(dispatchedTargets(effects)).toEqual([]);
+    expect(refusalReason(effects)).toBeDefined();
+    core.advance(200);
+    expect(
+      dispatchedTargets(core.sendRequest({ service: "lookup" }).effects).length,
+    ).toBe(1);
   });
 });
--- a/packages/core/src/requests/active_request.ts
+++ b/packages/core/src/requests/active_request.ts
@@ -6,7 +6,11 @@
 import type { KeyOwner } from "../actions/index.ts";
 import type { Instant } from "../ids/index.ts";
 import type { Attempt, BodyFacts, RequestHead } from "../messages/index.ts";
-import type { HomedCustomer, RequestClass, Service } from "../text/index.ts";
+import type {
+  ConfiguredCustomer,
+  RequestClass,
+  Service,
+} from "../text/index.ts";
 import { AttemptLog } from "../verdict/index.ts";
 import type { Interruption } from "./interruption.ts";
 
@@ -28,7 +32,7 @@
 /** A request that was admitted. */
 export interface ActiveRequest {
   readonly head: RequestHead;
-  readonly customer: HomedCustomer;
+  readonly customer: ConfiguredCustomer;
   readonly service: Service;
   readonly requestClass: RequestClass;
   readonly keyOwner: KeyOwner | undefined;
--- a/packages/core/src/requests/admission.ts
+++ b/packages/core/src/requests/admission.ts
@@ -13,15 +13,15 @@
 } from "../ids/index.ts";
 import type { RequestHead } from "../messages/index.ts";
 import type {
+  ConfiguredCustomer,
   Deployment,
-  HomedCustomer,
   RequestClass,
   Service,
 } from "../text/index.ts";
 import {
+  createRefusal,
   NOT_RUN,
   type Refusal,
-  refusal,
   type RefusalReason,
 } from "../verdict/index.ts";
 import { type Admission, isRepeatable } from "./active_request.ts";
@@ -45,7 +45,7 @@
 
 const refuse: Refuse = (reason, detail, options = {}) => ({
   ok: false,
-  refusal: refusal(reason, { detail, verdict: NOT_RUN, ...options }),
+  refusal: createRefusal(reason, { detail, verdict: NOT_RUN, ...options }),
 });
 
 /**
@@ -84,7 +84,7 @@
   board: Blackboard,
   { head, customer, deployment }: {
     head: RequestHead;
-    customer: HomedCustomer;
+    customer: ConfiguredCustomer;
     deployment: Deployment;
   },
   now: Instant,
@@ -121,7 +121,7 @@
   board: Blackboard,
   { head, customer, service }: {
     head: RequestHead;
-    customer: HomedCustomer;
+    customer: ConfiguredCustomer;
     service: Service;
   },
   now: Instant,
--- a/packages/core/src/requests/answers.ts
+++ b/packages/core/src/requests/answer_sender.ts
@@ -5,23 +5,23 @@
  */
 import { type ActionController, parseKey } from "../actions/index.ts";
 import type { Blackboard } from "../blackboard/index.ts";
-import type { Explanations } from "../explain/index.ts";
+import type { DecisionLog } from "../explain/index.ts";
 import type { Instant, ServiceId } from "../ids/index.ts";
 import {
+  type ActionOutcome,
   type Emit,
   type FinalAnswer,
   MAX_STORED_ANSWER_BYTES,
-  type Outcome,
   type RequestHead,
 } from "../messages/index.ts";
 import type { Metrics } from "../metrics/index.ts";
 import {
+  createRefusal,
   MAY_HAVE_RUN_OPEN,
   MAY_HAVE_RUN_SETTLED,
   NOT_RUN,
   RAN,
   type Refusal,
-  refusal,
   type RefusalReason,
   type Verdict,
 } from "../verdict/index.ts";
@@ -42,7 +42,7 @@
 export interface AnswerDependencies {
   readonly emit: Emit;
   readonly actions: ActionController;
-  readonly explanations: Explanations;
+  readonly explanations: DecisionLog;
   readonly metrics: Metrics;
   readonly table: RequestTable;
 }
@@ -83,7 +83,7 @@
     const verdict = detail.verdict ?? this.#verdictOf(request, now);
     const thisSend = request.attempts.verdict();
     const differs = thisSend.kind !== verdict.kind;
-    return refusal(reason, {
+    return createRefusal(reason, {
       ...detail,
       verdict,
       ...(differs ? { thisSend } : {}),
@@ -96,7 +96,7 @@
     const finalRefusal = verdict === undefined
       ? refused
       : { ...refused, verdict, thisSend: NOT_RUN };
-    this.#dependencies.explanations.note(head.id, now, {
+    this.#dependencies.explanations.record(head.id, now, {
       text: "Refused",
       reason: finalRefusal.reason,
       verdict: finalRefusal.verdict.kind,
@@ -106,7 +106,7 @@
 
   /** Sends the final answer, unless the caller already has one or has disconnected, and removes the request. */
   finish(request: ActiveRequest, answer: FinalAnswer, now: Instant): void {
-    this.#dependencies.explanations.note(request.head.id, now, {
+    this.#dependencies.explanations.record(request.head.id, now, {
       text: "Answered",
       ...describeAnswer(answer),
     });
@@ -118,7 +118,7 @@
 
   /** Answers the caller now while its action continues to run. */
   answerEarly(request: ActiveRequest, refused: Refusal, now: Instant): void {
-    this.#dependencies.explanations.note(request.head.id, now, {
+    this.#dependencies.explanations.record(request.head.id, now, {
       text: "Answered while the action runs on",
       reason: refused.reason,
     });
@@ -141,7 +141,11 @@
   }
 
   /** Answers a request whose key was already used, with the outcome of the earlier send. */
-  answerOutcome(request: ActiveRequest, outcome: Outcome, now: Instant): void {
+  answerOutcome(
+    request: ActiveRequest,
+    outcome: ActionOutcome,
+    now: Instant,
+  ): void {
     if (outcome.kind === "ran") {
       this.finish(request, {
         kind: "answered",
@@ -167,7 +171,11 @@
   }
 
   /** Records an action's outcome and answers all sends that wait for it. */
-  recordOutcome(request: ActiveRequest, outcome: Outcome, now: Instant): void {
+  recordOutcome(
+    request: ActiveRequest,
+    outcome: ActionOutcome,
+    now: Instant,
+  ): void {
     if (!request.ownsAction) {
       return;
     }
@@ -249,7 +257,7 @@
   }
 }
 
-function toStorableOutcome(outcome: Outcome): Outcome {
+function toStorableOutcome(outcome: ActionOutcome): ActionOutcome {
   const tooLarge = outcome.kind === "ran" &&
     Buffer.byteLength(outcome.answer.body, "base64") > MAX_STORED_ANSWER_BYTES;
   return tooLarge ? { kind: "ran_unkept" } : outcome;
--- a/packages/core/src/requests/attempt_tracker.ts
+++ b/packages/core/src/requests/attempt_tracker.ts
@@ -6,7 +6,7 @@
 import type { ActionController } from "../actions/index.ts";
 import type { Blackboard } from "../blackboard/index.ts";
 import type { EndpointController } from "../endpoints/index.ts";
-import type { Explanations } from "../explain/index.ts";
+import type { DecisionLog } from "../explain/index.ts";
 import type { AttemptId, Instant } from "../ids/index.ts";
 import type { Attempt, AttemptEnd, Emit } from "../messages/index.ts";
 import type { Measure, Metrics } from "../metrics/index.ts";
@@ -22,14 +22,14 @@
   isRepeatable,
   needsConfirmedConfiguration,
 } from "./active_request.ts";
-import type { AnswerSender } from "./answers.ts";
+import type { AnswerSender } from "./answer_sender.ts";
 import { interruptionOf, resumptionFields } from "./interruption.ts";
-import { attemptStateOf } from "./judge_end.ts";
+import { attemptStateOf } from "./attempt_state.ts";
 import type { RequestTable } from "./request_table.ts";
 import type { RequestQuarantine } from "./request_quarantine.ts";
 import { RetryBudget } from "./retry_budget.ts";
 import { DEFAULT_RETRY_MS, type Router } from "./router.ts";
-import type { SpillTracker } from "./spills.ts";
+import type { SpillTracker } from "./spill_tracker.ts";
 
 /** Maximum number of attempts of one request, including the first. */
 export const MAX_ATTEMPTS = 3;
@@ -45,7 +45,7 @@
   readonly actions: ActionController;
   readonly answers: AnswerSender;
   readonly endpoints: EndpointController;
-  readonly explanations: Explanations;
+  readonly explanations: DecisionLog;
   readonly metrics: Metrics;
   readonly router: Router;
   readonly spills: SpillTracker;
@@ -91,7 +91,7 @@
       this.#dependencies.emit({ kind: "proceed", attempt: id });
       return undefined;
     }
-    this.#dependencies.explanations.note(request.head.id, now, {
+    this.#dependencies.explanations.record(request.head.id, now, {
       text: "Withdrew the attempt",
       obstacle,
     });
@@ -168,7 +168,7 @@
     }
     this.#recordRest(attempt, end, now);
     this.#closeAttempt(request, state, now);
-    this.#dependencies.explanations.note(request.head.id, now, {
+    this.#dependencies.explanations.record(request.head.id, now, {
       text: "Attempt ended",
       end: end.kind,
       state,
@@ -265,7 +265,7 @@
       return;
     }
     this.#dependencies.metrics.count("verdicts", "ran");
-    this.#dependencies.explanations.note(request.head.id, now, {
+    this.#dependencies.explanations.record(request.head.id, now, {
       text: "Streamed to the end",
       tokens: request.offset,
     });
--- a/packages/core/src/requests/capacity.ts
+++ b/packages/core/src/requests/capacity.ts
@@ -5,7 +5,11 @@
  */
 import type { Blackboard, Endpoint } from "../blackboard/index.ts";
 import { type Instant, type Milliseconds, milliseconds } from "../ids/index.ts";
-import { activeAt, holdTimeOf, roomAt } from "../routing/index.ts";
+import {
+  estimateActive,
+  estimateFreeSlots,
+  meanSlotTime,
+} from "../routing/index.ts";
 import type { Service } from "../text/index.ts";
 
 /** Returns the endpoints of a service that accept new requests. */
@@ -77,24 +81,24 @@
   endpoint: Endpoint,
   { entries, now }: { entries: number; now: Instant },
 ): number[] {
-  const holdTime = holdTimeOf(endpoint);
+  const holdTime = meanSlotTime(endpoint);
   const waits = [...endpoint.inFlight.values()].map((startedAt) =>
     Math.max(0, startedAt + holdTime - now)
   );
   const inFlightOfOthers = Math.max(
     0,
-    activeAt(endpoint) - endpoint.inFlight.size,
+    estimateActive(endpoint) - endpoint.inFlight.size,
   );
   const expectedSlots = Math.ceil(inFlightOfOthers / entries);
   for (let index = 1; index <= expectedSlots; index++) {
     waits.push((holdTime * index) / (expectedSlots + 1));
   }
-  const free = Math.max(0, roomAt(endpoint));
+  const free = Math.max(0, estimateFreeSlots(endpoint));
   return [...waits, ...new Array<number>(free).fill(0)];
 }
 
 function longestHoldTime(endpoints: readonly Endpoint[]): number {
-  return Math.max(...endpoints.map(holdTimeOf));
+  return Math.max(...endpoints.map(meanSlotTime));
 }
 
 function countReadyEntries(board: Blackboard): number {
--- a/packages/core/src/requests/demand_parts.ts
+++ b/packages/core/src/requests/customer_rate_limits.ts
@@ -12,11 +12,11 @@
 } from "../ids/index.ts";
 import {
   type CustomerLimit,
-  FadingSum,
+  DecayingSum,
   LimitBucket,
 } from "../customers/index.ts";
-import type { Demand } from "../messages/index.ts";
-import type { HomedCustomer } from "../text/index.ts";
+import type { CustomerDemand } from "../messages/index.ts";
+import type { ConfiguredCustomer } from "../text/index.ts";
 
 /** Time constant of the moving average of demand. */
 const DEMAND_WINDOW_MS = 5_000;
@@ -28,7 +28,7 @@
 interface Account {
   readonly bucket: LimitBucket;
   /** Exponentially decaying count of requests. */
-  readonly requests: FadingSum;
+  readonly requests: DecayingSum;
   lastRequestAt: Instant;
 }
 
@@ -42,7 +42,7 @@
   }
 
   /** Charges one request against the customer's share. Returns the time to wait if the share is used up. */
-  take(customer: HomedCustomer, now: Instant): Milliseconds | undefined {
+  take(customer: ConfiguredCustomer, now: Instant): Milliseconds | undefined {
     const { limit } = customer;
     if (limit === undefined) {
       return undefined;
@@ -51,7 +51,7 @@
     this.#accounts.set(customer.id, account);
     account.lastRequestAt = now;
     account.requests.add(1, now);
-    account.bucket.rebound(limit);
+    account.bucket.setLimit(limit);
     const share = this.#shareOf({ customer, limit }, rateOf(account, now));
     account.bucket.refill(share, now);
     return account.bucket.take(1)
@@ -80,7 +80,7 @@
    * equally between all members.
    */
   #shareOf(
-    { customer, limit }: { customer: HomedCustomer; limit: CustomerLimit },
+    { customer, limit }: { customer: ConfiguredCustomer; limit: CustomerLimit },
     ownDemand: number,
   ): number {
     const members = [...this.#board.membership.members.values()].filter((
@@ -106,12 +106,15 @@
       : ownDemand / totalDemand;
   }
 
-  #mayServe(member: Member, customer: HomedCustomer): boolean {
+  #mayServe(member: Member, customer: ConfiguredCustomer): boolean {
     return !customer.bound || member.record.region === customer.home;
   }
 }
 
-function demandOf(demand: readonly Demand[], customer: HomedCustomer): number {
+function demandOf(
+  demand: readonly CustomerDemand[],
+  customer: ConfiguredCustomer,
+): number {
   return demand.find((item) => item.customer === customer.id)
     ?.requestsPerSecond ?? 0;
 }
@@ -119,12 +122,12 @@
 function newAccount(limit: CustomerLimit, now: Instant): Account {
   return {
     bucket: new LimitBucket(limit, { level: limit.burst, now }),
-    requests: new FadingSum(DEMAND_WINDOW_MS),
+    requests: new DecayingSum(DEMAND_WINDOW_MS),
     lastRequestAt: now,
   };
 }
 
 /** Returns the requests per second. */
 function rateOf({ requests }: Account, now: Instant): number {
-  return requests.of(now) * 1_000 / DEMAND_WINDOW_MS;
+  return requests.valueAt(now) * 1_000 / DEMAND_WINDOW_MS;
 }
--- a/packages/core/src/requests/entry_list.ts
+++ b/packages/core/src/requests/entry_list.ts
@@ -13,7 +13,7 @@
   rendezvous,
 } from "../ids/index.ts";
 import type { MemberRecord } from "../messages/index.ts";
-import type { HomedCustomer, Service } from "../text/index.ts";
+import type { ConfiguredCustomer, Service } from "../text/index.ts";
 
 /** Time for which callers may use a list. */
 export const ENTRY_LIST_LIFETIME_MS = 10_000;
@@ -36,7 +36,7 @@
 export interface EntryList {
   readonly entries: readonly ListedEntry[];
   /** Time for which the list may be used. */
-  readonly holdsFor: Milliseconds;
+  readonly validFor: Milliseconds;
 }
 
 type EntryCandidate = Pick<
@@ -52,7 +52,7 @@
 export function listEntries(
   board: Blackboard,
   { customer, service }: {
-    customer: HomedCustomer;
+    customer: ConfiguredCustomer;
     service: Service | undefined;
   },
   now: Instant,
@@ -73,7 +73,7 @@
   );
   return {
     entries: ordered.slice(0, MAX_LISTED_ENTRIES).map(toListedEntry),
-    holdsFor: milliseconds(ENTRY_LIST_LIFETIME_MS),
+    validFor: milliseconds(ENTRY_LIST_LIFETIME_MS),
   };
 }
 
@@ -94,7 +94,7 @@
 }
 
 function allowedRegions(
-  customer: HomedCustomer,
+  customer: ConfiguredCustomer,
   service: Service | undefined,
 ): readonly RegionId[] | undefined {
   if (service === undefined) {
--- a/packages/core/src/requests/index.ts
+++ b/packages/core/src/requests/index.ts
@@ -13,7 +13,7 @@
   listEntries,
   otherEntries,
 } from "./entry_list.ts";
-export { attemptStateOf } from "./judge_end.ts";
+export { attemptStateOf } from "./attempt_state.ts";
 export { RequestQuarantine } from "./request_quarantine.ts";
 export { RequestController } from "./request_controller.ts";
 export {
--- a/packages/core/src/requests/key_router.ts
+++ b/packages/core/src/requests/key_router.ts
@@ -5,7 +5,7 @@
  */
 import type { ActionController, KeyStatus } from "../actions/index.ts";
 import type { Blackboard, Member } from "../blackboard/index.ts";
-import type { Explanations } from "../explain/index.ts";
+import type { DecisionLog } from "../explain/index.ts";
 import type { Instant } from "../ids/index.ts";
 import type { MemberRecord } from "../messages/index.ts";
 import {
@@ -14,7 +14,7 @@
   NOT_RUN,
 } from "../verdict/index.ts";
 import type { ActiveRequest } from "./active_request.ts";
-import type { AnswerSender } from "./answers.ts";
+import type { AnswerSender } from "./answer_sender.ts";
 import type { RequestTable } from "./request_table.ts";
 import { DEFAULT_RETRY_MS, type Router } from "./router.ts";
 
@@ -25,7 +25,7 @@
 export interface KeyRouterDependencies {
   readonly actions: ActionController;
   readonly answers: AnswerSender;
-  readonly explanations: Explanations;
+  readonly explanations: DecisionLog;
   readonly router: Router;
   readonly table: RequestTable;
 }
@@ -51,7 +51,7 @@
       request.keyOwner,
       now,
     );
-    this.#dependencies.explanations.note(request.head.id, now, {
+    this.#dependencies.explanations.record(request.head.id, now, {
       text: "Looked up the key",
       standing: status.kind,
     });
--- a/packages/core/src/requests/request_controller.ts
+++ b/packages/core/src/requests/request_controller.ts
@@ -15,13 +15,13 @@
   AttemptEnd,
   BodyFacts,
   RequestHead,
-  Spare,
+  SpareCapacity,
 } from "../messages/index.ts";
 import {
+  createRefusal,
   MAY_HAVE_RUN_OPEN,
   NOT_RUN,
   type Refusal,
-  refusal,
 } from "../verdict/index.ts";
 import {
   type ActiveRequest,
@@ -29,10 +29,10 @@
   newActiveRequest,
 } from "./active_request.ts";
 import { admit } from "./admission.ts";
-import { AnswerSender } from "./answers.ts";
+import { AnswerSender } from "./answer_sender.ts";
 import { AttemptTracker } from "./attempt_tracker.ts";
 import { predictWait, usableEndpoints } from "./capacity.ts";
-import { CustomerRateLimits } from "./demand_parts.ts";
+import { CustomerRateLimits } from "./customer_rate_limits.ts";
 import { otherEntries } from "./entry_list.ts";
 import { KeyRouter } from "./key_router.ts";
 import {
@@ -42,8 +42,8 @@
 } from "./request_dependencies.ts";
 import { RequestTable } from "./request_table.ts";
 import { DEFAULT_RETRY_MS, Router } from "./router.ts";
-import { measureSpareCapacity } from "./spare.ts";
-import { SpillTracker } from "./spills.ts";
+import { measureSpareCapacity } from "./spare_capacity.ts";
+import { SpillTracker } from "./spill_tracker.ts";
 
 /** Handles requests. Implements the `requests` section of the blackboard. */
 export class RequestController implements RequestsView {
@@ -104,7 +104,7 @@
     return this.#customerLimits.demand(now);
   }
 
-  spare(now: Instant): readonly Spare[] {
+  spare(now: Instant): readonly SpareCapacity[] {
     return measureSpareCapacity(
       this.#board,
       (service) => this.#table.queueOf(service).size,
@@ -128,7 +128,7 @@
     }
     this.#table.add(request);
     const { service, requestClass } = request;
-    this.#dependencies.explanations.note(head.id, now, {
+    this.#dependencies.explanations.record(head.id, now, {
       text: "Admitted",
       service: service.id,
       class: requestClass,
@@ -162,7 +162,7 @@
     if (request === undefined || request.callerDone) {
       return;
     }
-    this.#dependencies.explanations.note(id, now, { text: "Caller gone" });
+    this.#dependencies.explanations.record(id, now, { text: "Caller gone" });
     request.callerDone = true;
     if (!request.ownsAction) {
       this.#attemptTracker.abort(request, now);
@@ -224,7 +224,7 @@
       this.#board.lifecycle.phase !== "ready" &&
       !this.#hasEarlierSend(request, now)
     ) {
-      return refusal("stopping", {
+      return createRefusal("stopping", {
         detail: "The entry is stopping",
         verdict: NOT_RUN,
         retryAfter: milliseconds(0),
@@ -237,7 +237,7 @@
       : this.#customerLimits.take(customer, now);
     if (limitWait !== undefined) {
       const detail = "The customer's requests a second are used up";
-      return refusal("customer_limit", {
+      return createRefusal("customer_limit", {
         detail,
         verdict: NOT_RUN,
         retryAfter: limitWait,
@@ -252,7 +252,7 @@
       endpoints: usableEndpoints(this.#board, service),
       ahead: queue.size,
     }, now);
-    return refusal("overloaded", {
+    return createRefusal("overloaded", {
       detail: "The queue is full",
       verdict: NOT_RUN,
       retryAfter: wait,
--- a/packages/core/src/requests/request_dependencies.ts
+++ b/packages/core/src/requests/request_dependencies.ts
@@ -5,7 +5,7 @@
  */
 import type { ActionController } from "../actions/index.ts";
 import type { EndpointController } from "../endpoints/index.ts";
-import type { Explanations } from "../explain/index.ts";
+import type { DecisionLog } from "../explain/index.ts";
 import type { Emit } from "../messages/index.ts";
 import type { Metrics } from "../metrics/index.ts";
 import type { Balancer } from "../routing/index.ts";
@@ -22,7 +22,7 @@
   readonly actions: ActionController;
   readonly endpoints: EndpointController;
   readonly balancer: Balancer;
-  readonly explanations: Explanations;
+  readonly explanations: DecisionLog;
   readonly metrics: Metrics;
   readonly quarantine: RequestQuarantine;
 }
--- a/packages/core/src/requests/request_quarantine.ts
+++ b/packages/core/src/requests/request_quarantine.ts
@@ -20,14 +20,14 @@
   type ServiceId,
   sha256,
 } from "../ids/index.ts";
-import type { ListenedTimeView } from "../listening/index.ts";
+import type { StallAdjustedClockView } from "../listening/index.ts";
 import type { Attempt, Emit, MemberRecord } from "../messages/index.ts";
 import {
-  NOTHING_NEW,
+  EMPTY_QUARANTINE_UPDATE,
   QuarantineController,
-  type QuarantineNews,
+  type QuarantineUpdate,
   type RequestFingerprint,
-  type WatchedEndpoint,
+  type TrackedEndpoint,
 } from "../quarantine/index.ts";
 import type { EndpointRecord } from "../routes/index.ts";
 import type { AttemptState } from "../verdict/index.ts";
@@ -46,7 +46,7 @@
 const NO_SENDER = "" as Incarnation;
 
 type MutableWatchedEndpoint = {
-  -readonly [Field in keyof WatchedEndpoint]: WatchedEndpoint[Field];
+  -readonly [Field in keyof TrackedEndpoint]: TrackedEndpoint[Field];
 };
 
 /** Holds back requests that crash the endpoints that run them. */
@@ -65,7 +65,7 @@
     board: Blackboard,
     { emit, listened, now }: {
       emit: Emit;
-      listened: ListenedTimeView;
+      listened: StallAdjustedClockView;
       now: Instant;
     },
   ) {
@@ -74,17 +74,17 @@
     this.#now = now;
     this.#controller = new QuarantineController({
       self: board.self,
-      listened,
-      claimTime: milliseconds(0),
+      clock: listened,
+      claimDelay: milliseconds(0),
       endpoints: () => this.#listedEndpoints(),
-      carriers: () => [
+      servingEntries: () => [
         board.self.incarnation,
         ...this.#livePeers().map(({ incarnation }) => incarnation),
       ],
       // A load poll shows whether the endpoint is running.
-      knock: ({ id, address: url }) =>
+      probePort: ({ id, address: url }) =>
         emit({ kind: "pollLoad", endpoint: id, url }),
-      tell: (news) => this.#broadcast(news),
+      send: (news) => this.#broadcast(news),
       log: (part, text, fields) => emit({ kind: "log", part, text, fields }),
     });
   }
@@ -97,7 +97,7 @@
   /** Returns the time after which to retry a request that is held back, `undefined` if it may run now. */
   waitIfHeld(request: ActiveRequest, now: Instant): Milliseconds | undefined {
     this.#now = now;
-    const verdict = this.#controller.judge({
+    const verdict = this.#controller.check({
       id: request.head.id,
       fingerprint: fingerprintOf(request),
       services: [poolOf(request)],
@@ -130,7 +130,7 @@
       const fingerprint = fingerprintOf(request);
       const path = request.service.id;
       const run = { attempt: id, fingerprint, path, sentAt: now };
-      this.#controller.began(watched, run, request.head.id);
+      this.#controller.noteSent(watched, run, request.head.id);
     }
   }
 
@@ -154,9 +154,13 @@
       ? "lost"
       : "refused";
     const fingerprint = fingerprintOf(request);
-    this.#controller.ended(watched, { attempt: id, fingerprint, end }, now);
+    this.#controller.noteOutcome(
+      watched,
+      { attempt: id, fingerprint, end },
+      now,
+    );
     if (end === "lost") {
-      this.#controller.broken(watched, now);
+      this.#controller.noteBrokenConnection(watched, now);
     }
   }
 
@@ -170,13 +174,13 @@
 
   /** Records that an endpoint did not answer a load poll. */
   loadPollFailed(endpoint: EndpointId): void {
-    this.#controller.refused({ id: endpoint, life: undefined });
+    this.#controller.notePortClosed({ id: endpoint, life: undefined });
   }
 
   /** Applies a peer's quarantine news. */
-  learn(news: QuarantineNews, now: Instant): void {
+  learn(news: QuarantineUpdate, now: Instant): void {
     this.#now = now;
-    this.#controller.learn(news, NO_SENDER, now);
+    this.#controller.apply(news, NO_SENDER, now);
   }
 
   tick(now: Instant): void {
@@ -191,16 +195,16 @@
 
   #sendHolds(now: Instant): void {
     const peers = this.#livePeers();
-    const holds = this.#controller.holds.next(now);
+    const holds = this.#controller.holds.nextNotices(now);
     if (holds.length > 0 && peers.length > 0) {
       this.#peerIndex++;
       const { controlUrl: url } = peers[this.#peerIndex % peers.length]!;
-      const news = { ...NOTHING_NEW, holds };
+      const news = { ...EMPTY_QUARANTINE_UPDATE, holds };
       this.#emit({ kind: "sendQuarantine", url, news });
     }
   }
 
-  #broadcast(news: QuarantineNews): void {
+  #broadcast(news: QuarantineUpdate): void {
     for (const { controlUrl: url } of this.#livePeers()) {
       this.#emit({ kind: "sendQuarantine", url, news });
     }
--- a/packages/core/src/requests/router.ts
+++ b/packages/core/src/requests/router.ts
@@ -5,7 +5,7 @@
  */
 import type { Blackboard, Endpoint } from "../blackboard/index.ts";
 import type { EndpointController } from "../endpoints/index.ts";
-import type { Explanations } from "../explain/index.ts";
+import type { DecisionLog } from "../explain/index.ts";
 import {
   type AttemptId,
   type Instant,
@@ -17,18 +17,18 @@
 import type { Metrics } from "../metrics/index.ts";
 import {
   type Balancer,
+  estimateFreeSlots,
   type RemoteCapacity,
-  roomAt,
 } from "../routing/index.ts";
 import { type ActiveRequest, isRepeatable } from "./active_request.ts";
-import type { AnswerSender } from "./answers.ts";
+import type { AnswerSender } from "./answer_sender.ts";
 import { predictWait, suspectEndpoints, usableEndpoints } from "./capacity.ts";
 import { otherEntries } from "./entry_list.ts";
 import type { RequestQuarantine } from "./request_quarantine.ts";
 import type { RequestTable } from "./request_table.ts";
 import type { ServiceQueue } from "./service_queue.ts";
-import type { SpillTracker } from "./spills.ts";
-import { RecentWaits } from "./wait_memory.ts";
+import type { SpillTracker } from "./spill_tracker.ts";
+import { RecentWaits } from "./recent_waits.ts";
 
 /** Retry time where no better estimate is known. */
 export const DEFAULT_RETRY_MS: Milliseconds = milliseconds(1_000);
@@ -42,7 +42,7 @@
   readonly emit: Emit;
   readonly endpoints: EndpointController;
   readonly balancer: Balancer;
-  readonly explanations: Explanations;
+  readonly explanations: DecisionLog;
   readonly metrics: Metrics;
   readonly table: RequestTable;
   readonly answers: AnswerSender;
@@ -149,7 +149,7 @@
     request.phase = "running";
     request.phaseSince = now;
     this.#dependencies.table.startAttempt(attempt.id, request);
-    this.#dependencies.explanations.note(request.head.id, now, {
+    this.#dependencies.explanations.record(request.head.id, now, {
       text: "Dispatched",
       target,
     });
@@ -224,7 +224,7 @@
       !request.tried.has(endpoint.vm.id)
     );
     const candidates = untried.length > 0 ? untried : usable;
-    return candidates.filter((endpoint) => roomAt(endpoint) > 0);
+    return candidates.filter((endpoint) => estimateFreeSlots(endpoint) > 0);
   }
 
   #enqueue(request: ActiveRequest, wait: Milliseconds, now: Instant): void {
@@ -240,7 +240,7 @@
     }
     request.phase = "queued";
     request.phaseSince = now;
-    explanations.note(request.head.id, now, {
+    explanations.record(request.head.id, now, {
       text: "Queued",
       predictedMs: Math.round(wait),
     });
@@ -261,7 +261,7 @@
     const usable = service === undefined
       ? []
       : usableEndpoints(this.#board, service);
-    if (!usable.some((endpoint) => roomAt(endpoint) > 0)) {
+    if (!usable.some((endpoint) => estimateFreeSlots(endpoint) > 0)) {
       return false;
     }
     const request = this.#dependencies.table.get(queue.take()!.request);
--- a/packages/core/src/requests/spare.ts
+++ b/packages/core/src/requests/spare_capacity.ts
@@ -5,20 +5,24 @@
  */
 import type { Blackboard } from "../blackboard/index.ts";
 import { type Instant, milliseconds, type ServiceId } from "../ids/index.ts";
-import type { Spare } from "../messages/index.ts";
-import { estimateFirstToken, roomAt, type Work } from "../routing/index.ts";
+import type { SpareCapacity } from "../messages/index.ts";
+import {
+  estimateFirstToken,
+  estimateFreeSlots,
+  type PromptFacts,
+} from "../routing/index.ts";
 import { usableEndpoints } from "./capacity.ts";
 
 /** Typical request without a cached prefix, for which the time to the first token is reported. */
-const COLD_WORK: Work = { promptTokens: 512, blocks: [] };
+const COLD_WORK: PromptFacts = { promptTokens: 512, blocks: [] };
 
 /** Returns free slots and the time to the first token for each service of the region. */
 export function measureSpareCapacity(
   board: Blackboard,
   queuedFor: (service: ServiceId) => number,
   now: Instant,
-): Spare[] {
-  const spare: Spare[] = [];
+): SpareCapacity[] {
+  const spare: SpareCapacity[] = [];
   for (
     const service of board.configuration.deployment?.services.values() ?? []
   ) {
@@ -27,7 +31,7 @@
     }
     const endpoints = usableEndpoints(board, service);
     const room = endpoints.reduce(
-      (sum, endpoint) => sum + Math.max(0, roomAt(endpoint)),
+      (sum, endpoint) => sum + Math.max(0, estimateFreeSlots(endpoint)),
       0,
     );
     const times = endpoints.map((endpoint) =>
--- a/packages/core/src/requests/spills.ts
+++ b/packages/core/src/requests/spill_tracker.ts
@@ -54,8 +54,8 @@
         service: request.service.id,
         home: self.region,
       }, now),
-      sentTo: this.#sentTo,
-      senders: this.#countSenders(),
+      inFlightByRegion: this.#sentTo,
+      senderCount: this.#countSenders(),
     }, now);
   }
 
--- a/packages/core/src/routes/catalogue_position.ts
+++ b/packages/core/src/routes/catalogue_position.ts
@@ -18,7 +18,7 @@
 };
 
 /** Whether `left` is later than `right`. */
-export function isAfter(
+export function isLaterPosition(
   left: CataloguePosition,
   right: CataloguePosition,
 ): boolean {
--- a/packages/core/src/routes/currency_messages.ts
+++ b/packages/core/src/routes/freshness_messages.ts
@@ -8,7 +8,7 @@
 import type { CatalogueChange } from "./endpoint_record.ts";
 
 /** Asks an entry for what it holds, to be answered at once. */
-export interface CurrencyQuestion {
+export interface FreshnessRequest {
   readonly kind: "question";
   /** Host and port to answer to. */
   readonly from: string;
@@ -18,13 +18,13 @@
 }
 
 /** Changes from the asker's revision to a later one of the same epoch, none of them to the document. */
-export interface PictureNews {
+export interface CatalogueDelta {
   readonly revision: Revision;
   readonly changes: readonly CatalogueChange[];
 }
 
 /** States what the asked entry holds. */
-export interface CurrencyAnswer {
+export interface FreshnessResponse {
   readonly kind: "answer";
   readonly incarnation: Incarnation;
   readonly sequence: number;
@@ -35,8 +35,8 @@
   /** Time since its document was known to be the newest. */
   readonly age: Milliseconds;
   /** `undefined` if there are no changes, or too many: then the asker reads the catalogue itself. */
-  readonly news: PictureNews | undefined;
+  readonly news: CatalogueDelta | undefined;
 }
 
 /** A message of this exchange. */
-export type CurrencyMessage = CurrencyQuestion | CurrencyAnswer;
+export type FreshnessMessage = FreshnessRequest | FreshnessResponse;
--- a/packages/core/src/routes/index.ts
+++ b/packages/core/src/routes/index.ts
@@ -3,8 +3,8 @@
 export * from "./route.ts";
 export * from "./route_table.ts";
 export type {
-  CurrencyAnswer,
-  CurrencyMessage,
-  CurrencyQuestion,
-  PictureNews,
-} from "./currency_messages.ts";
+  CatalogueDelta as CatalogueDelta,
+  FreshnessMessage as FreshnessMessage,
+  FreshnessRequest as FreshnessRequest,
+  FreshnessResponse as FreshnessResponse,
+} from "./freshness_messages.ts";
--- a/packages/core/src/routes/route_table.ts
+++ b/packages/core/src/routes/route_table.ts
@@ -48,7 +48,7 @@
   }
 
   /** All routes of a host. */
-  ofHost(host: string): readonly Route[] {
+  routesOfHost(host: string): readonly Route[] {
     return [...this.#hosts.get(normalizeHost(host))?.values() ?? []];
   }
 }
--- a/packages/core/src/routing/__tests__/routing.test.ts
+++ b/packages/core/src/routing/__tests__/routing.test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, it } from "vitest";
 import {
-  answers,
-  dispatched,
-  ReadyCore,
-  refusedFor,
-} from "../../__tests__/ready_core.ts";
+  CoreFixture,
+  dispatchedTargets,
+  finalAnswers,
+  refusalReason,
+} from "../../__tests__/core_fixture.ts";
 import { type AttemptEnd, type AttemptId, milliseconds } from "../../index.ts";
 
 const LOST: AttemptEnd = { kind: "lost", detail: "reset" };
@@ -21,12 +21,12 @@
 }
 
 function end(
-  core: ReadyCore,
+  core: CoreFixture,
   id: string,
   attemptEnd: AttemptEnd,
-): ReturnType<ReadyCore["tell"]> {
-  core.tell({ kind: "commit", attempt: id as AttemptId });
-  return core.tell({
+): ReturnType<CoreFixture["handle"]> {
+  core.handle({ kind: "commit", attempt: id as AttemptId });
+  return core.handle({
     kind: "attemptEnded",
     attempt: id as AttemptId,
     end: attemptEnd,
@@ -35,24 +35,29 @@
 
 describe("routing to engines", () => {
   it("never picks a full engine while another has free slots", () => {
-    const core = new ReadyCore(engines({ running: 4 }, { running: 0 }));
-    expect(dispatched(core.send({}).effects)).toEqual(["e2"]);
+    const core = new CoreFixture(engines({ running: 4 }, { running: 0 }));
+    expect(dispatchedTargets(core.sendRequest({}).effects)).toEqual(["e2"]);
   });
 
   it("counts its own requests since a lagging report", () => {
-    const core = new ReadyCore(engines({ slots: 2 }));
-    const sent = [1, 2, 3].flatMap(() => dispatched(core.send({}).effects));
-    core.report("e1", { slots: 2, running: 0, age: milliseconds(2_000) });
-    expect([sent, dispatched(core.pass(100))]).toEqual([["e1", "e1"], []]);
+    const core = new CoreFixture(engines({ slots: 2 }));
+    const sent = [1, 2, 3].flatMap(() =>
+      dispatchedTargets(core.sendRequest({}).effects)
+    );
+    core.reportLoad("e1", { slots: 2, running: 0, age: milliseconds(2_000) });
+    expect([sent, dispatchedTargets(core.advance(100))]).toEqual([
+      ["e1", "e1"],
+      [],
+    ]);
   });
 
   it("returns to the engine that has cached the prompt's prefix, while it has free slots", () => {
-    const core = new ReadyCore(engines({}, {}, {}, {}, {}, {}));
+    const core = new CoreFixture(engines({}, {}, {}, {}, {}, {}));
     const work = { promptTokens: 600, blocks: BLOCKS };
-    const [first] = dispatched(core.send({}, work).effects);
+    const [first] = dispatchedTargets(core.sendRequest({}, work).effects);
     end(core, "r1.1", { kind: "streamed" });
     const again = [2, 3, 4].map((number) => {
-      const endpoint = dispatched(core.send({}, work).effects)[0];
+      const endpoint = dispatchedTargets(core.sendRequest({}, work).effects)[0];
       end(core, `r${number}.1`, { kind: "streamed" });
       return endpoint;
     });
@@ -60,34 +65,34 @@
   });
 
   it("queues when all engines are full, and sends as soon as a slot is free", () => {
-    const core = new ReadyCore(engines({ slots: 1 }));
-    core.send({});
-    expect(dispatched(core.send({}).effects)).toEqual([]);
-    core.tell({ kind: "commit", attempt: "r1.1" as AttemptId });
-    const effects = core.tell({
+    const core = new CoreFixture(engines({ slots: 1 }));
+    core.sendRequest({});
+    expect(dispatchedTargets(core.sendRequest({}).effects)).toEqual([]);
+    core.handle({ kind: "commit", attempt: "r1.1" as AttemptId });
+    const effects = core.handle({
       kind: "attemptEnded",
       attempt: "r1.1" as AttemptId,
       end: { kind: "streamed" },
     });
-    expect(dispatched(effects)).toEqual(["e1"]);
+    expect(dispatchedTargets(effects)).toEqual(["e1"]);
   });
 
   it("tells callers when to retry, from the predicted queue time", () => {
-    const core = new ReadyCore(engines({ slots: 1, running: 0 }));
-    core.send({});
-    const { effects } = core.send({ deadline: milliseconds(300) });
-    expect(refusedFor(effects)).toBe("overloaded");
-    expect(answers(effects)[0]).toMatchObject({
+    const core = new CoreFixture(engines({ slots: 1, running: 0 }));
+    core.sendRequest({});
+    const { effects } = core.sendRequest({ deadline: milliseconds(300) });
+    expect(refusalReason(effects)).toBe("overloaded");
+    expect(finalAnswers(effects)[0]).toMatchObject({
       refusal: { retryAfter: 1_000, verdict: { kind: "not_run" } },
     });
   });
 
   it("retries a lost request elsewhere, and resumes a stream where it broke off", () => {
-    const core = new ReadyCore(engines({}, {}));
-    const [first] = dispatched(core.send({}).effects);
-    core.tell({ kind: "commit", attempt: "r1.1" as AttemptId });
-    core.tell({ kind: "progress", attempt: "r1.1" as AttemptId, offset: 7 });
-    const effects = core.tell({
+    const core = new CoreFixture(engines({}, {}));
+    const [first] = dispatchedTargets(core.sendRequest({}).effects);
+    core.handle({ kind: "commit", attempt: "r1.1" as AttemptId });
+    core.handle({ kind: "progress", attempt: "r1.1" as AttemptId, offset: 7 });
+    const effects = core.handle({
       kind: "attemptEnded",
       attempt: "r1.1" as AttemptId,
       end: LOST,
@@ -96,51 +101,54 @@
       effect.kind === "dispatch" ? [effect.attempt] : []
     );
     expect(attempt?.resumeOffset).toBe(7);
-    expect(dispatched(effects)).not.toEqual([first]);
+    expect(dispatchedTargets(effects)).not.toEqual([first]);
   });
 
   it("resumes every stream of an engine that dies, whatever the retry budget", () => {
     // Resuming a stream was counted as a retry. When an engine with 30 streams died, the budget of ten
     // retries ended most of them with an error although other engines had room.
-    const core = new ReadyCore(engines({ slots: 100 }, { slots: 100 }));
+    const core = new CoreFixture(engines({ slots: 100 }, { slots: 100 }));
     const attempts = Array.from(
       { length: 60 },
       (_, index) => `r${index + 1}.1` as AttemptId,
     );
-    attempts.forEach(() => core.send({}));
-    attempts.forEach((attempt) => core.tell({ kind: "commit", attempt }));
+    attempts.forEach(() => core.sendRequest({}));
+    attempts.forEach((attempt) => core.handle({ kind: "commit", attempt }));
     attempts.forEach((attempt) =>
-      core.tell({ kind: "progress", attempt, offset: 3 })
+      core.handle({ kind: "progress", attempt, offset: 3 })
     );
     const effects = attempts.flatMap((attempt) =>
-      core.tell({ kind: "attemptEnded", attempt, end: LOST })
+      core.handle({ kind: "attemptEnded", attempt, end: LOST })
     );
-    expect([dispatched(effects).length, answers(effects).length]).toEqual([
-      60,
-      0,
-    ]);
+    expect([dispatchedTargets(effects).length, finalAnswers(effects).length])
+      .toEqual([
+        60,
+        0,
+      ]);
   });
 
   it("stops retrying when the budget is used up and nothing was delivered", () => {
-    const core = new ReadyCore(
+    const core = new CoreFixture(
       engines({ slots: 100 }, { slots: 100 }, { slots: 100 }),
     );
     const effects = Array.from({ length: 30 }, (_, index) => {
-      core.send({});
+      core.sendRequest({});
       return end(core, `r${index + 1}.1`, LOST);
     }).flat();
-    expect([dispatched(effects).length, answers(effects).length]).toEqual([
-      10,
-      20,
-    ]);
+    expect([dispatchedTargets(effects).length, finalAnswers(effects).length])
+      .toEqual([
+        10,
+        20,
+      ]);
   });
 
   it("uses an endpoint that failed recently if there is no other", () => {
-    const core = new ReadyCore([{ id: "p1", pool: "lookup" }]);
-    core.send({ service: "lookup" });
+    const core = new CoreFixture([{ id: "p1", pool: "lookup" }]);
+    core.sendRequest({ service: "lookup" });
     end(core, "r1.1", { kind: "unsent", detail: "refused" });
-    expect(dispatched(core.send({ service: "lookup" }).effects)).toEqual([
-      "p1",
-    ]);
+    expect(dispatchedTargets(core.sendRequest({ service: "lookup" }).effects))
+      .toEqual([
+        "p1",
+      ]);
   });
 });
--- a/packages/core/src/routing/__tests__/spill.test.ts
+++ b/packages/core/src/routing/__tests__/spill.test.ts
@@ -30,8 +30,8 @@
   spilledShare: 0,
   spillLimit: 0.2,
   remotes: [remote()],
-  sentTo: new Map(),
-  senders: 4,
+  inFlightByRegion: new Map(),
+  senderCount: 4,
 };
 
 describe("spilling to another region", () => {
@@ -67,20 +67,20 @@
     }, false],
     ["no other region announces free capacity", { remotes: [] }, false],
     ["this entry's share of the free slots is in use", {
-      sentTo: new Map([[SOUTH, 3]]),
+      inFlightByRegion: new Map([[SOUTH, 3]]),
     }, false],
     [
       "this entry's share is not yet in use",
-      { sentTo: new Map([[SOUTH, 2]]) },
+      { inFlightByRegion: new Map([[SOUTH, 2]]) },
       true,
     ],
     ["a region that just became reachable again: one at a time", {
       remotes: [remote({ liveSince: NOW })],
-      sentTo: new Map([[SOUTH, 1]]),
+      inFlightByRegion: new Map([[SOUTH, 1]]),
     }, false],
     ["a region that became reachable again a while ago", {
       remotes: [remote()],
-      sentTo: new Map([[SOUTH, 1]]),
+      inFlightByRegion: new Map([[SOUTH, 1]]),
     }, true],
   ];
 
--- a/packages/core/src/routing/balancer.ts
+++ b/packages/core/src/routing/balancer.ts
@@ -7,18 +7,22 @@
 import type { Endpoint } from "../blackboard/index.ts";
 import { type Instant, type Randomness, rendezvous } from "../ids/index.ts";
 import {
-  activeAt,
+  estimateActive,
   estimateFirstToken,
   estimatePrefill,
+  type PromptFacts,
   slotCount,
-  type Work,
 } from "./estimate.ts";
 
 /** Chooses among the endpoints that may receive a request. */
 export interface Balancer {
   readonly name: BalancerName;
   /** Returns one of `candidates`, which must not be empty. */
-  choose(candidates: readonly Endpoint[], work: Work, now: Instant): Endpoint;
+  choose(
+    candidates: readonly Endpoint[],
+    work: PromptFacts,
+    now: Instant,
+  ): Endpoint;
 }
 
 /** Names of the balancers in the settings. */
@@ -58,7 +62,7 @@
   }
 
   choose(candidates: readonly Endpoint[]): Endpoint {
-    return minBy(pickTwo(candidates, this.#random), activeAt);
+    return minBy(pickTwo(candidates, this.#random), estimateActive);
   }
 }
 
@@ -87,7 +91,11 @@
     this.#random = random;
   }
 
-  choose(candidates: readonly Endpoint[], work: Work, now: Instant): Endpoint {
+  choose(
+    candidates: readonly Endpoint[],
+    work: PromptFacts,
+    now: Instant,
+  ): Endpoint {
     const compared = [
       ...this.#preferred(candidates, work),
       ...pickTwo(candidates, this.#random),
@@ -100,7 +108,7 @@
     );
   }
 
-  #preferred(candidates: readonly Endpoint[], work: Work): Endpoint[] {
+  #preferred(candidates: readonly Endpoint[], work: PromptFacts): Endpoint[] {
     const prefix = work.blocks[0];
     if (prefix === undefined) {
       return [];
@@ -112,7 +120,7 @@
     )
       .slice(0, AFFINITY_CHOICES)
       .filter((endpoint) =>
-        activeAt(endpoint) < slotCount(endpoint) * AFFINITY_LOAD_LIMIT
+        estimateActive(endpoint) < slotCount(endpoint) * AFFINITY_LOAD_LIMIT
       );
   }
 }
--- a/packages/core/src/routing/estimate.ts
+++ b/packages/core/src/routing/estimate.ts
@@ -5,7 +5,7 @@
  */
 import type { Endpoint } from "../blackboard/index.ts";
 import { type Instant, type Milliseconds, milliseconds } from "../ids/index.ts";
-import { BLOCK_TOKENS, type BodyFacts } from "../messages/index.ts";
+import { type BodyFacts, TOKENS_PER_BLOCK } from "../messages/index.ts";
 
 /** Slots assumed for an endpoint without a load report. */
 const DEFAULT_SLOTS = 4;
@@ -13,7 +13,7 @@
 const DEFAULT_SLOT_TIME_MS = 1_000;
 
 /** The properties of a request that estimates depend on. */
-export type Work = Pick<BodyFacts, "promptTokens" | "blocks">;
+export type PromptFacts = Pick<BodyFacts, "promptTokens" | "blocks">;
 
 /** Returns the number of slots of an endpoint. */
 export function slotCount(endpoint: Endpoint): number {
@@ -21,7 +21,7 @@
 }
 
 /** Returns the mean time that a request occupies a slot. */
-export function holdTimeOf(endpoint: Endpoint): number {
+export function meanSlotTime(endpoint: Endpoint): number {
   return endpoint.load?.holdTime || DEFAULT_SLOT_TIME_MS;
 }
 
@@ -29,7 +29,7 @@
  * Estimates the number of requests at an endpoint now: those of its last report and this entry's own that
  * started after the report was measured, which it cannot include.
  */
-export function activeAt(endpoint: Endpoint): number {
+export function estimateActive(endpoint: Endpoint): number {
   const { load, loadAt, inFlight } = endpoint;
   if (load === undefined || loadAt === undefined) {
     return inFlight.size;
@@ -42,14 +42,14 @@
 }
 
 /** Estimates the number of free slots. Negative if requests are queued. */
-export function roomAt(endpoint: Endpoint): number {
-  return slotCount(endpoint) - activeAt(endpoint);
+export function estimateFreeSlots(endpoint: Endpoint): number {
+  return slotCount(endpoint) - estimateActive(endpoint);
 }
 
 /** Estimates how many prompt tokens are in the endpoint's prefix cache. Only leading blocks count. */
 export function cachedTokens(
   endpoint: Endpoint,
-  work: Work,
+  work: PromptFacts,
   now: Instant,
 ): number {
   let blocks = 0;
@@ -60,21 +60,21 @@
     }
     blocks++;
   }
-  return Math.min(work.promptTokens, blocks * BLOCK_TOKENS);
+  return Math.min(work.promptTokens, blocks * TOKENS_PER_BLOCK);
 }
 
 /** Estimates the wait for a free slot at an endpoint. */
 export function estimateSlotWait(endpoint: Endpoint): Milliseconds {
-  const excess = activeAt(endpoint) - slotCount(endpoint) + 1;
+  const excess = estimateActive(endpoint) - slotCount(endpoint) + 1;
   return milliseconds(
-    excess <= 0 ? 0 : (excess * holdTimeOf(endpoint)) / slotCount(endpoint),
+    excess <= 0 ? 0 : (excess * meanSlotTime(endpoint)) / slotCount(endpoint),
   );
 }
 
 /** Estimates the time to process the part of the prompt that is not in the prefix cache. */
 export function estimatePrefill(
   endpoint: Endpoint,
-  work: Work,
+  work: PromptFacts,
   now: Instant,
 ): Milliseconds {
   const rate = endpoint.load?.prefillRate ?? 0;
@@ -85,7 +85,7 @@
 /** Estimates the time to the first token at an endpoint. */
 export function estimateFirstToken(
   endpoint: Endpoint,
-  work: Work,
+  work: PromptFacts,
   now: Instant,
 ): Milliseconds {
   return milliseconds(
--- a/packages/core/src/routing/spill.ts
+++ b/packages/core/src/routing/spill.ts
@@ -45,9 +45,9 @@
   readonly spillLimit: number;
   readonly remotes: readonly RemoteCapacity[];
   /** This entry's requests in flight to each region. */
-  readonly sentTo: ReadonlyMap<RegionId, number>;
+  readonly inFlightByRegion: ReadonlyMap<RegionId, number>;
   /** Number of entries in other regions that may use the same free capacity. */
-  readonly senders: number;
+  readonly senderCount: number;
 }
 
 /** Returns the best region to send the request to, `undefined` to keep it in this region. */
@@ -91,9 +91,9 @@
     1,
     Math.max(0, now - remote.liveSince) / RECOVERY_RAMP_MS,
   );
-  const share = (remote.slots * ramp) / Math.max(1, input.senders);
+  const share = (remote.slots * ramp) / Math.max(1, input.senderCount);
   const allowed = Math.max(remote.slots >= 1 ? 1 : 0, Math.floor(share));
-  return (input.sentTo.get(remote.region) ?? 0) < allowed;
+  return (input.inFlightByRegion.get(remote.region) ?? 0) < allowed;
 }
 
 function estimateRemoteMs(remote: RemoteCapacity): number {
--- a/packages/core/src/streams/token_stream.ts
+++ b/packages/core/src/streams/token_stream.ts
@@ -35,7 +35,7 @@
 /** The index of the next token to deliver and the current attempt. */
 interface StreamProgress {
   nextOffset: number;
-  attempt: AttemptFrames | undefined;
+  attempt: AttemptStream | undefined;
 }
 
 /**
@@ -58,8 +58,8 @@
   }
 
   /** Continues with another attempt at `offset`. Frames of the previous attempt are foreign from now on. */
-  begin(id: string): AttemptFrames {
-    const attempt = new AttemptFrames(id, this.#progress);
+  begin(id: string): AttemptStream {
+    const attempt = new AttemptStream(id, this.#progress);
     this.#progress.attempt = attempt;
     return attempt;
   }
@@ -72,7 +72,7 @@
  * between two frames would seem to have finished, and a user would read half an instruction. `isWhole` is
  * true only after the end marker and every token before it.
  */
-export class AttemptFrames {
+export class AttemptStream {
   readonly #id: string;
   readonly #progress: StreamProgress;
   readonly #buffered = new Map<number, string>();
@@ -93,7 +93,7 @@
   }
 
   /** Number of buffered tokens that wait for an earlier one. */
-  get held(): number {
+  get bufferedCount(): number {
     return this.#buffered.size;
   }
 
--- a/packages/core/src/text/__tests__/parse.test.ts
+++ b/packages/core/src/text/__tests__/parse.test.ts
@@ -3,11 +3,11 @@
 import { describe, expect, it } from "vitest";
 import {
   applyPatch,
+  createTextPatch,
   diffDeployments,
-  diffText,
   formatFault,
+  parseConfiguration,
   type ParseResult,
-  parseText,
 } from "../index.ts";
 
 const DIGEST = "a".repeat(64);
@@ -40,11 +40,13 @@
         `../../../../../examples/${name}.ini`,
         import.meta.url,
       );
-      expect(faultsOf(parseText(readFileSync(url, "utf8")))).toEqual([]);
+      expect(faultsOf(parseConfiguration(readFileSync(url, "utf8")))).toEqual(
+        [],
+      );
     });
 
     it("fills in defaults", () => {
-      const result = parseText(VALID_TEXT);
+      const result = parseConfiguration(VALID_TEXT);
       const customer = result.ok
         ? [...result.deployment.customers.values()][0]
         : undefined;
@@ -69,7 +71,7 @@
 `;
 
     it("are parsed with their defaults", () => {
-      const result = parseText(VALID_TEXT + ROUTE);
+      const result = parseConfiguration(VALID_TEXT + ROUTE);
       const route = result.ok
         ? [...result.deployment.routes.values()][0]
         : undefined;
@@ -86,7 +88,7 @@
     });
 
     it("accept services with weights", () => {
-      const result = parseText(
+      const result = parseConfiguration(
         VALID_TEXT + ROUTE.replace("services = pool", "services = pool:90"),
       );
       expect(result.ok && [...result.deployment.routes.values()][0]!.targets)
@@ -103,7 +105,9 @@
       ["kind = stream\nresumable = yes", "kind = non_idempotent", "1: a call"],
       ["host = kiosk.example", "host = Kiosk", "lower case"],
     ])("are invalid with %s replaced by %s", (from, to, expected) => {
-      const faults = faultsOf(parseText(VALID_TEXT + ROUTE.replace(from, to)));
+      const faults = faultsOf(
+        parseConfiguration(VALID_TEXT + ROUTE.replace(from, to)),
+      );
       expect(faults.join("\n")).toContain(
         expected === "repeated" ? "kind" : expected,
       );
@@ -112,14 +116,14 @@
     it("must have distinct hosts and paths", () => {
       const twice = VALID_TEXT + ROUTE +
         ROUTE.replace("route ask", "route again");
-      expect(faultsOf(parseText(twice)).join()).toContain(
+      expect(faultsOf(parseConfiguration(twice)).join()).toContain(
         'a place that route "ask" does not have',
       );
     });
 
     it("appear in a diff", () => {
-      const before = parseText(VALID_TEXT + ROUTE);
-      const next = parseText(
+      const before = parseConfiguration(VALID_TEXT + ROUTE);
+      const next = parseConfiguration(
         VALID_TEXT + ROUTE.replace("services = pool", "services = pool:9"),
       );
       const changes = before.ok && next.ok
@@ -205,7 +209,9 @@
     it.each(cases)(
       "is reported with line, key, found and expected value: %s",
       (_, text, expected) => {
-        expect(faultsOf(parseText(text)).join("\n")).toContain(expected);
+        expect(faultsOf(parseConfiguration(text)).join("\n")).toContain(
+          expected,
+        );
       },
     );
 
@@ -214,7 +220,9 @@
         "home = north",
         "home = south",
       ).replace("kind = model", "kind = x");
-      expect(faultsOf(parseText(text)).length).toBeGreaterThanOrEqual(2);
+      expect(faultsOf(parseConfiguration(text)).length).toBeGreaterThanOrEqual(
+        2,
+      );
     });
 
     it("may have a dependency cycle over several services", () => {
@@ -223,7 +231,9 @@
       const text = VALID_TEXT + service("a", "b") + service("b", "c") +
         service("c", "a");
       expect(
-        faultsOf(parseText(text)).filter((fault) => fault.includes("no cycle")),
+        faultsOf(parseConfiguration(text)).filter((fault) =>
+          fault.includes("no cycle")
+        ),
       ).toHaveLength(3);
     });
 
@@ -242,20 +252,23 @@
         fc.array(lines).map((parts) => parts.join("\n")),
       );
       fc.assert(
-        fc.property(text, (input) => typeof parseText(input).ok === "boolean"),
+        fc.property(
+          text,
+          (input) => typeof parseConfiguration(input).ok === "boolean",
+        ),
       );
     });
   });
 
   describe("diffs and patches", () => {
     it("warn about a changed home", () => {
-      const before = parseText(
+      const before = parseConfiguration(
         `${VALID_TEXT}[region south]\nzones = s\n`.replace(
           "regions = north",
           "regions = north, south",
         ),
       );
-      const next = parseText(
+      const next = parseConfiguration(
         `${VALID_TEXT}[region south]\nzones = s\n`.replace(
           "regions = north",
           "regions = north, south",
@@ -284,13 +297,14 @@
         fc.property(
           text,
           text,
-          (from, to) => applyPatch(from, diffText(from, to)) === to,
+          (from, to) => applyPatch(from, createTextPatch(from, to)) === to,
         ),
       );
     });
 
     it("are refused for another base text", () => {
-      expect(applyPatch("x\ny", diffText("a\nb", "a\nc"))).toBeUndefined();
+      expect(applyPatch("x\ny", createTextPatch("a\nb", "a\nc")))
+        .toBeUndefined();
     });
   });
 });
--- a/packages/core/src/text/deployment.ts
+++ b/packages/core/src/text/deployment.ts
@@ -62,7 +62,7 @@
 export type Service = ModelService | PlainService;
 
 /** A customer of the configuration text. Its keys are the tokens that its callers present. */
-export interface HomedCustomer extends Customer {
+export interface ConfiguredCustomer extends Customer {
   readonly home: RegionId;
   /** Whether requests and data must stay in the home region. */
   readonly bound: boolean;
@@ -79,8 +79,8 @@
   readonly loadsPerMinute: number;
   readonly regions: ReadonlyMap<RegionId, Region>;
   readonly services: ReadonlyMap<ServiceId, Service>;
-  readonly customers: ReadonlyMap<CustomerId, HomedCustomer>;
+  readonly customers: ReadonlyMap<CustomerId, ConfiguredCustomer>;
   /** Hosts and paths whose requests are passed through to services unchanged. */
   readonly routes: ReadonlyMap<RouteName, Route>;
-  readonly customerByDigest: ReadonlyMap<string, HomedCustomer>;
+  readonly customerByDigest: ReadonlyMap<string, ConfiguredCustomer>;
 }
--- a/packages/core/src/text/index.ts
+++ b/packages/core/src/text/index.ts
@@ -1,5 +1,9 @@
 export * from "./deployment.ts";
 export * from "./diff.ts";
-export { clip, type LineFault, LineIndex } from "./lines.ts";
+export {
+  type LineFault,
+  LineIndex,
+  toExcerpt as toExcerpt,
+} from "./line_index.ts";
 export * from "./parse.ts";
 export * from "./patch.ts";
--- a/packages/core/src/text/lines.ts
+++ b/packages/core/src/text/line_index.ts
@@ -53,7 +53,7 @@
         section,
         key: "",
         number,
-        found: clip(line),
+        found: toExcerpt(line),
         expected: "[section] or key = value",
       });
       return section;
@@ -72,8 +72,8 @@
       return;
     }
     const found = key === ""
-      ? `a second [${clip(section)}]`
-      : `a second ${clip(key)}`;
+      ? `a second [${toExcerpt(section)}]`
+      : `a second ${toExcerpt(key)}`;
     this.#addFault({
       section,
       key,
@@ -97,7 +97,7 @@
 const MAX_EXCERPT_LENGTH = 60;
 
 /** Shortens a quoted value and replaces control characters, so that a fault prints on one line. */
-export function clip(value: string): string {
+export function toExcerpt(value: string): string {
   // deno-lint-ignore no-control-regex
   const printable = value.replace(/[\u0000-\u001f\u007f]/g, "?");
   return printable.length > MAX_EXCERPT_LENGTH
--- a/packages/core/src/text/parse.ts
+++ b/packages/core/src/text/parse.ts
@@ -18,12 +18,12 @@
 import type { Route } from "../routes/index.ts";
 import { checkReferences } from "./check_references.ts";
 import type {
+  ConfiguredCustomer,
   Deployment,
-  HomedCustomer,
   Region,
   Service,
 } from "./deployment.ts";
-import { clip, type LineFault, LineIndex } from "./lines.ts";
+import { type LineFault, LineIndex, toExcerpt } from "./line_index.ts";
 import {
   customerSchema,
   deploymentSchema,
@@ -37,7 +37,7 @@
 /** Burst of a customer, in seconds of its configured rate. */
 const BURST_SECONDS = 1;
 /** The configuration service stores values of up to 1 MiB. */
-export const MAX_TEXT_BYTES = 1_048_576;
+export const MAX_CONFIGURATION_BYTES = 1_048_576;
 
 /** One fault of a configuration text, with its line counted from 1. */
 export type TextFault = LineFault;
@@ -48,9 +48,9 @@
   | { readonly ok: false; readonly faults: readonly TextFault[] };
 
 /** Parses and validates a whole text. Never throws. */
-export function parseText(text: string): ParseResult {
-  if (Buffer.byteLength(text) > MAX_TEXT_BYTES) {
-    const expected = `at most ${MAX_TEXT_BYTES} bytes`;
+export function parseConfiguration(text: string): ParseResult {
+  if (Buffer.byteLength(text) > MAX_CONFIGURATION_BYTES) {
+    const expected = `at most ${MAX_CONFIGURATION_BYTES} bytes`;
     return {
       ok: false,
       faults: [{
@@ -79,7 +79,7 @@
   readonly #text: string;
   readonly #regions = new Map<RegionId, Region>();
   readonly #services = new Map<ServiceId, Service>();
-  readonly #customers = new Map<CustomerId, HomedCustomer>();
+  readonly #customers = new Map<CustomerId, ConfiguredCustomer>();
   readonly #routes = new Map<RouteName, Route>();
   #settings: z.infer<typeof deploymentSchema> | undefined;
 
@@ -118,7 +118,7 @@
   }
 
   #buildDeployment(settings: z.infer<typeof deploymentSchema>): Deployment {
-    const customerByDigest = new Map<string, HomedCustomer>();
+    const customerByDigest = new Map<string, ConfiguredCustomer>();
     for (const customer of this.#customers.values()) {
       customer.keyDigests.forEach((digest) =>
         customerByDigest.set(digest, customer)
@@ -158,7 +158,7 @@
       const expected =
         "deployment, region NAME, service NAME, route NAME or customer NAME";
       this.#addFault(section, "", {
-        found: `section [${clip(section)}]`,
+        found: `section [${toExcerpt(section)}]`,
         expected,
       });
       return;
@@ -199,7 +199,7 @@
     const kind = (body as { kind?: unknown }).kind;
     if (kind !== "model" && kind !== "plain") {
       this.#addFault(section, "kind", {
-        found: kind === undefined ? "nothing" : clip(String(kind)),
+        found: kind === undefined ? "nothing" : toExcerpt(String(kind)),
         expected: "model or plain",
       });
       return;
@@ -305,7 +305,7 @@
     if (issue.code === "unrecognized_keys") {
       issue.keys.forEach((key) =>
         this.#addFault(section, key, {
-          found: `unknown key "${clip(key)}"`,
+          found: `unknown key "${toExcerpt(key)}"`,
           expected: "a key of this section",
         })
       );
@@ -313,7 +313,9 @@
     }
     const key = String(issue.path[0] ?? "");
     const value = (body as Record<string, unknown>)[key];
-    const found = value === undefined ? "nothing" : `"${clip(String(value))}"`;
+    const found = value === undefined
+      ? "nothing"
+      : `"${toExcerpt(String(value))}"`;
     this.#addFault(section, key, { found, expected: issue.message });
   }
 
@@ -351,7 +353,7 @@
 /** Formats a fault as one readable line. */
 export function formatFault(fault: TextFault): string {
   const location = fault.key === ""
-    ? `section "${clip(fault.section)}"`
-    : `section "${clip(fault.section)}", key "${clip(fault.key)}"`;
+    ? `section "${toExcerpt(fault.section)}"`
+    : `section "${toExcerpt(fault.section)}", key "${toExcerpt(fault.key)}"`;
   return `Line ${fault.line}, ${location}: found ${fault.found}, expected ${fault.expected}`;
 }
--- a/packages/core/src/text/patch.ts
+++ b/packages/core/src/text/patch.ts
@@ -21,7 +21,7 @@
 }
 
 /** Returns the patch that turns `from` into `to`. */
-export function diffText(from: string, to: string): TextPatch {
+export function createTextPatch(from: string, to: string): TextPatch {
   const before = from.split("\n");
   const after = to.split("\n");
   const prefixLength = commonPrefixLength(before, after);
--- a/packages/core/src/verdict/__tests__/verdict.test.ts
+++ b/packages/core/src/verdict/__tests__/verdict.test.ts
@@ -3,8 +3,8 @@
 import {
   AttemptLog,
   type AttemptState,
+  formatVerdictHeader,
   parseVerdictHeader,
-  verdictHeader,
 } from "../index.ts";
 
 function logOf(states: readonly AttemptState[]): AttemptLog {
@@ -45,7 +45,7 @@
     it.each(["not_run", "ran", "may_have_run; settled", "may_have_run; open"])(
       "preserves %s",
       (header) => {
-        expect(verdictHeader(parseVerdictHeader(header))).toBe(header);
+        expect(formatVerdictHeader(parseVerdictHeader(header))).toBe(header);
       },
     );
 
--- a/packages/core/src/verdict/refusal.ts
+++ b/packages/core/src/verdict/refusal.ts
@@ -81,7 +81,7 @@
 }
 
 /** Creates a refusal with the HTTP status of its reason. */
-export function refusal(
+export function createRefusal(
   reason: RefusalReason,
   rest: Omit<Refusal, "reason" | "status">,
 ): Refusal {
--- a/packages/core/src/verdict/verdict.ts
+++ b/packages/core/src/verdict/verdict.ts
@@ -94,7 +94,7 @@
 }
 
 /** Formats a verdict for the response header. */
-export function verdictHeader(verdict: Verdict): string {
+export function formatVerdictHeader(verdict: Verdict): string {
   if (verdict.kind !== "may_have_run") {
     return verdict.kind;
   }
--- a/packages/daemon/src/callers/caller_server.ts
+++ b/packages/daemon/src/callers/caller_server.ts
@@ -130,9 +130,9 @@
       zone,
       owner_token: ownerToken,
     })),
-    holds_for_ms: list.holdsFor,
+    holds_for_ms: list.validFor,
   };
-  const maxAge = Math.floor(list.holdsFor / MILLISECONDS_PER_SECOND);
+  const maxAge = Math.floor(list.validFor / MILLISECONDS_PER_SECOND);
   return new Response(JSON.stringify(body), {
     headers: {
       "content-type": "application/json",
--- a/packages/daemon/src/callers/chat_body.ts
+++ b/packages/daemon/src/callers/chat_body.ts
@@ -4,11 +4,11 @@
  * @module
  */
 import {
-  BLOCK_TOKENS,
   type BodyFacts,
-  clip,
   hash32,
   sha256,
+  toExcerpt,
+  TOKENS_PER_BLOCK,
 } from "@sassafrasstep/core";
 import { z } from "zod";
 
@@ -42,13 +42,17 @@
   try {
     json = JSON.parse(Buffer.from(bytes).toString("utf8"));
   } catch (error) {
-    return { fault: `The body is not JSON: ${clip((error as Error).message)}` };
+    return {
+      fault: `The body is not JSON: ${toExcerpt((error as Error).message)}`,
+    };
   }
   const result = chatSchema.safeParse(json);
   if (!result.success) {
     const { path, message } = result.error.issues[0]!;
     return {
-      fault: `Field "${clip(path.join("."))}" of the body: ${clip(message)}`,
+      fault: `Field "${toExcerpt(path.join("."))}" of the body: ${
+        toExcerpt(message)
+      }`,
     };
   }
   const { stream, model = "", messages } = result.data;
@@ -68,7 +72,7 @@
 
 /** Chained hashes of the prompt's whole leading blocks: equal prefixes give equal chains. */
 export function prefixBlocks(prompt: string): number[] {
-  const length = BLOCK_TOKENS * CHARACTERS_PER_TOKEN;
+  const length = TOKENS_PER_BLOCK * CHARACTERS_PER_TOKEN;
   const blocks: number[] = [];
   let chain = 0;
   for (
--- a/packages/daemon/src/callers/problem.ts
+++ b/packages/daemon/src/callers/problem.ts
@@ -3,7 +3,11 @@
  *
  * @module
  */
-import { type Refusal, type Verdict, verdictHeader } from "@sassafrasstep/core";
+import {
+  formatVerdictHeader,
+  type Refusal,
+  type Verdict,
+} from "@sassafrasstep/core";
 import {
   REQUEST_HEADER,
   RETRY_AFTER_MS_HEADER,
@@ -38,8 +42,10 @@
     status,
     detail,
     reason,
-    verdict: verdictHeader(verdict),
-    ...(thisSend === undefined ? {} : { this_send: verdictHeader(thisSend) }),
+    verdict: formatVerdictHeader(verdict),
+    ...(thisSend === undefined
+      ? {}
+      : { this_send: formatVerdictHeader(thisSend) }),
     request,
     ...(retryAfter === undefined || !Number.isFinite(retryAfter)
       ? {}
@@ -69,7 +75,7 @@
 export function verdictHeaders(verdict: Verdict, request: string): Headers {
   return new Headers({
     [REQUEST_HEADER]: request,
-    [VERDICT_HEADER]: verdictHeader(verdict),
+    [VERDICT_HEADER]: formatVerdictHeader(verdict),
   });
 }
 
--- a/packages/daemon/src/control/report.ts
+++ b/packages/daemon/src/control/report.ts
@@ -5,10 +5,10 @@
  */
 import type {
   Blackboard,
-  Count,
+  CounterValue,
+  HistogramSummary,
   Instant,
   Metrics,
-  Summary,
   TextFault,
 } from "@sassafrasstep/core";
 
@@ -67,8 +67,8 @@
 
 /** Histograms and counters. */
 export interface MetricsReport {
-  readonly summaries: readonly Summary[];
-  readonly counts: readonly Count[];
+  readonly summaries: readonly HistogramSummary[];
+  readonly counts: readonly CounterValue[];
 }
 
 /** Reads the status off the blackboard. */
@@ -104,7 +104,8 @@
 }
 
 function whyNotNewer({ configuration }: Blackboard): string {
-  const { rejected, missing, platformReachable, deployment } = configuration;
+  const { rejected, missingRevision: missing, platformReachable, deployment } =
+    configuration;
   if (rejected !== undefined) {
     return `revision ${rejected.revision} was rejected with ${rejected.faults.length} faults`;
   }
--- a/packages/daemon/src/customers/customer_schema.ts
+++ b/packages/daemon/src/customers/customer_schema.ts
@@ -5,9 +5,9 @@
  */
 import type {
   CatalogueChange,
-  CurrencyMessage,
+  CatalogueDelta,
   EndpointRecord,
-  PictureNews,
+  FreshnessMessage,
   SpendingMessage,
 } from "@sassafrasstep/core";
 import { z } from "zod";
@@ -142,7 +142,7 @@
 ]);
 
 /** Writes a question or an answer. */
-export function encodeCurrency(message: CurrencyMessage): unknown[] {
+export function encodeCurrency(message: FreshnessMessage): unknown[] {
   return message.kind === "question"
     ? [
       message.kind,
@@ -162,7 +162,7 @@
     ];
 }
 
-function encodeNews({ revision, changes }: PictureNews): unknown[] {
+function encodeNews({ revision, changes }: CatalogueDelta): unknown[] {
   return [revision, changes.map(encodeChange)];
 }
 
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -12,22 +12,22 @@
   type ConfigurationCopy,
   Core,
   type CoreEvent,
+  type DecisionStep,
   type Effect,
   type EntryList,
-  type HandOver,
   type Heartbeat,
   type HeartbeatReply,
   type Incarnation,
   type Instant,
   instant,
+  type KeyHandOver,
   listEntries,
   type OutcomeCopy,
-  type QuarantineNews,
+  type QuarantineUpdate,
   type RequestId,
   type Revision,
   SeededRandomness,
   type ServiceId,
-  type Step,
 } from "@sassafrasstep/core";
 import {
   type Caller,
@@ -233,11 +233,11 @@
     this.tell({ kind: "outcomeCopy", copy });
   }
 
-  handOver(handOver: HandOver): boolean {
+  handOver(handOver: KeyHandOver): boolean {
     return this.#core.answerHandOver(handOver, this.#now());
   }
 
-  quarantine(news: QuarantineNews): void {
+  quarantine(news: QuarantineUpdate): void {
     this.tell({ kind: "quarantineNews", news });
   }
 
@@ -245,8 +245,8 @@
     return reportStatus(this.#core.board, this.#now());
   }
 
-  explain(request: RequestId): readonly Step[] | undefined {
-    return this.#core.explanations.of(request);
+  explain(request: RequestId): readonly DecisionStep[] | undefined {
+    return this.#core.explanations.find(request);
   }
 
   metrics(): MetricsReport {
--- a/packages/daemon/src/gateway/__tests__/wire_fixture.ts
+++ b/packages/daemon/src/gateway/__tests__/wire_fixture.ts
@@ -96,7 +96,7 @@
       status,
       matches: echoed === undefined || echoed === call,
       notRun: valueOf("x-not-run") !== undefined,
-      genuine: true,
+      fromEndpoint: true,
       load: undefined,
       retryAfter: undefined,
     };
@@ -184,7 +184,7 @@
       prefixFrom: undefined,
     },
     streaming,
-    mostIdle: milliseconds(mostIdle),
+    maxIdleTime: milliseconds(mostIdle),
     resumeAfter: undefined,
   };
   let finish!: (seen: Seen) => void;
--- a/packages/daemon/src/gateway/catalogue_runner.ts
+++ b/packages/daemon/src/gateway/catalogue_runner.ts
@@ -9,7 +9,7 @@
   type GatewayEvent,
   type Milliseconds,
   milliseconds,
-  type ReadProof,
+  type RequiredProof,
   type Revision,
 } from "@sassafrasstep/core";
 import { whileHearing } from "../timers/index.ts";
@@ -96,7 +96,7 @@
     after: Revision,
     { timeout, proof }: {
       timeout: Milliseconds;
-      proof: Exclude<ReadProof, { kind: "none" }>;
+      proof: Exclude<RequiredProof, { kind: "none" }>;
     },
   ): Promise<GatewayEvent> {
     const { epoch, revision: newest } = proof.kind === "reaches"
--- a/packages/daemon/src/gateway/connections.ts
+++ b/packages/daemon/src/gateway/connections.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { connect, type Socket } from "node:net";
-import { CONNECTION_LIMIT, type Instant } from "@sassafrasstep/core";
+import { CONNECTION_LIMIT_REACHED, type Instant } from "@sassafrasstep/core";
 import { type buildConnector, Client } from "undici";
 import { EndpointSocket } from "./endpoint_socket.ts";
 import { afterPoll } from "../timers/index.ts";
@@ -150,7 +150,7 @@
     }
     const open = this.#open.get(wish.address) ?? 0;
     if (open >= wish.limit && !this.#evict(wish.address)) {
-      done(new ConnectError(CONNECTION_LIMIT));
+      done(new ConnectError(CONNECTION_LIMIT_REACHED));
       return;
     }
     this.#connect(wish, now, done);
--- a/packages/daemon/src/gateway/exchange.ts
+++ b/packages/daemon/src/gateway/exchange.ts
@@ -7,8 +7,8 @@
 import {
   type CallHead,
   type CallRefusal,
+  formatVerdictHeader,
   type RequestId,
-  verdictHeader,
 } from "@sassafrasstep/core";
 import { OFFERED_HEADER, VERDICT_HEADER } from "../callers/headers.ts";
 import { type AnswerSource, AnswerWriter } from "./answer_writer.ts";
@@ -137,7 +137,7 @@
       headers: [
         ...protocol.refusalHeaders(refusal),
         VERDICT_HEADER,
-        verdictHeader(refusal.verdict),
+        formatVerdictHeader(refusal.verdict),
         OFFERED_HEADER,
         String(refusal.offered),
         "content-type",
--- a/packages/daemon/src/gateway/fleet_schema.ts
+++ b/packages/daemon/src/gateway/fleet_schema.ts
@@ -6,10 +6,10 @@
  * @module
  */
 import type {
+  EntryRecord,
   FleetGossip,
   FleetMessage,
-  FleetRecord,
-  Holdings,
+  HeldVersions,
   RegionSummary,
   WorkReport,
 } from "@sassafrasstep/core";
@@ -252,7 +252,7 @@
   }
 }
 
-function encodeRecord(record: FleetRecord): unknown[] {
+function encodeRecord(record: EntryRecord): unknown[] {
   return [
     record.id,
     record.incarnation,
@@ -266,7 +266,7 @@
   ];
 }
 
-function encodeHoldings({ document, catalogue }: Holdings): unknown[] {
+function encodeHoldings({ document, catalogue }: HeldVersions): unknown[] {
   return [document, encodePosition(catalogue)];
 }
 
--- a/packages/daemon/src/gateway/gateway_entry.ts
+++ b/packages/daemon/src/gateway/gateway_entry.ts
@@ -173,7 +173,7 @@
 
   #setTimer(): void {
     this.#cancelTick();
-    this.#pause = this.#gateway.tickPause;
+    this.#pause = this.#gateway.tickInterval;
     if (!this.#ended) {
       // Ticks judge who was silent and whose time is over: what was received comes first.
       this.#cancelTick = afterPoll(this.#pause, () => this.#tick());
@@ -182,7 +182,7 @@
 
   /** Something came that can't wait for the tick that is set. */
   #hasten(): void {
-    if (this.#gateway.tickPause < this.#pause) {
+    if (this.#gateway.tickInterval < this.#pause) {
       this.#setTimer();
     }
   }
--- a/packages/daemon/src/gateway/gauges.ts
+++ b/packages/daemon/src/gateway/gauges.ts
@@ -9,7 +9,7 @@
 
 /** Gauges by name. */
 export function readGauges(
-  { catalogue, calls, fleet, quarantine, terms }: Gateway,
+  { catalogue, calls, fleet, quarantine, endpointTerms: terms }: Gateway,
   { connections, datagrams }: {
     connections: Pick<Connections, "opened">;
     datagrams: Pick<Datagrams, "counts">;
@@ -19,22 +19,22 @@
   return {
     requests: calls.active,
     queued: calls.queued,
-    streams_resumed: calls.resumed,
-    requests_unrouted: calls.unrouted,
-    members: fleet.live().length,
-    endpoint_ends: quarantine.ends,
+    streams_resumed: calls.resumedStreams,
+    requests_unrouted: calls.unroutedRequests,
+    members: fleet.liveMembers().length,
+    endpoint_ends: quarantine.crashes,
     requests_held: quarantine.holds.size,
     endpoint_limits: terms.limits.size,
     endpoint_limits_withheld: terms.limits.withheld,
     endpoint_limits_ignored: terms.limits.ignored,
     endpoints_leaving: terms.departures.size,
-    endpoints_resting: terms.rests.resting(now),
-    endpoint_rests_ignored: terms.rests.ignored,
+    endpoints_resting: terms.backoffs.activeCount(now),
+    endpoint_rests_ignored: terms.backoffs.ignored,
     document_version: catalogue.document?.version ?? 0,
     catalogue_epoch: catalogue.position.epoch,
     catalogue_revision: catalogue.position.revision,
-    catalogue_whole_reads: catalogue.wholeReads,
-    catalogue_history_misses: catalogue.historyMisses,
+    catalogue_whole_reads: catalogue.fullReads,
+    catalogue_history_misses: catalogue.compactedReads,
     store_reachable: catalogue.reachable ? 1 : 0,
     store_age_ms: Math.round(catalogueAge(catalogue, now) ?? -1),
     connections_opened: connections.opened,
--- a/packages/daemon/src/gateway/outbound_call.ts
+++ b/packages/daemon/src/gateway/outbound_call.ts
@@ -98,7 +98,7 @@
 
   /** Gets a connection and, if the request is still to be sent, writes it. */
   start(): void {
-    const { target, mostIdle } = this.#attempt;
+    const { target, maxIdleTime: mostIdle } = this.#attempt;
     const { connections, now } = this.#tools;
     const far = target.kind === "peer";
     const limit = target.kind === "peer"
--- a/packages/daemon/src/gateway/relay_header.ts
+++ b/packages/daemon/src/gateway/relay_header.ts
@@ -8,7 +8,7 @@
   ContentDigest,
   CustomerId,
   Incarnation,
-  RelayFacts,
+  RelayInfo,
   RequestFingerprint,
 } from "@sassafrasstep/core";
 
@@ -17,14 +17,14 @@
 
 /** A relayed request's facts. */
 export interface RelayedFacts {
-  readonly relay: RelayFacts;
+  readonly relay: RelayInfo;
   /** As its first entry worked it out: only that one sees the caller. */
   readonly fingerprint: RequestFingerprint;
 }
 
 /** The header's text. */
 export function writeRelay(
-  { from, sentBefore, customer }: RelayFacts,
+  { from, sentBefore, customer }: RelayInfo,
   { content, caller }: RequestFingerprint,
 ): string {
   return [from, sentBefore, content, caller, customer ?? ""].map(
--- a/packages/daemon/src/gateway/status.ts
+++ b/packages/daemon/src/gateway/status.ts
@@ -82,7 +82,7 @@
     catalogueAgeMs: catalogueAge(catalogue, now),
     requests: calls.active,
     queued: calls.queued,
-    members: fleet.live().map(({ record: { id, region, state } }) => ({
+    members: fleet.liveMembers().map(({ record: { id, region, state } }) => ({
       id,
       region,
       state,
@@ -96,8 +96,8 @@
       requests: state.requests,
       prefillTokens: state.prefill,
       failureRate: state.health.failureRate,
-      leaving: gateway.terms.departures.has(state.record),
-      limitPerSecond: gateway.terms.limits.limitOf(state.record),
+      leaving: gateway.endpointTerms.departures.has(state.record),
+      limitPerSecond: gateway.endpointTerms.limits.limitOf(state.record),
     })),
     shares: regions.shares.map(({ region, share }) => ({ region, share })),
     held: gateway.quarantine.holds.list(now).map(heldLine),
--- a/packages/daemon/src/logs/logger.ts
+++ b/packages/daemon/src/logs/logger.ts
@@ -3,11 +3,11 @@
  *
  * @module
  */
-import type { GatewayPart, LogPart } from "@sassafrasstep/core";
+import type { GatewayLogComponent, LogPart } from "@sassafrasstep/core";
 import { type Logger as Pino, pino } from "pino";
 
 /** Parts that log: those of the core, and the shell's own. */
-export type Part = LogPart | GatewayPart | "http" | "peer" | "platform";
+export type Part = LogPart | GatewayLogComponent | "http" | "peer" | "platform";
 
 /** Writes log lines. */
 export class Logger {
--- a/packages/daemon/src/outbound/__tests__/slow_callers.test.ts
+++ b/packages/daemon/src/outbound/__tests__/slow_callers.test.ts
@@ -5,11 +5,11 @@
   type Attempt,
   type AttemptId,
   type CoreEvent,
+  createRefusal,
   type EndpointId,
   type Incarnation,
   milliseconds,
   NOT_RUN,
-  refusal,
   type RequestId,
 } from "@sassafrasstep/core";
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
@@ -185,7 +185,7 @@
     runner.abort("r.1" as AttemptId);
     caller.finish({
       kind: "refused",
-      refusal: refusal("deadline", { detail: "late", verdict: NOT_RUN }),
+      refusal: createRefusal("deadline", { detail: "late", verdict: NOT_RUN }),
     });
     await Promise.all(runs);
     const { tokens, rest } = await readAll();
--- a/packages/daemon/src/outbound/relay_frames.ts
+++ b/packages/daemon/src/outbound/relay_frames.ts
@@ -6,7 +6,7 @@
 import type {
   Attempt,
   AttemptEnd,
-  AttemptFrames,
+  AttemptStream,
   CoreEvent,
 } from "@sassafrasstep/core";
 import { AnswerTooLargeError, type Caller } from "../callers/index.ts";
@@ -38,7 +38,10 @@
   }
 
   function lost(detail: string): AttemptEnd {
-    const dropped = { frames: frames.held, characters: reader.unfinished };
+    const dropped = {
+      frames: frames.bufferedCount,
+      characters: reader.unfinished,
+    };
     return { kind: "lost", detail, dropped };
   }
 }
@@ -47,7 +50,7 @@
 async function relayEvents(
   body: AsyncIterable<Uint8Array>,
   { attempt, caller, tell, frames, reader }: Relay & {
-    readonly frames: AttemptFrames;
+    readonly frames: AttemptStream;
     readonly reader: FrameReader;
   },
 ): Promise<string | undefined> {
@@ -80,7 +83,7 @@
  * stream is must not depend on how the network cuts its bytes.
  */
 function takeEvents(
-  frames: AttemptFrames,
+  frames: AttemptStream,
   events: readonly FrameEvent[],
 ): { tokens: readonly string[]; broken: string | undefined } {
   const tokens: string[] = [];
--- a/packages/daemon/src/peers/__tests__/peers.test.ts
+++ b/packages/daemon/src/peers/__tests__/peers.test.ts
@@ -3,7 +3,7 @@
 import type {
   Heartbeat,
   HeartbeatReply,
-  QuarantineNews,
+  QuarantineUpdate,
 } from "@sassafrasstep/core";
 import fc from "fast-check";
 import { afterAll, beforeAll, describe, expect, it } from "vitest";
@@ -55,7 +55,7 @@
 let server: Server;
 let url: string;
 const heard: Heartbeat[] = [];
-const learned: QuarantineNews[] = [];
+const learned: QuarantineUpdate[] = [];
 
 beforeAll(async () => {
   const service = {
@@ -71,7 +71,7 @@
         leaving: [],
       };
     },
-    quarantine: (news: QuarantineNews) => learned.push(news),
+    quarantine: (news: QuarantineUpdate) => learned.push(news),
     prometheus: () => "",
     isReady: () => true,
   } as unknown as ControlService;
@@ -168,7 +168,7 @@
         answered: [{ content: "abc", softwareVersion: "" }],
         tried: [{ content: "def", sent: true }],
         holds: [],
-      } as unknown as QuarantineNews;
+      } as unknown as QuarantineUpdate;
 
       it("are taken from a peer", async () => {
         const clients = new PeerClients(new Credentials(SECRET, "demo"));
--- a/packages/daemon/src/peers/router.ts
+++ b/packages/daemon/src/peers/router.ts
@@ -5,14 +5,14 @@
  */
 import type {
   ConfigurationCopy,
-  HandOver,
+  DecisionStep,
   Heartbeat,
   HeartbeatReply,
+  KeyHandOver,
   OutcomeCopy,
-  QuarantineNews,
+  QuarantineUpdate,
   RequestId,
   Revision,
-  Step,
 } from "@sassafrasstep/core";
 import { initTRPC, TRPCError } from "@trpc/server";
 import type { MetricsReport, Status } from "../control/report.ts";
@@ -32,10 +32,10 @@
   heartbeat(heartbeat: Heartbeat): HeartbeatReply;
   configuration(have: Revision): ConfigurationCopy | undefined;
   outcome(copy: OutcomeCopy): void;
-  handOver(handOver: HandOver): boolean;
-  quarantine(news: QuarantineNews): void;
+  handOver(handOver: KeyHandOver): boolean;
+  quarantine(news: QuarantineUpdate): void;
   status(): Status;
-  explain(request: RequestId): readonly Step[] | undefined;
+  explain(request: RequestId): readonly DecisionStep[] | undefined;
   metrics(): MetricsReport;
 }
 
--- a/packages/daemon/src/peers/schemas.ts
+++ b/packages/daemon/src/peers/schemas.ts
@@ -5,9 +5,9 @@
  */
 import type {
   ConfigurationCopy,
-  HandOver,
   Heartbeat,
   HeartbeatReply,
+  KeyHandOver,
   OutcomeCopy,
   Revision,
 } from "@sassafrasstep/core";
@@ -134,7 +134,7 @@
   OutcomeCopy
 >;
 /** Shape of a hand-over. */
-export const handOverSchema = handOver as unknown as z.ZodType<HandOver>;
+export const handOverSchema = handOver as unknown as z.ZodType<KeyHandOver>;
 /** Shape of a peer's copy of the text; `null` where it has nothing newer. */
 export const configurationCopySchema = configurationCopy
   .nullable() as unknown as z.ZodType<ConfigurationCopy | null>;
--- a/packages/daemon/src/peers/wire.ts
+++ b/packages/daemon/src/peers/wire.ts
@@ -5,14 +5,14 @@
  * @module
  */
 import {
-  type Freshness,
   type Heartbeat,
   type HeartbeatReply,
   type Incarnation,
+  type MemberFreshness,
   milliseconds,
   type ServiceId,
-  type Spare,
-  type ZoneNews,
+  type SpareCapacity,
+  type ZoneReport,
 } from "@sassafrasstep/core";
 
 /** `incarnation.beat.version` */
@@ -21,7 +21,7 @@
 export const SPARE = /^[a-z0-9][a-z0-9-]{0,62} \d{1,9} \d{1,9}$/;
 
 /** News with their short forms. */
-export interface WireZoneNews extends Omit<ZoneNews, "spare"> {
+export interface WireZoneNews extends Omit<ZoneReport, "spare"> {
   readonly spare: readonly string[];
 }
 
@@ -57,7 +57,7 @@
 }
 
 /** Reads a short form that matches `FRESHNESS`. */
-export function decodeFreshness(text: string): Freshness {
+export function decodeFreshness(text: string): MemberFreshness {
   const [incarnation, beat, version] = text.split(".");
   return {
     incarnation: incarnation as Incarnation,
@@ -67,7 +67,7 @@
 }
 
 /** Reads a short form that matches `SPARE`. */
-export function decodeSpare(text: string): Spare {
+export function decodeSpare(text: string): SpareCapacity {
   const [service, slots, firstToken] = text.split(" ");
   return {
     service: service as ServiceId,
@@ -76,10 +76,12 @@
   };
 }
 
-function encodeFreshness({ incarnation, beat, version }: Freshness): string {
+function encodeFreshness(
+  { incarnation, beat, version }: MemberFreshness,
+): string {
   return `${incarnation}.${beat}.${version}`;
 }
 
-function encodeSpare({ service, slots, firstToken }: Spare): string {
+function encodeSpare({ service, slots, firstToken }: SpareCapacity): string {
   return `${service} ${Math.round(slots)} ${Math.round(firstToken)}`;
 }
--- a/packages/daemon/src/platform/platform_client.ts
+++ b/packages/daemon/src/platform/platform_client.ts
@@ -5,7 +5,7 @@
  */
 import {
   type ListedVm,
-  MAX_TEXT_BYTES,
+  MAX_CONFIGURATION_BYTES,
   type RegionId,
   type Revision,
 } from "@sassafrasstep/core";
@@ -83,7 +83,7 @@
     const timeout = READ_TIMEOUT_MS + (wait ? WATCH_WAIT_MS : 0);
     const { statusCode, headers, text } = await this.#get(url, {
       timeout,
-      limit: MAX_TEXT_BYTES,
+      limit: MAX_CONFIGURATION_BYTES,
     });
     if (statusCode === NOT_MODIFIED) {
       return undefined;
--- a/packages/daemon/src/quarantine/quarantine_schema.ts
+++ b/packages/daemon/src/quarantine/quarantine_schema.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { HoldNotice, QuarantineNews } from "@sassafrasstep/core";
+import type { HoldNotice, QuarantineUpdate } from "@sassafrasstep/core";
 import { z } from "zod";
 import { life, list, number, text, whole } from "./schema_parts.ts";
 
@@ -86,13 +86,13 @@
 
 /** The same as text, as calls between entries take it. */
 export const quarantineNewsText = z.string().max(MAX_TEXT).transform(
-  (text, context): QuarantineNews => {
+  (text, context): QuarantineUpdate => {
     const result = quarantineNews.safeParse(parseJson(text));
     if (!result.success) {
       context.addIssue("Expected news of ends and holds");
       return z.NEVER;
     }
-    return result.data as unknown as QuarantineNews;
+    return result.data as unknown as QuarantineUpdate;
   },
 );
 
@@ -120,7 +120,7 @@
 
 /** Writes news. */
 export function encodeQuarantineNews(
-  { crashes, answered, tried, holds }: QuarantineNews,
+  { crashes, answered, tried, holds }: QuarantineUpdate,
 ): unknown[] {
   return [
     crashes.map((report) => [
--- a/packages/daemon/src/settings/__tests__/gateway_settings.test.ts
+++ b/packages/daemon/src/settings/__tests__/gateway_settings.test.ts
@@ -49,7 +49,7 @@
       expect(self.weight).toBe(1);
       expect(self.seeds).toEqual(["10.1.0.1:90", "10.2.0.1:90"]);
       expect(self.regionByZone.get("b-1" as never)).toBe("b");
-      expect(self.bounds.repeatRatio).toBe(0.25);
+      expect(self.bounds.retryRatio).toBe(0.25);
       expect(self.bounds.stopTime).toBe(6_000);
       expect(self.bounds.listLifetime).toBe(5_000);
       expect(storeAddress).toBe("10.9.0.1:70");
--- a/packages/daemon/src/settings/gateway_settings.ts
+++ b/packages/daemon/src/settings/gateway_settings.ts
@@ -6,7 +6,7 @@
 import type {
   EntryId,
   GatewayBounds,
-  GatewaySelf,
+  GatewayIdentity,
   LineFault,
   Milliseconds,
   RegionId,
@@ -33,7 +33,7 @@
 
 /** Everything that an entry needs to know at its start. */
 export interface GatewaySettings {
-  readonly self: Omit<GatewaySelf, "incarnation">;
+  readonly self: Omit<GatewayIdentity, "incarnation">;
   readonly addresses: GatewayAddresses;
   /** Host and port of the platform's store. */
   readonly storeAddress: string;
@@ -122,9 +122,9 @@
 
 function resolveBounds(bounds: Data["bounds"]): GatewayBounds {
   return {
-    repeatRatio: bounds.repeat_ratio,
-    repeatWindow: seconds(bounds.repeat_window_s),
-    repeatSlack: bounds.repeat_slack,
+    retryRatio: bounds.repeat_ratio,
+    retryWindow: seconds(bounds.repeat_window_s),
+    retrySlack: bounds.repeat_slack,
     coldOvershoot: bounds.cold_overshoot,
     coldSlack: bounds.cold_slack,
     listLifetime: seconds(bounds.list_lifetime_s),
--- a/packages/daemon/src/settings/ini_sections.ts
+++ b/packages/daemon/src/settings/ini_sections.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { clip, type LineFault, LineIndex } from "@sassafrasstep/core";
+import { type LineFault, LineIndex, toExcerpt } from "@sassafrasstep/core";
 import { parse as parseIni } from "ini";
 import { z } from "zod";
 
@@ -52,7 +52,7 @@
       line: section === "" ? lines.lineOf(name) : lines.lineOf(section, name),
       section: section === "" ? name : section,
       key: section === "" ? "" : name,
-      found: `unknown name "${clip(name)}"`,
+      found: `unknown name "${toExcerpt(name)}"`,
       expected: section === "" ? "a known section" : "a key of this section",
     }));
   }
@@ -73,7 +73,7 @@
   { section, key }: { section: string; key: string },
 ): string {
   const value = (parsed[section] as Record<string, unknown> | undefined)?.[key];
-  return value === undefined ? "nothing" : `"${clip(String(value))}"`;
+  return value === undefined ? "nothing" : `"${toExcerpt(String(value))}"`;
 }
 
 const MAX_PORT = 65_535;
--- a/playground/src/bytes/__tests__/caller_framing.test.ts
+++ b/playground/src/bytes/__tests__/caller_framing.test.ts
@@ -72,7 +72,7 @@
         socket.write([
           `POST ${path} HTTP/1.0`,
           "host: kiosk.example",
-          `${HEADERS.call}: f1`,
+          `${HEADERS.callId}: f1`,
           `${HEADERS.timeLeft}: 2000`,
           "",
           "",
--- a/playground/src/bytes/__tests__/gone_on.test.ts
+++ b/playground/src/bytes/__tests__/gone_on.test.ts
@@ -31,7 +31,7 @@
 ): string {
   return [
     `HTTP/1.1 ${status} x`,
-    `${HEADERS.call}: ${call}`,
+    `${HEADERS.callId}: ${call}`,
     `${HEADERS.seal}: s-${call}`,
     `content-type: ${type}`,
     length === undefined ? "connection: close" : `content-length: ${length}`,
--- a/playground/src/bytes/__tests__/kept_connection.test.ts
+++ b/playground/src/bytes/__tests__/kept_connection.test.ts
@@ -76,7 +76,7 @@
             "host: kiosk.example",
             `connection: ${index + 1 < calls.length ? "keep-alive" : "close"}`,
             "content-length: 0",
-            `${HEADERS.call}: ${call}`,
+            `${HEADERS.callId}: ${call}`,
             "",
             "",
           ].join("\r\n"))
--- a/playground/src/bytes/__tests__/resumed_relay.test.ts
+++ b/playground/src/bytes/__tests__/resumed_relay.test.ts
@@ -67,7 +67,7 @@
   it("is whole, and the endpoint there is told the last event", async () => {
     expect((await ask("g1", {})).end).toBe("whole");
     const [, second] = runsOf("g1");
-    expect(second!.headers.get(HEADERS.lastEvent)).toBe(String(HAS));
+    expect(second!.headers.get(HEADERS.lastEventId)).toBe(String(HAS));
     expect(runsOf("g1").length).toBe(2);
   });
 
--- a/playground/src/bytes/__tests__/resuming_caller.test.ts
+++ b/playground/src/bytes/__tests__/resuming_caller.test.ts
@@ -94,6 +94,6 @@
     const { status, end } = await fleet.ask(call, { after });
     expect({ status, end }).toEqual({ status: 200, end: "whole" });
     const [run] = runs(call);
-    expect(run!.headers.get(HEADERS.lastEvent)).toBe(after);
+    expect(run!.headers.get(HEADERS.lastEventId)).toBe(after);
   });
 });
--- a/playground/src/bytes/byte_fleet.ts
+++ b/playground/src/bytes/byte_fleet.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { CALLS, KEYS } from "@sassafrasstep/platform";
+import { API_PATHS, STORE_KEYS } from "@sassafrasstep/platform";
 import { eventually, route } from "../platform/platform_fleet.ts";
 import { StandInStore } from "../platform/stand_in_store.ts";
 import type { SeenAnswer } from "./event_text.ts";
@@ -88,7 +88,7 @@
     this.#version += 2;
     const { attempts = 3, timeout = ROUTE_TIMEOUT_MS } = this.#plan;
     this.store.put(
-      KEYS.document,
+      STORE_KEYS.document,
       documentOf(this.#version, { attempts, timeout, fields }),
     );
   }
@@ -102,7 +102,7 @@
       readonly [field: string]: unknown;
     },
   ): void {
-    this.store.put(`${KEYS.endpoint}${id}`, {
+    this.store.put(`${STORE_KEYS.endpoint}${id}`, {
       service: SERVICE,
       address,
       zone: `${region}-1`,
@@ -117,7 +117,7 @@
 
   /** The record of an engine goes from the store. */
   withdraw(id: string): void {
-    this.store.remove(`${KEYS.endpoint}${id}`);
+    this.store.remove(`${STORE_KEYS.endpoint}${id}`);
   }
 
   /** Asks an entry for a stream that may be resumed. */
@@ -145,7 +145,8 @@
 async function served(entry: ByteEntry): Promise<void> {
   try {
     await eventually(async () =>
-      (await fetch(`http://${entry.readiness}${CALLS.ready}`)).status === 200
+      (await fetch(`http://${entry.readiness}${API_PATHS.ready}`)).status ===
+        200
     );
   } catch (cause) {
     const lines = entry.lines().map(({ text }) => text).join(" ");
--- a/playground/src/bytes/local_entry.ts
+++ b/playground/src/bytes/local_entry.ts
@@ -9,10 +9,10 @@
   parseGatewaySettings,
 } from "@sassafrasstep/daemon";
 import {
-  createDirectory,
-  createReadiness,
-  PlatformCallers,
-  PlatformEndpoints,
+  createDirectoryHandler,
+  createReadinessHandler,
+  PlatformCallerProtocol,
+  PlatformEndpointProtocol,
   StoreSource,
 } from "@sassafrasstep/platform";
 
@@ -83,11 +83,11 @@
     this.#entry = new GatewayEntry(result.settings, {
       logger: this.#logger,
       platform: {
-        callers: new PlatformCallers(),
-        endpoints: new PlatformEndpoints(),
+        callers: new PlatformCallerProtocol(),
+        endpoints: new PlatformEndpointProtocol(),
         source: new StoreSource(place.storeAddress, () => {}),
-        directory: createDirectory,
-        readiness: createReadiness,
+        directory: createDirectoryHandler,
+        readiness: createReadinessHandler,
       },
     });
   }
--- a/playground/src/bytes/process_entry.ts
+++ b/playground/src/bytes/process_entry.ts
@@ -10,7 +10,7 @@
 import { join } from "node:path";
 import { createInterface } from "node:readline";
 import { fileURLToPath } from "node:url";
-import { SETTINGS_VARIABLE } from "@sassafrasstep/platform";
+import { SETTINGS_PATH_VARIABLE } from "@sassafrasstep/platform";
 import {
   freePorts,
   type Line,
@@ -40,7 +40,7 @@
     const settings = join(this.#folder, "entry.ini");
     writeFileSync(settings, settingsOf(place, ports));
     this.#process = spawn(process.execPath, [PROGRAM], {
-      env: { [SETTINGS_VARIABLE]: settings },
+      env: { [SETTINGS_PATH_VARIABLE]: settings },
       stdio: ["ignore", "pipe", "inherit"],
     });
     this.#exited = once(this.#process, "exit");
