--- a/playground/src/bytes/raw_engine.ts
+++ b/playground/src/bytes/raw_engine.ts
@@ -177,7 +177,7 @@
     if (!notRun) {
       this.runs.push(request);
     }
-    const own = [...stated, `${HEADERS.call}: ${call}`];
+    const own = [...stated, `${HEADERS.callId}: ${call}`];
     if (status !== OK) {
       own.push(notRun ? `${HEADERS.notRun}: 1` : `${HEADERS.seal}: s-${call}`);
       socket.write(plainAnswer(status, own));
@@ -233,8 +233,8 @@
     return undefined;
   }
   return {
-    call: headers.get(HEADERS.call) ?? "",
-    after: Number(headers.get(HEADERS.lastEvent) ?? 0),
+    call: headers.get(HEADERS.callId) ?? "",
+    after: Number(headers.get(HEADERS.lastEventId) ?? 0),
     headers,
     at: performance.now(),
   };
@@ -260,7 +260,7 @@
   }[framing];
   return [
     `HTTP/1.1 ${OK} OK`,
-    `${HEADERS.call}: ${call}`,
+    `${HEADERS.callId}: ${call}`,
     `${HEADERS.seal}: s-${call}`,
     "content-type: text/event-stream",
     ...stated,
--- a/playground/src/bytes/stream_caller.ts
+++ b/playground/src/bytes/stream_caller.ts
@@ -65,11 +65,13 @@
       signal: leave,
       headers: {
         host,
-        [HEADERS.call]: call,
+        [HEADERS.callId]: call,
         [HEADERS.timeLeft]: String(time),
-        [HEADERS.tokens]: "10,100",
+        [HEADERS.tokenCounts]: "10,100",
         "content-length": 0,
-        ...(after === undefined ? {} : { [HEADERS.lastEvent]: String(after) }),
+        ...(after === undefined
+          ? {}
+          : { [HEADERS.lastEventId]: String(after) }),
       },
     }, (answer) => {
       status = answer.statusCode!;
--- a/playground/src/guards/customer_guards.ts
+++ b/playground/src/guards/customer_guards.ts
@@ -16,7 +16,7 @@
   {
     point: KEYS,
     name: "a key is accepted from a document that is known to be current",
-    file: `${CUSTOMERS}/judge_key.ts`,
+    file: `${CUSTOMERS}/check_key.ts`,
     find: "const isFresh = bound === undefined ||",
     replace: "const isFresh = bound !== undefined ||",
   },
@@ -24,14 +24,14 @@
     point: KEYS,
     name:
       "an unknown key is refused for good by a picture that is newer than its request",
-    file: `${CUSTOMERS}/judge_key.ts`,
+    file: `${CUSTOMERS}/check_key.ts`,
     find: "if (!isRefusalFinal) {",
     replace: "if (!isRefusalFinal && now < 0) {",
   },
   {
     point: KEYS,
     name: "a lease runs from the sending of the read",
-    file: `${GATEWAY}/read_proofs.ts`,
+    file: `${GATEWAY}/freshness_proofs.ts`,
     find: "this.#currency.prove({ version, at: this.#readSentAt });",
     replace: "this.#currency.prove({ version, at: Infinity as never });",
   },
@@ -39,14 +39,14 @@
     point: KEYS,
     name:
       "what another entry knows is as old as its answer and the time since the question",
-    file: `${GATEWAY}/currency_exchange.ts`,
+    file: `${GATEWAY}/freshness_exchange.ts`,
     find: "const at = question.sentAt - age as CurrencyMark;",
     replace: "const at = currency.mark(now) as CurrencyMark;",
   },
   {
     point: KEYS,
     name: "a lease runs on while the machine is suspended",
-    file: `${CUSTOMERS}/currency.ts`,
+    file: `${CUSTOMERS}/document_freshness.ts`,
     find: "this.#suspendedMs += duration;",
     replace: "this.#suspendedMs += 0 * duration;",
   },
@@ -54,12 +54,12 @@
     point: KEYS,
     name:
       "changes prove something only where each up to the newest revision is named",
-    file: `${GATEWAY}/read_proofs.ts`,
+    file: `${GATEWAY}/freshness_proofs.ts`,
     find: 'return reaches ? { kind: "reaches", revision: newer } : ' +
       '{ kind: "newest" };',
     replace: 'return { kind: "none" };',
     also: [{
-      file: `${GATEWAY}/read_proofs.ts`,
+      file: `${GATEWAY}/freshness_proofs.ts`,
       find: "this.#changesProveFreshness = requiresKeys && !reaches;",
       replace: "this.#changesProveFreshness = requiresKeys;",
     }],
@@ -67,7 +67,7 @@
   {
     point: KEYS,
     name: "a document that another entry has proves nothing for an older one",
-    file: `${CUSTOMERS}/currency.ts`,
+    file: `${CUSTOMERS}/document_freshness.ts`,
     find: "if (proof.version > this.#version) {",
     replace: "if (proof.version > Infinity) {",
   },
@@ -95,7 +95,7 @@
   {
     point: KEYS,
     name: "a request that is passed on keeps its customer",
-    file: `${CUSTOMERS}/judge_key.ts`,
+    file: `${CUSTOMERS}/check_key.ts`,
     find: "customer && resolveRelayedCustomer(customer, customers)",
     replace: "customer && undefined",
   },
@@ -109,7 +109,7 @@
   {
     point: LIMITS,
     name: "each side of a cut keeps the part that was agreed",
-    file: `${CUSTOMERS}/spending_keeper.ts`,
+    file: `${CUSTOMERS}/spending_aggregator.ts`,
     find: "if (reachable.length === this.#regions.length) {",
     replace: "if (reachable.length >= 0) {",
   },
--- a/playground/src/guards/epoch_guards.ts
+++ b/playground/src/guards/epoch_guards.ts
@@ -7,7 +7,7 @@
 
 const GATEWAY = "packages/core/src/gateway";
 const CONTROLLER = `${GATEWAY}/catalogue_controller.ts`;
-const HELD = `${GATEWAY}/held_catalogue.ts`;
+const HELD = `${GATEWAY}/local_catalogue.ts`;
 const RESTORED = "routes: restored store";
 
 /** Every guard that is checked. */
@@ -82,14 +82,14 @@
   {
     point: RESTORED,
     name: "readings renew no lease until all was written again",
-    file: "packages/core/src/customers/currency.ts",
+    file: "packages/core/src/customers/document_freshness.ts",
     find: "if (proof.at < this.#rejectProofsBefore) {",
     replace: "if (proof.at < 0 * this.#rejectProofsBefore) {",
   },
   {
     point: RESTORED,
     name: "a read that shows an older document than was known renews no lease",
-    file: `${GATEWAY}/published_document.ts`,
+    file: `${GATEWAY}/document_loss_detector.ts`,
     find: "if (published >= this.#knownVersion) {",
     replace: "if (published >= 0 * this.#knownVersion) {",
   },
@@ -103,7 +103,7 @@
   {
     point: RESTORED,
     name: "a question's answer is not taken for another process's",
-    file: `${GATEWAY}/currency_exchange.ts`,
+    file: `${GATEWAY}/freshness_exchange.ts`,
     find: "dependencies.random.next() * MAX_FIRST_SEQUENCE",
     replace: "dependencies.random.next() * 0 * MAX_FIRST_SEQUENCE",
   },
--- a/playground/src/guards/guards.ts
+++ b/playground/src/guards/guards.ts
@@ -86,7 +86,7 @@
   {
     point: "not run is true",
     name: "an undeclared server error is no refusal",
-    file: `${CORE}/requests/judge_end.ts`,
+    file: `${CORE}/requests/attempt_state.ts`,
     find: 'return status >= FIRST_SERVER_ERROR_STATUS ? "lost" : "completed";',
     replace:
       'return status >= FIRST_SERVER_ERROR_STATUS ? "refused" : "completed";',
@@ -101,14 +101,14 @@
   {
     point: "not run is true",
     name: "a key's earlier sends count in a refusal",
-    file: `${CORE}/requests/answers.ts`,
+    file: `${CORE}/requests/answer_sender.ts`,
     find: 'return status !== "unused" && status !== "invalid";',
     replace: "return status === undefined;",
   },
   {
     point: "not run is true",
     name: "a silent peer is doubt",
-    file: `${CORE}/requests/judge_end.ts`,
+    file: `${CORE}/requests/attempt_state.ts`,
     find: 'case "lost":\n      return "lost";',
     replace: 'case "lost":\n      return "unsent";',
   },
@@ -127,7 +127,7 @@
   {
     point: "residency",
     name: "a bound request never travels",
-    file: `${CORE}/requests/spills.ts`,
+    file: `${CORE}/requests/spill_tracker.ts`,
     find: "return !customer.bound && !head.forwarded",
     replace: "return !head.forwarded",
   },
@@ -219,7 +219,7 @@
   {
     point: "whole answers",
     name: "only a stream is the rest of an answer that has begun",
-    file: `${CORE}/requests/judge_end.ts`,
+    file: `${CORE}/requests/attempt_state.ts`,
     find: 'return streamStarted && state === "completed" ? "lost" : state;',
     replace: "return state;",
   },
@@ -313,7 +313,7 @@
   {
     point: "configuration",
     name: "few entries watch the platform",
-    file: `${CORE}/configuration/watch_duty.ts`,
+    file: `${CORE}/configuration/watcher_election.ts`,
     find: "return ranked.slice(0, WATCHERS_PER_ZONE).includes(self);",
     replace: "return ranked.includes(self) && Date.now() < 0;",
   },
@@ -334,7 +334,7 @@
   {
     point: "limits",
     name: "an unheard member counts as taking its part",
-    file: `${CORE}/requests/demand_parts.ts`,
+    file: `${CORE}/requests/customer_rate_limits.ts`,
     find: 'if (members.some((member) => member.health === "suspect")) {',
     replace: "if (Date.now() < 0) {",
   },
--- a/playground/src/guards/route_guards.ts
+++ b/playground/src/guards/route_guards.ts
@@ -117,7 +117,7 @@
   {
     point: "routes: configuration",
     name: "a document never goes back",
-    file: `${GATEWAY}/held_catalogue.ts`,
+    file: `${GATEWAY}/local_catalogue.ts`,
     find: "if (document.version > (this.document?.version ?? 0)) {",
     replace: "if (document.version > 0) {",
   },
@@ -291,7 +291,7 @@
   {
     point: "routes: overload",
     name: "engines read for a part of their time",
-    file: `${GATEWAY}/placement.ts`,
+    file: `${GATEWAY}/endpoint_placement.ts`,
     find: "const MAX_PREFILL_SHARE = 0.7;",
     replace: "const MAX_PREFILL_SHARE = 1.1;",
   },
--- a/playground/src/guards/stall_guards.ts
+++ b/playground/src/guards/stall_guards.ts
@@ -47,7 +47,7 @@
   {
     point: POINT,
     name: "no endpoint counts as ended for an unread answer",
-    file: `${CORE}/quarantine/crash_watch.ts`,
+    file: `${CORE}/quarantine/crash_detector.ts`,
     find: "this.#listenedTime.since(lastHeardAt(endpoint, attempt), now)",
     replace: "now - lastHeardAt(endpoint, attempt)",
   },
--- a/playground/src/guards/terms_guards.ts
+++ b/playground/src/guards/terms_guards.ts
@@ -20,7 +20,7 @@
     find: "this.#deps.terms.limits.covers(state.record, permit, now);",
     replace: "true;",
     also: [{
-      file: `${GATEWAY}/local_places.ts`,
+      file: `${GATEWAY}/local_placement.ts`,
       find: "limits.allows(best.state.record, now)",
       replace: "true",
     }],
@@ -117,7 +117,7 @@
   {
     point: REST,
     name: "requests after a rest come one by one at first",
-    file: `${TERMS}/endpoint_rests.ts`,
+    file: `${TERMS}/endpoint_backoffs.ts`,
     find: "backoff.nextRequestAt = after(now, backoff.spacingMs);",
     replace: "backoff.nextRequestAt = now;",
   },
@@ -138,7 +138,7 @@
   {
     point: REST,
     name: "a rest ends, whatever was stated",
-    file: `${TERMS}/endpoint_rests.ts`,
+    file: `${TERMS}/endpoint_backoffs.ts`,
     find: "Math.min(MAX_BACKOFF_MS, stated.value * MS_PER_SECOND)",
     replace: "stated.value * MS_PER_SECOND",
   },
--- a/playground/src/platform/__tests__/keys_path.test.ts
+++ b/playground/src/platform/__tests__/keys_path.test.ts
@@ -60,7 +60,7 @@
   /** What an endpoint was told of a call, `undefined` where none got it. */
   function seenOf(call: string): NodeJS.Dict<string | string[]> | undefined {
     return fleet.endpoints.flatMap(({ requests }) => requests)
-      .find(({ headers }) => headers[HEADERS.call] === call)?.headers;
+      .find(({ headers }) => headers[HEADERS.callId] === call)?.headers;
   }
 
   beforeAll(async () => {
--- a/playground/src/platform/__tests__/platform_path.test.ts
+++ b/playground/src/platform/__tests__/platform_path.test.ts
@@ -2,7 +2,7 @@
 import { once } from "node:events";
 import { readFileSync, writeFileSync } from "node:fs";
 import { fileURLToPath } from "node:url";
-import { HEADERS, KEYS } from "@sassafrasstep/platform";
+import { HEADERS, STORE_KEYS } from "@sassafrasstep/platform";
 import { Agent } from "undici";
 import { afterAll, beforeAll, beforeEach, describe, expect, it } from "vitest";
 import {
@@ -46,7 +46,7 @@
       expect(answer.headers[HEADERS.seal]).toBe("seal-c1");
       const seen = fleet.endpoints.flatMap(({ requests }) => requests).find((
         { headers },
-      ) => headers[HEADERS.call] === "c1");
+      ) => headers[HEADERS.callId] === "c1");
       expect(seen?.url).toBe("/once/a?b=c");
       expect(seen?.method).toBe("POST");
       expect(Number(seen?.headers[HEADERS.timeLeft])).toBeLessThanOrEqual(
@@ -62,7 +62,7 @@
       });
       const seen = fleet.endpoints.flatMap(({ requests }) => requests).find((
         { headers },
-      ) => headers[HEADERS.call] === "c2");
+      ) => headers[HEADERS.callId] === "c2");
       expect(seen?.headers["kv-from"]).toBeUndefined();
       expect(seen?.headers["x-cache-hold"]).toBeUndefined();
     });
@@ -185,7 +185,7 @@
   describe("an endpoint that leaves", () => {
     it("gets nothing more", async () => {
       const [leaving] = fleet.endpoints;
-      fleet.store.remove(`${KEYS.endpoint}${leaving!.id}`);
+      fleet.store.remove(`${STORE_KEYS.endpoint}${leaving!.id}`);
       await eventually(async () => {
         const before = leaving!.requests.length;
         for (let index = 0; index < 4; index++) {
--- a/playground/src/platform/__tests__/store_source.test.ts
+++ b/playground/src/platform/__tests__/store_source.test.ts
@@ -1,6 +1,6 @@
 import { createServer } from "node:http";
 import { milliseconds, type Revision } from "@sassafrasstep/core";
-import { HEADERS, KEYS, StoreSource } from "@sassafrasstep/platform";
+import { HEADERS, STORE_KEYS, StoreSource } from "@sassafrasstep/platform";
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
 import { StandInStore, type StoreFault } from "../index.ts";
 import { closeAtOnce, listenOnLoopback } from "../loopback.ts";
@@ -38,9 +38,9 @@
 
   it("reads all pages", async () => {
     for (let index = 0; index < 8; index++) {
-      store.put(`${KEYS.endpoint}i-${index}`, ENDPOINT);
+      store.put(`${STORE_KEYS.endpoint}i-${index}`, ENDPOINT);
     }
-    store.put(`${KEYS.evacuation}a-1`, {});
+    store.put(`${STORE_KEYS.evacuation}a-1`, {});
     const snapshot = await source.snapshot(TIMEOUT);
     expect(snapshot.endpoints.length).toBe(8);
     expect(snapshot.evacuated).toEqual(["a-1"]);
@@ -52,7 +52,7 @@
   // way. A read is limited as a whole, so that an answer that is large for its link never arrives in time.
   it("reads an answer that keeps coming for longer than its limit", async () => {
     for (const id of ["i-1", "i-2", "i-3"]) {
-      store.put(`${KEYS.endpoint}${id}`, {
+      store.put(`${STORE_KEYS.endpoint}${id}`, {
         ...ENDPOINT,
         version: "v".repeat(200),
       });
@@ -70,7 +70,7 @@
       wait: milliseconds(5_000),
       timeout: milliseconds(6_000),
     });
-    store.put(`${KEYS.endpoint}i-1`, ENDPOINT);
+    store.put(`${STORE_KEYS.endpoint}i-1`, ENDPOINT);
     const answer = await waiting;
     expect(answer.kind).toBe("changes");
     if (answer.kind === "changes") {
@@ -99,8 +99,8 @@
   });
 
   it("tells of removals and of changes that are forgotten", async () => {
-    store.put(`${KEYS.endpoint}i-1`, ENDPOINT);
-    store.remove(`${KEYS.endpoint}i-1`);
+    store.put(`${STORE_KEYS.endpoint}i-1`, ENDPOINT);
+    store.remove(`${STORE_KEYS.endpoint}i-1`);
     const limits = { wait: milliseconds(0), timeout: TIMEOUT };
     const answer = await source.changes(1 as Revision, limits);
     expect(answer).toMatchObject({
@@ -129,9 +129,9 @@
    * Cause: a whole page is dropped for one item that cannot be read.
    */
   it("reads the others where one record is wrong, and says which", async () => {
-    store.put(`${KEYS.endpoint}i-1`, { ...ENDPOINT, address: 7 });
-    store.putRaw(`${KEYS.endpoint}i-2`, "bm8=");
-    store.put(`${KEYS.endpoint}i-3`, { ...ENDPOINT, unknown: true });
+    store.put(`${STORE_KEYS.endpoint}i-1`, { ...ENDPOINT, address: 7 });
+    store.putRaw(`${STORE_KEYS.endpoint}i-2`, "bm8=");
+    store.put(`${STORE_KEYS.endpoint}i-3`, { ...ENDPOINT, unknown: true });
     const { endpoints } = await source.snapshot(TIMEOUT);
     expect(endpoints.map(({ id }) => id)).toEqual(["i-3"]);
     expect(notes.join("\n")).toContain('"address"');
@@ -144,9 +144,9 @@
    * Cause: what could not be read was passed over, so that the former record held.
    */
   it("takes an endpoint out whose record became another thing, not the others", async () => {
-    store.put(`${KEYS.endpoint}i-1`, ENDPOINT);
-    store.putRaw(`${KEYS.endpoint}i-1`, "bm8=");
-    store.put(`${KEYS.endpoint}i-2`, ENDPOINT);
+    store.put(`${STORE_KEYS.endpoint}i-1`, ENDPOINT);
+    store.putRaw(`${STORE_KEYS.endpoint}i-1`, "bm8=");
+    store.put(`${STORE_KEYS.endpoint}i-2`, ENDPOINT);
     const limits = { wait: milliseconds(0), timeout: TIMEOUT };
     const answer = await source.changes(1 as Revision, limits);
     expect(answer).toMatchObject({
@@ -161,7 +161,7 @@
 
   it("tells the epoch of each answer, also where history is gone", async () => {
     const copy = store.copy();
-    store.put(`${KEYS.endpoint}i-1`, ENDPOINT);
+    store.put(`${STORE_KEYS.endpoint}i-1`, ENDPOINT);
     const limits = { wait: milliseconds(0), timeout: TIMEOUT };
     expect(await source.snapshot(TIMEOUT)).toMatchObject({
       epoch: 1,
@@ -183,7 +183,7 @@
     const page = (epoch: number, key: string, more_pages: boolean): string =>
       JSON.stringify({
         epoch,
-        items: [{ key: `${KEYS.evacuation}${key}`, value: "e30=" }],
+        items: [{ key: `${STORE_KEYS.evacuation}${key}`, value: "e30=" }],
         more_pages,
         as_of: 9 - epoch,
       });
@@ -209,9 +209,9 @@
       });
       expect(asked).toEqual([
         "",
-        `${KEYS.evacuation}a-1`,
+        `${STORE_KEYS.evacuation}a-1`,
         "",
-        `${KEYS.evacuation}a-2`,
+        `${STORE_KEYS.evacuation}a-2`,
       ]);
     } finally {
       await reader.close();
@@ -221,7 +221,7 @@
 
   it("writes a line for each such key once, and few for thousands", async () => {
     for (let index = 0; index < 1_200; index++) {
-      store.putRaw(`${KEYS.endpoint}foreign-${index}`, "bm8=");
+      store.putRaw(`${STORE_KEYS.endpoint}foreign-${index}`, "bm8=");
     }
     await source.snapshot(TIMEOUT);
     const lines = notes.length;
--- a/playground/src/platform/platform_caller.ts
+++ b/playground/src/platform/platform_caller.ts
@@ -31,9 +31,9 @@
     ...(dispatcher === undefined ? {} : { dispatcher }),
     headers: {
       host: "kiosk.example",
-      [HEADERS.call]: call,
+      [HEADERS.callId]: call,
       [HEADERS.timeLeft]: "3000",
-      ...(tokens === undefined ? {} : { [HEADERS.tokens]: tokens }),
+      ...(tokens === undefined ? {} : { [HEADERS.tokenCounts]: tokens }),
       ...headers,
     },
   });
--- a/playground/src/platform/platform_fleet.ts
+++ b/playground/src/platform/platform_fleet.ts
@@ -12,7 +12,11 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { fileURLToPath } from "node:url";
-import { CALLS, KEYS, SETTINGS_VARIABLE } from "@sassafrasstep/platform";
+import {
+  API_PATHS,
+  SETTINGS_PATH_VARIABLE,
+  STORE_KEYS,
+} from "@sassafrasstep/platform";
 import { StandInEndpoint } from "./stand_in_endpoint.ts";
 import { StandInStore, type StoreGate } from "./stand_in_store.ts";
 
@@ -112,7 +116,7 @@
 
   /** Key of an endpoint's record. */
   keyOf(id: string): string {
-    return `${KEYS.endpoint}${id}`;
+    return `${STORE_KEYS.endpoint}${id}`;
   }
 
   publishDocument(
@@ -120,7 +124,7 @@
     tenants: readonly object[] = [],
   ): void {
     this.#version += 2;
-    this.store.put(KEYS.document, {
+    this.store.put(STORE_KEYS.document, {
       version: this.#version,
       routes,
       tenants,
@@ -170,7 +174,7 @@
   async ready({ readiness }: PlatformEntry): Promise<void> {
     try {
       await eventually(async () => {
-        const { status } = await fetch(`http://${readiness}${CALLS.ready}`);
+        const { status } = await fetch(`http://${readiness}${API_PATHS.ready}`);
         return status === 200;
       });
     } catch (cause) {
@@ -184,7 +188,7 @@
   async named(entry: PlatformEntry, host: string): Promise<string[]> {
     const query = `name=${host}&region=a&zone=a-1`;
     const answer = await fetch(
-      `http://${entry.directory}${CALLS.resolve}?${query}`,
+      `http://${entry.directory}${API_PATHS.resolve}?${query}`,
     );
     const { addresses } = await answer.json() as { addresses: string[] };
     return addresses.sort();
@@ -254,7 +258,7 @@
 
   #spawn(settings: string): ChildProcess {
     const child = spawn(process.execPath, [PROGRAM], {
-      env: { [SETTINGS_VARIABLE]: settings },
+      env: { [SETTINGS_PATH_VARIABLE]: settings },
       stdio: ["ignore", "pipe", "inherit"],
     });
     child.stdout.on("data", (bytes: Buffer) => this.output += bytes);
--- a/playground/src/platform/stand_in_endpoint.ts
+++ b/playground/src/platform/stand_in_endpoint.ts
@@ -91,7 +91,7 @@
       reply.writeHead(MISDIRECTED, { [HEADERS.endpoint]: this.id }).end();
       return;
     }
-    const call = String(message.headers[HEADERS.call]);
+    const call = String(message.headers[HEADERS.callId]);
     if (this.fault === "full") {
       const headers = { ...this.stated, [HEADERS.notRun]: "1" };
       reply.writeHead(UNAVAILABLE, headers).end();
@@ -107,10 +107,10 @@
     }
     const headers = {
       ...this.stated,
-      [HEADERS.call]: call,
+      [HEADERS.callId]: call,
       [HEADERS.seal]: `seal-${call}`,
     };
-    if (message.headers[HEADERS.tokens] !== undefined) {
+    if (message.headers[HEADERS.tokenCounts] !== undefined) {
       this.#stream(message, { reply, headers });
       return;
     }
@@ -128,7 +128,7 @@
     },
   ): void {
     reply.writeHead(200, { ...headers, "content-type": "text/event-stream" });
-    const first = Number(message.headers[HEADERS.lastEvent] ?? 0) + 1;
+    const first = Number(message.headers[HEADERS.lastEventId] ?? 0) + 1;
     const say = (id: number): void => {
       if (this.fault === "torn" && id === first + 2) {
         reply.write(`id: ${id}\nda`, () => message.socket.destroy());
--- a/playground/src/platform/stand_in_store.ts
+++ b/playground/src/platform/stand_in_store.ts
@@ -9,7 +9,7 @@
   type Server,
   type ServerResponse,
 } from "node:http";
-import { CALLS, HEADERS } from "@sassafrasstep/platform";
+import { API_PATHS, HEADERS } from "@sassafrasstep/platform";
 import { closeAtOnce, listenOnLoopback } from "./loopback.ts";
 
 /** How the store treats a call. */
@@ -183,7 +183,7 @@
 
   #answer({ pathname, searchParams }: URL, reply: ServerResponse): void {
     const prefix = searchParams.get("path_prefix") ?? "";
-    if (pathname === CALLS.range) {
+    if (pathname === API_PATHS.range) {
       return this.#range(prefix, searchParams.get("after") ?? "", reply);
     }
     const after = Number(searchParams.get("after"));
--- a/playground/src/routes/fake_store.ts
+++ b/playground/src/routes/fake_store.ts
@@ -13,7 +13,7 @@
   EndpointRecord,
   GatewayEvent,
   KeyDigest,
-  ReadProof,
+  RequiredProof,
   Revision,
   Route,
   RoutedService,
@@ -143,7 +143,7 @@
 
   /** What an entry holds otherwise than it is here, `undefined` where all is in force. */
   missingAt(
-    { document, endpoints, evacuated }: CatalogueView,
+    { document, endpoints, evacuatedZones: evacuated }: CatalogueView,
   ): string | undefined {
     const version = this.#document?.version ?? 0;
     if ((document?.version ?? 0) < version) {
@@ -192,7 +192,7 @@
     { after, wait, proof }: {
       after: number | undefined;
       wait: number;
-      proof: ReadProof;
+      proof: RequiredProof;
     },
     answer: (event: GatewayEvent) => void,
   ): void {
@@ -223,7 +223,7 @@
 
   /** What a reader makes of an answer that names no change, though there were some. */
   #deaf(
-    { after, proof }: { after: number; proof: ReadProof },
+    { after, proof }: { after: number; proof: RequiredProof },
   ): GatewayEvent {
     if (proof.kind !== "none") {
       return after === this.#revision
--- a/playground/src/routes/route_links.ts
+++ b/playground/src/routes/route_links.ts
@@ -200,7 +200,7 @@
   return {
     status,
     notRun,
-    genuine: !notRun,
+    fromEndpoint: !notRun,
     load: undefined,
     retryAfter: undefined,
     limit: undefined,
--- a/playground/src/routes/route_world.ts
+++ b/playground/src/routes/route_world.ts
@@ -9,7 +9,7 @@
   type ContentDigest,
   type EntryId,
   type GatewayBounds,
-  type GatewaySelf,
+  type GatewayIdentity,
   instant,
   keyDigest,
   milliseconds,
@@ -29,9 +29,9 @@
 import { VirtualGateway } from "./virtual_gateway.ts";
 
 const BOUNDS: GatewayBounds = {
-  repeatRatio: 0.2,
-  repeatWindow: milliseconds(10_000),
-  repeatSlack: 50,
+  retryRatio: 0.2,
+  retryWindow: milliseconds(10_000),
+  retrySlack: 50,
   coldOvershoot: 1.5,
   coldSlack: 3,
   listLifetime: milliseconds(5_000),
@@ -174,7 +174,9 @@
     };
   }
 
-  #selfOf({ name, spot }: VirtualGateway): Omit<GatewaySelf, "incarnation"> {
+  #selfOf(
+    { name, spot }: VirtualGateway,
+  ): Omit<GatewayIdentity, "incarnation"> {
     return {
       id: name as EntryId,
       zone: spot.zone as ZoneId,
--- a/playground/src/routes/virtual_gateway.ts
+++ b/playground/src/routes/virtual_gateway.ts
@@ -8,7 +8,7 @@
   Gateway,
   type GatewayEffect,
   type GatewayEvent,
-  type GatewaySelf,
+  type GatewayIdentity,
   type Incarnation,
   type Instant,
   instant,
@@ -72,7 +72,7 @@
   }
 
   /** Begins a new life. */
-  start(self: Omit<GatewaySelf, "incarnation">): void {
+  start(self: Omit<GatewayIdentity, "incarnation">): void {
     this.#life++;
     this.startedAt = this.#world.time.now;
     this.#gateway = new Gateway({
@@ -170,7 +170,7 @@
   }
 
   #schedule(life: number): void {
-    const pause = this.#gateway?.tickPause ?? 0;
+    const pause = this.#gateway?.tickInterval ?? 0;
     this.#nextTickAt = this.#world.time.now + pause;
     this.#world.time.after(pause, () => {
       if (this.#world.time.now >= this.#nextTickAt) {
@@ -181,7 +181,7 @@
 
   /** Something came that can't wait for the tick that is set. */
   #hasten(): void {
-    const pause = this.#gateway?.tickPause ?? 0;
+    const pause = this.#gateway?.tickInterval ?? 0;
     if (this.#world.time.now + pause < this.#nextTickAt) {
       this.#schedule(this.#life);
     }
@@ -258,7 +258,7 @@
       to.head({
         status: refusal.status,
         notRun: refusal.verdict.kind === "not_run",
-        genuine: false,
+        fromEndpoint: false,
         load: undefined,
         retryAfter: refusal.retryAfter,
         limit: undefined,
--- a/playground/src/scenario/world.ts
+++ b/playground/src/scenario/world.ts
@@ -8,9 +8,9 @@
   type ConfigurationCopy,
   type Effect,
   type EndpointId,
-  type HandOver,
+  type KeyHandOver,
   type ListedVm,
-  parseText,
+  parseConfiguration,
   type RegionId,
   type ZoneId,
 } from "@sassafrasstep/core";
@@ -191,7 +191,7 @@
     region: string,
     { what, customer }: { what: string; customer: string },
   ): void {
-    const result = parseText(this.configuration.newest);
+    const result = parseConfiguration(this.configuration.newest);
     const found = result.ok
       ? [...result.deployment.customers.values()].find(({ id }) =>
         id === customer
@@ -333,7 +333,7 @@
       this.time.after(PEER_TIMEOUT_MS, done);
       return;
     }
-    const copied = JSON.parse(JSON.stringify(handOver)) as HandOver;
+    const copied = JSON.parse(JSON.stringify(handOver)) as KeyHandOver;
     this.#callPeer(entry, url, {
       deliver: (peer) => {
         peer.core.answerHandOver(copied, peer.now());
--- a/playground/src/slopes/made_fleet.ts
+++ b/playground/src/slopes/made_fleet.ts
@@ -11,7 +11,7 @@
   milliseconds,
   type RegionId,
   sha256,
-  type Spare,
+  type SpareCapacity,
   type ZoneId,
 } from "@sassafrasstep/core";
 
@@ -120,11 +120,14 @@
 /** A heartbeat as a delegate of a fleet sends it to another zone. */
 export function makeHeartbeat(size: FleetSize, freshness: number): Heartbeat {
   const from = makeFreshness(0);
-  const spare: Spare[] = Array.from({ length: size.models }, (_, model) => ({
-    service: `model-${model}` as Spare["service"],
-    slots: 40 + model,
-    firstToken: milliseconds(180),
-  }));
+  const spare: SpareCapacity[] = Array.from(
+    { length: size.models },
+    (_, model) => ({
+      service: `model-${model}` as SpareCapacity["service"],
+      slots: 40 + model,
+      firstToken: milliseconds(180),
+    }),
+  );
   const { zone, region } = zoneAt(size, 0);
   return {
     deployment: "made",
--- a/playground/src/slopes/measurements.ts
+++ b/playground/src/slopes/measurements.ts
@@ -4,9 +4,9 @@
  * @module
  */
 import {
-  diffText,
+  createTextPatch,
   instant,
-  parseText,
+  parseConfiguration,
   type RequestId,
   type Revision,
   sha256,
@@ -137,7 +137,7 @@
     const text = makeText({ ...TARGET, customers });
     return {
       size: text.length / BYTES_PER_KB,
-      value: cpuOf(20, () => parseText(text)) / MICROS_PER_MS,
+      value: cpuOf(20, () => parseConfiguration(text)) / MICROS_PER_MS,
     };
   });
   return {
@@ -162,7 +162,7 @@
     }
     return {
       size: changes,
-      value: JSON.stringify(diffText(text, lines.join("\n"))).length,
+      value: JSON.stringify(createTextPatch(text, lines.join("\n"))).length,
     };
   });
   return {
--- a/playground/src/slopes/probe_fleet.ts
+++ b/playground/src/slopes/probe_fleet.ts
@@ -10,12 +10,12 @@
   type FleetMessage,
   type Incarnation,
   instant,
-  ListenedTime,
   milliseconds,
   NO_POSITION,
   type RegionId,
   type Revision,
   SeededRandomness,
+  StallAdjustedClock,
   type ZoneId,
 } from "@sassafrasstep/core";
 import { encodeFleetMessage } from "@sassafrasstep/daemon";
@@ -111,7 +111,7 @@
     const nodes = [...this.#nodes.values()];
     return nodes.reduce(
       (sum, { controller }) =>
-        sum + nodes.length - 1 - controller.live().length,
+        sum + nodes.length - 1 - controller.liveMembers().length,
       0,
     );
   }
@@ -128,7 +128,7 @@
         { alive, controller },
       ) =>
         alive &&
-        controller.live().some(({ record }) =>
+        controller.liveMembers().some(({ record }) =>
           record.incarnation === lost!.incarnation
         )
       );
@@ -157,11 +157,11 @@
         weight: 1,
       },
       seeds: ["n0:90", "n1:90", "n2:90"],
-      period: PERIOD_MS,
-      resting: () => false,
-      holds: () => [],
+      pingPeriodMs: PERIOD_MS,
+      isStandby: () => false,
+      nextHolds: () => [],
       random: new SeededRandomness(index + 1),
-      listened: new ListenedTime(instant(0)),
+      clock: new StallAdjustedClock(instant(0)),
       send: (to, message) => this.#send({ from: region, to, message }),
       holdings: () => ({ document: 1 as Revision, catalogue: NO_POSITION }),
       summary: () => ({
--- a/soak/src/guard_list.ts
+++ b/soak/src/guard_list.ts
@@ -114,7 +114,7 @@
     point: POINT,
     kinds: PAUSES,
     name: "silence is counted while the process listens",
-    file: "packages/core/src/listening/listened_time.ts",
+    file: "packages/core/src/listening/stall_adjusted_clock.ts",
     find: "elapsed -= duration;",
     replace: "elapsed -= 0 * duration;",
   },
