--- a/packages/core/src/customers/__tests__/check_key.test.ts
+++ b/packages/core/src/customers/__tests__/check_key.test.ts
@@ -26,15 +26,15 @@
 function build(provenAt: number): {
   judge: (key: string | undefined, at: number, arrivedAt?: number) => string;
 } {
-  const currency = new DocumentFreshness();
-  currency.setHeldVersion(1 as Revision);
-  currency.addProof({
+  const documentFreshness = new DocumentFreshness();
+  documentFreshness.setHeldVersion(1 as Revision);
+  documentFreshness.addProof({
     version: 1 as Revision,
-    at: currency.mark(instant(provenAt)),
+    at: documentFreshness.mark(instant(provenAt)),
   });
   const grounds = {
     customers: new CustomerDirectory(new Map([[CLINIC.id, CLINIC]])),
-    currency,
+    documentFreshness,
     refused: new RefusedKeys(),
     maxAge: BOUND,
   };
--- a/packages/core/src/customers/check_key.ts
+++ b/packages/core/src/customers/check_key.ts
@@ -43,7 +43,7 @@
 /** State that the decision depends on. */
 export interface KeyCheckContext {
   readonly customers: CustomerDirectory;
-  readonly currency: FreshnessView;
+  readonly documentFreshness: FreshnessView;
   /** Keys that were missing from the current document when they were last checked. */
   readonly refused: RefusedKeys;
   /** Document age beyond which a key may have been revoked; `undefined` if no bound is guaranteed. */
@@ -59,7 +59,7 @@
  */
 export function checkKey(
   { key, relayed, arrivedAt, ...facts }: KeyCheckInput,
-  { customers, currency, refused, maxAge: bound }: KeyCheckContext,
+  { customers, documentFreshness, refused, maxAge }: KeyCheckContext,
   now: Instant,
 ): KeyVerdict {
   if (relayed !== undefined) {
@@ -74,15 +74,17 @@
   }
   const customer = key === undefined ? undefined : customers.find(key);
   if (customer === undefined) {
-    const isRefusalFinal = currency.isConfirmedSince(arrivedAt, now) ||
-      refused.has(key) && currency.isWithin(REFUSED_KEY_MAX_AGE_MS, now);
+    const isRefusalFinal = documentFreshness.isConfirmedSince(arrivedAt, now) ||
+      refused.has(key) &&
+        documentFreshness.isWithin(REFUSED_KEY_MAX_AGE_MS, now);
     if (!isRefusalFinal) {
       return { kind: "doubtful" };
     }
     refused.add(key);
     return { kind: "unknown" };
   }
-  const isFresh = bound === undefined || currency.isWithin(bound, now);
+  const isFresh = maxAge === undefined ||
+    documentFreshness.isWithin(maxAge, now);
   return isFresh ? { kind: "accepted", customer } : { kind: "doubtful" };
 }
 
--- a/packages/core/src/customers/customer_limits.ts
+++ b/packages/core/src/customers/customer_limits.ts
@@ -206,8 +206,8 @@
 
   /** Determines the current aggregator of the region. */
   #updateAggregator(now: Instant): void {
-    const { aggregatorOf: keeperOf, self } = this.#sources;
-    const incarnation = keeperOf(self.region, now);
+    const { aggregatorOf, self } = this.#sources;
+    const incarnation = aggregatorOf(self.region, now);
     if (incarnation !== this.#aggregator?.incarnation) {
       this.#aggregator = incarnation === undefined ? undefined : {
         incarnation,
@@ -332,11 +332,11 @@
   }
 
   #sendTotalsToOtherRegions(now: Instant): void {
-    const { self, regions, aggregatorOf: keeperOf, send } = this.#sources;
+    const { self, regions, aggregatorOf, send } = this.#sources;
     for (const region of regions) {
       const aggregator = region === self.region
         ? undefined
-        : keeperOf(region, now);
+        : aggregatorOf(region, now);
       if (aggregator !== undefined) {
         send(
           aggregator,
--- a/packages/core/src/customers/index.ts
+++ b/packages/core/src/customers/index.ts
@@ -1,19 +1,19 @@
 export {
-  DocumentFreshness as DocumentFreshness,
-  type FreshnessMark as FreshnessMark,
-  type FreshnessProof as FreshnessProof,
-  type FreshnessView as FreshnessView,
+  DocumentFreshness,
+  type FreshnessMark,
+  type FreshnessProof,
+  type FreshnessView,
 } from "./document_freshness.ts";
 export * from "./customer.ts";
 export { CustomerDirectory } from "./customer_directory.ts";
 export { RefusedKeys } from "./refused_keys.ts";
-export { checkKey as checkKey, type KeyVerdict } from "./check_key.ts";
+export { checkKey, type KeyVerdict } from "./check_key.ts";
 export {
   CustomerLimits,
   type CustomerLimitSources,
   type LimitVerdict,
 } from "./customer_limits.ts";
-export { DecayingSum as DecayingSum } from "./decaying_sum.ts";
+export { DecayingSum } from "./decaying_sum.ts";
 export { LimitBucket } from "./limit_bucket.ts";
 export type {
   CustomerSum,
--- a/packages/core/src/endpoint_terms/__tests__/endpoint_backoffs.test.ts
+++ b/packages/core/src/endpoint_terms/__tests__/endpoint_backoffs.test.ts
@@ -17,16 +17,16 @@
 }
 
 describe("endpoints that ask to back off", () => {
-  let rests: EndpointBackoffs;
+  let backoffs: EndpointBackoffs;
   let lines: string[];
 
   const hear = (stated: StatedValue, at: number): void =>
-    rests.handleAnswer(RECORD, { stated, answer: ANSWER }, instant(at));
-  const waitAt = (at: number): number => rests.waitFor(RECORD, instant(at));
+    backoffs.handleAnswer(RECORD, { stated, answer: ANSWER }, instant(at));
+  const waitAt = (at: number): number => backoffs.waitFor(RECORD, instant(at));
 
   beforeEach(() => {
     lines = [];
-    rests = new EndpointBackoffs({ log: (text) => lines.push(text) });
+    backoffs = new EndpointBackoffs({ log: (text) => lines.push(text) });
   });
 
   it("get no request until the stated time", () => {
@@ -50,8 +50,8 @@
       if (waitAt(at) === 0 && gaps.length < 4) {
         gaps.push(at - last);
         last = at;
-        rests.recordSent(RECORD, instant(at));
-        rests.recordServed(RECORD, instant(at));
+        backoffs.recordSent(RECORD, instant(at));
+        backoffs.recordServed(RECORD, instant(at));
       }
     }
     expect(gaps).toEqual([0, 200, 100, 50]);
@@ -71,14 +71,14 @@
     hear(stated, 0);
     hear(stated, 1);
     expect(waitAt(2)).toBe(0);
-    expect(rests.ignored).toBe(2);
+    expect(backoffs.ignored).toBe(2);
     expect(lines).toEqual(["Rest of an endpoint is ignored."]);
   });
 
   it("get requests again once they restart", () => {
     hear(restOf(3), 0);
     const next = { id: "e" as EndpointId, life: 2 } as never;
-    expect(rests.waitFor(next, instant(1))).toBe(0);
+    expect(backoffs.waitFor(next, instant(1))).toBe(0);
   });
 
   // Guards against a back-off period that ends early, or never, in whatever order an endpoint refuses and serves.
@@ -94,7 +94,7 @@
         ),
         fc.boolean(),
         (steps, serves) => {
-          rests = new EndpointBackoffs({ log: () => {} });
+          backoffs = new EndpointBackoffs({ log: () => {} });
           let now = 0;
           let until = 0;
           let sentAt = 0;
@@ -103,9 +103,9 @@
               if (waitAt(now) === 0) {
                 expect(now).toBeGreaterThanOrEqual(until);
                 sentAt = now;
-                rests.recordSent(RECORD, instant(now));
+                backoffs.recordSent(RECORD, instant(now));
                 if (serves) {
-                  rests.recordServed(RECORD, instant(now));
+                  backoffs.recordServed(RECORD, instant(now));
                 }
               }
             }
--- a/packages/core/src/endpoint_terms/endpoint_limits.ts
+++ b/packages/core/src/endpoint_terms/endpoint_limits.ts
@@ -268,7 +268,7 @@
     now: Instant,
     requester?: Incarnation,
   ): void {
-    const { incarnation, reachableFraction: heardPart, send } = this.#sources;
+    const { incarnation, reachableFraction, send } = this.#sources;
     const known = this.#known.get(endpoint);
     const { entry, takesOver } = this.#findIssuer(endpoint, now);
     if (entry !== incarnation || known?.perSecond === undefined) {
@@ -284,7 +284,9 @@
     if (!permitIssuer.hasRequests) {
       return;
     }
-    for (const to of permitIssuer.issue(known.perSecond * heardPart(), now)) {
+    for (
+      const to of permitIssuer.issue(known.perSecond * reachableFraction(), now)
+    ) {
       if (to === incarnation) {
         this.#addPermit(endpoint, now);
       } else {
--- a/packages/core/src/endpoint_terms/index.ts
+++ b/packages/core/src/endpoint_terms/index.ts
@@ -8,11 +8,11 @@
   type EndpointLimitSources,
   type Permit,
 } from "./endpoint_limits.ts";
-export { EndpointBackoffs as EndpointBackoffs } from "./endpoint_backoffs.ts";
+export { EndpointBackoffs } from "./endpoint_backoffs.ts";
 export type { EndpointTerms } from "./endpoint_terms.ts";
 export type { LimitMessage, LimitNotice } from "./limit_messages.ts";
 export type {
   AnswerSummary,
-  EndpointLog as EndpointLog,
-  StatedValue as StatedValue,
+  EndpointLog,
+  StatedValue,
 } from "./stated_value.ts";
--- a/packages/core/src/fleet/index.ts
+++ b/packages/core/src/fleet/index.ts
@@ -1,7 +1,4 @@
-export {
-  FleetController,
-  SUSPICION_TIMEOUT_MS as SUSPICION_MS,
-} from "./fleet_controller.ts";
+export { FleetController, SUSPICION_TIMEOUT_MS } from "./fleet_controller.ts";
 export * from "./fleet_messages.ts";
 export type { FleetIdentity, FleetOptions } from "./fleet_options.ts";
 export type { FleetMember } from "./membership_list.ts";
--- a/packages/core/src/gateway/__tests__/call_controller.test.ts
+++ b/packages/core/src/gateway/__tests__/call_controller.test.ts
@@ -93,7 +93,7 @@
     random: new SeededRandomness(1),
     catalogue: {
       table: new RouteTable({ ...DOCUMENT, routes: [route] }),
-      isOld: () => false,
+      isStale: () => false,
     } as never,
     endpoints: { all: () => [], hasStartedAgain: () => false } as never,
     regions: {
--- a/packages/core/src/gateway/__tests__/call_queue.test.ts
+++ b/packages/core/src/gateway/__tests__/call_queue.test.ts
@@ -12,12 +12,12 @@
 
 function waiting(
   id: string,
-  { at = 0, priority = 1, tokens = 3_500, unread = tokens, customer }: {
+  { at = 0, priority = 1, tokens = 3_500, uncachedTokens = tokens, customer }: {
     customer?: string;
     at?: number;
     priority?: number;
     tokens?: number;
-    unread?: number;
+    uncachedTokens?: number;
   } = {},
 ): Call {
   const route = { priority, objective: milliseconds(1_000) } as Route;
@@ -38,7 +38,7 @@
       endsAt: instant(at + 10_000),
     },
   );
-  call.uncachedTokens = unread;
+  call.uncachedTokens = uncachedTokens;
   return call;
 }
 
@@ -90,9 +90,9 @@
    */
   it("lets cheap requests overtake costly ones that arrived a little earlier", () => {
     const costly = waiting("costly", { at: 0 });
-    const cheap = waiting("cheap", { at: 100, unread: 700 });
+    const cheap = waiting("cheap", { at: 100, uncachedTokens: 700 });
     expect(order([costly, cheap], 200)).toEqual(["cheap", "costly"]);
-    const late = waiting("late", { at: 400, unread: 700 });
+    const late = waiting("late", { at: 400, uncachedTokens: 700 });
     expect(order([costly, late], 500)).toEqual(["costly", "late"]);
   });
 });
--- a/packages/core/src/gateway/__tests__/endpoint_restarts.test.ts
+++ b/packages/core/src/gateway/__tests__/endpoint_restarts.test.ts
@@ -43,7 +43,7 @@
   let published: Map<EndpointId, EndpointRecord>;
   let catalogue: {
     generation: number;
-    evacuated: Set<ZoneId>;
+    evacuatedZones: Set<ZoneId>;
     endpoints: Map<EndpointId, EndpointRecord>;
     document: unknown;
   };
@@ -76,7 +76,7 @@
     published = new Map();
     catalogue = {
       generation: 0,
-      evacuated: new Set(),
+      evacuatedZones: new Set(),
       endpoints: published,
       document: { services: new Map([[POOL.id, POOL]]) },
     };
--- a/packages/core/src/gateway/__tests__/freshness_exchange.test.ts
+++ b/packages/core/src/gateway/__tests__/freshness_exchange.test.ts
@@ -23,15 +23,15 @@
 
 /** `randomValue`: what the random source returns. */
 function build(randomValue = 0): {
-  currency: DocumentFreshness;
+  documentFreshness: DocumentFreshness;
   exchange: FreshnessExchange;
   sent: FreshnessMessage[];
 } {
-  const currency = new DocumentFreshness();
-  currency.setHeldVersion(VERSION);
+  const documentFreshness = new DocumentFreshness();
+  documentFreshness.setHeldVersion(VERSION);
   const sent: FreshnessMessage[] = [];
   const exchange = new FreshnessExchange({
-    currency,
+    documentFreshness,
     random: { next: () => randomValue },
     isEnabled: () => true,
     isStandby: () => false,
@@ -42,7 +42,7 @@
     send: (_to, message) => sent.push(message),
     onPeerReport: () => {},
   });
-  return { currency, exchange, sent };
+  return { documentFreshness, exchange, sent };
 }
 
 function answer(version: Revision, age: number): FreshnessResponse {
@@ -61,54 +61,54 @@
   // Guards against dating an answer by its arrival: an instance was paused for six seconds with an answer in
   // its socket and took it for recent, so that keys revoked meanwhile stayed valid for that much longer.
   it("counts its age and the time since the question", () => {
-    const { currency, exchange } = build();
+    const { documentFreshness, exchange } = build();
     exchange.tick(instant(1_000));
     exchange.receive(answer(VERSION, 200), instant(7_000));
-    expect(currency.age(instant(7_000))).toBe(6_200);
+    expect(documentFreshness.age(instant(7_000))).toBe(6_200);
   });
 
   it("counts the time that the machine was suspended", () => {
-    const { currency, exchange } = build();
+    const { documentFreshness, exchange } = build();
     exchange.tick(instant(1_000));
-    currency.addSuspendedTime(milliseconds(4_000));
+    documentFreshness.addSuspendedTime(milliseconds(4_000));
     exchange.receive(answer(VERSION, 200), instant(1_100));
-    expect(currency.age(instant(1_100))).toBe(4_300);
+    expect(documentFreshness.age(instant(1_100))).toBe(4_300);
   });
 
   it("proves nothing if it is unsolicited or repeated", () => {
-    const { currency, exchange } = build();
+    const { documentFreshness, exchange } = build();
     exchange.receive(answer(VERSION, 0), instant(1_000));
-    expect(currency.age(instant(1_000))).toBe(Infinity);
+    expect(documentFreshness.age(instant(1_000))).toBe(Infinity);
     exchange.tick(instant(1_000));
     exchange.receive(answer(VERSION, 0), instant(1_100));
     exchange.receive(answer(VERSION, 0), instant(5_000));
-    expect(currency.age(instant(5_000))).toBe(4_000);
+    expect(documentFreshness.age(instant(5_000))).toBe(4_000);
   });
 
   // Guards against taking a document for more recent than it is, because of an answer to a former process at
   // the same address.
   it("proves nothing to a restarted process at the same address", () => {
-    const { currency, exchange, sent } = build(0.5);
+    const { documentFreshness, exchange, sent } = build(0.5);
     exchange.tick(instant(1_000));
     exchange.receive(answer(VERSION, 0), instant(1_100));
-    expect(currency.age(instant(1_100))).toBe(Infinity);
+    expect(documentFreshness.age(instant(1_100))).toBe(Infinity);
     const [{ sequence }] = sent as [FreshnessRequest];
     exchange.receive({ ...answer(VERSION, 0), sequence }, instant(1_200));
-    expect(currency.age(instant(1_200))).toBe(200);
+    expect(documentFreshness.age(instant(1_200))).toBe(200);
   });
 
   it("proves a newer document current only once it is held locally", () => {
-    const { currency, exchange } = build();
+    const { documentFreshness, exchange } = build();
     const newer = VERSION + 3 as Revision;
     exchange.tick(instant(1_000));
     exchange.receive(answer(newer, 100), instant(1_100));
-    expect(currency.age(instant(1_100))).toBe(Infinity);
-    currency.setHeldVersion(newer);
-    expect(currency.age(instant(1_200))).toBe(300);
+    expect(documentFreshness.age(instant(1_100))).toBe(Infinity);
+    documentFreshness.setHeldVersion(newer);
+    expect(documentFreshness.age(instant(1_200))).toBe(300);
   });
 
   it("is only sent by an instance that has proof itself", () => {
-    const { currency, exchange, sent } = build();
+    const { documentFreshness, exchange, sent } = build();
     const question = {
       kind: "question",
       from: "1.2.3.6:5",
@@ -117,7 +117,10 @@
     };
     exchange.receive(question as FreshnessMessage, instant(500));
     expect(sent).toEqual([]);
-    currency.addProof({ version: VERSION, at: currency.mark(instant(400)) });
+    documentFreshness.addProof({
+      version: VERSION,
+      at: documentFreshness.mark(instant(400)),
+    });
     exchange.receive(question as FreshnessMessage, instant(500));
     expect(sent).toMatchObject([{ kind: "answer", sequence: 3, age: 100 }]);
   });
--- a/packages/core/src/gateway/call_admission.ts
+++ b/packages/core/src/gateway/call_admission.ts
@@ -74,7 +74,7 @@
     const facts = { key: head.key, relayed: head.relay, arrivedAt };
     const verdict = checkKey({ ...facts, public: route.public }, {
       customers: table.customers,
-      currency: catalogue.documentFreshness,
+      documentFreshness: catalogue.documentFreshness,
       refused: this.#refusedKeys,
       maxAge: keyLifetime(),
     }, now);
--- a/packages/core/src/gateway/call_queue.ts
+++ b/packages/core/src/gateway/call_queue.ts
@@ -118,8 +118,9 @@
 }
 
 /** Virtual time of a request before its customer's other requests are taken into account. */
-function virtualArrival({ arrivedAt, uncachedTokens: unread }: Call): number {
-  return arrivedAt + COST_WEIGHT * unread / DEFAULT_PREFILL_TOKENS_PER_MS;
+function virtualArrival({ arrivedAt, uncachedTokens }: Call): number {
+  return arrivedAt +
+    COST_WEIGHT * uncachedTokens / DEFAULT_PREFILL_TOKENS_PER_MS;
 }
 
 /** Milliseconds from sending to the first event, where the fraction `readPart` of the prompt has to be read. */
--- a/packages/core/src/gateway/catalogue_controller.ts
+++ b/packages/core/src/gateway/catalogue_controller.ts
@@ -105,7 +105,7 @@
     this.#schedule = new ReadSchedule(schedule, now);
     this.#grace = new MissingRecordGrace(now);
     this.#freshness = new FreshnessProofs({
-      currency: this.documentFreshness,
+      documentFreshness: this.documentFreshness,
       newestDocument,
     });
     this.#copies = new PeerCopies({ emit, newestHolder }, now);
--- a/packages/core/src/gateway/customer_roles.ts
+++ b/packages/core/src/gateway/customer_roles.ts
@@ -125,7 +125,7 @@
   return new FreshnessExchange({
     self,
     random,
-    currency: catalogue.documentFreshness,
+    documentFreshness: catalogue.documentFreshness,
     isStandby,
     isEnabled: () => catalogue.requiresKeys,
     localState: () => ({
--- a/packages/core/src/gateway/freshness_exchange.ts
+++ b/packages/core/src/gateway/freshness_exchange.ts
@@ -44,7 +44,7 @@
 
 /** Dependencies of the exchange. */
 export interface FreshnessExchangeDependencies {
-  readonly currency: DocumentFreshness;
+  readonly documentFreshness: DocumentFreshness;
   readonly random: Randomness;
   /** Whether the exchange is used, as it is where customers' keys are required. */
   readonly isEnabled: () => boolean;
@@ -95,10 +95,11 @@
   }
 
   tick(now: Instant): void {
-    const { currency, isEnabled, isStandby } = this.#dependencies;
+    const { documentFreshness, isEnabled, isStandby } = this.#dependencies;
     const maxAge = isStandby() ? STANDBY_ASK_AGE_MS : ASK_AGE_MS;
     if (
-      isEnabled() && now >= this.#nextQuestionAt && currency.age(now) >= maxAge
+      isEnabled() && now >= this.#nextQuestionAt &&
+      documentFreshness.age(now) >= maxAge
     ) {
       this.#sendQuestion(now);
     }
@@ -113,7 +114,8 @@
   }
 
   #sendQuestion(now: Instant): void {
-    const { currency, localState, self, send, selectPeer } = this.#dependencies;
+    const { documentFreshness, localState, self, send, selectPeer } =
+      this.#dependencies;
     const to = selectPeer(this.#attempts, now);
     this.#nextQuestionAt = after(now, ASK_INTERVAL_MS);
     if (to === undefined) {
@@ -121,7 +123,10 @@
     }
     this.#attempts++;
     this.#sequence++;
-    this.#pending.set(this.#sequence, { sentAt: currency.mark(now), to });
+    this.#pending.set(this.#sequence, {
+      sentAt: documentFreshness.mark(now),
+      to,
+    });
     if (this.#pending.size > MAX_PENDING_QUESTIONS) {
       this.#pending.delete(this.#pending.keys().next().value!);
     }
@@ -137,9 +142,9 @@
     { from, sequence, position }: FreshnessRequest,
     now: Instant,
   ): void {
-    const { currency, localState, changesSince, self, send } =
+    const { documentFreshness, localState, changesSince, self, send } =
       this.#dependencies;
-    const age = currency.age(now);
+    const age = documentFreshness.age(now);
     if (age < Infinity) {
       const { incarnation } = self;
       const news = changesSince(position);
@@ -163,9 +168,11 @@
       return;
     }
     this.#pending.delete(sequence);
-    const { currency, onPeerReport } = this.#dependencies;
+    const { documentFreshness, onPeerReport } = this.#dependencies;
     const at = question.sentAt - age as FreshnessMark;
-    const elapsed: Milliseconds = milliseconds(currency.mark(now) - at);
+    const elapsed: Milliseconds = milliseconds(
+      documentFreshness.mark(now) - at,
+    );
     onPeerReport(
       {
         version,
@@ -177,8 +184,8 @@
       now,
     );
     // After `onPeerReport`, which may learn of a new epoch and invalidate proofs such as this one.
-    currency.addProof({ version, at });
-    if (currency.age(now) < ASK_AGE_MS) {
+    documentFreshness.addProof({ version, at });
+    if (documentFreshness.age(now) < ASK_AGE_MS) {
       this.#attempts = 0;
     }
   }
--- a/packages/core/src/gateway/freshness_proofs.ts
+++ b/packages/core/src/gateway/freshness_proofs.ts
@@ -23,7 +23,7 @@
 
 /** Records when the local document was last known to be the newest. */
 export class FreshnessProofs {
-  readonly #currency: DocumentFreshness;
+  readonly #documentFreshness: DocumentFreshness;
   readonly #documentLoss: DocumentLossDetector;
   /** When the read under way was sent. */
   #readSentAt: FreshnessMark | undefined;
@@ -37,12 +37,12 @@
 
   /** `newestDocument` returns the peer with the newest document. */
   constructor(
-    { currency, newestDocument }: {
-      currency: DocumentFreshness;
+    { documentFreshness, newestDocument }: {
+      documentFreshness: DocumentFreshness;
       newestDocument: () => DocumentHolder | undefined;
     },
   ) {
-    this.#currency = currency;
+    this.#documentFreshness = documentFreshness;
     this.#documentLoss = new DocumentLossDetector(newestDocument);
   }
 
@@ -53,7 +53,10 @@
 
   /** Records that the platform was restored, so that data which it had acknowledged may be missing. */
   noteRestore(now: Instant): void {
-    this.#currency.rejectProofsFor(milliseconds(REWRITE_AFTER_RESTORE_MS), now);
+    this.#documentFreshness.rejectProofsFor(
+      milliseconds(REWRITE_AFTER_RESTORE_MS),
+      now,
+    );
   }
 
   /**
@@ -67,7 +70,7 @@
     const newer = this.#peerRevision;
     const reaches = newer !== undefined && newer > position.revision;
     this.#peerRevision = undefined;
-    this.#readSentAt = this.#currency.mark(now);
+    this.#readSentAt = this.#documentFreshness.mark(now);
     this.#documentLoss.noteRead(document?.version ?? 0 as Revision);
     this.#changesProveFreshness = requiresKeys && !reaches;
     if (!requiresKeys) {
@@ -94,7 +97,7 @@
       this.#readSentAt !== undefined &&
       document !== undefined
     ) {
-      this.#currency.addProof({ version, at: this.#readSentAt });
+      this.#documentFreshness.addProof({ version, at: this.#readSentAt });
     }
     return undefined;
   }
--- a/packages/core/src/gateway/gateway.ts
+++ b/packages/core/src/gateway/gateway.ts
@@ -433,9 +433,9 @@
   #updateOutdatedState(now: Instant): void {
     const { state } = this.fleet.record;
     const lifetime = this.#bounds.keyLifetime;
-    const { documentFreshness: currency, requiresKeys } = this.#catalogue;
+    const { documentFreshness, requiresKeys } = this.#catalogue;
     const isOutdated = requiresKeys && lifetime !== undefined &&
-      !currency.isWithin(milliseconds(lifetime * OUTDATED_SHARE), now);
+      !documentFreshness.isWithin(milliseconds(lifetime * OUTDATED_SHARE), now);
     if (state === (isOutdated ? "ready" : "outdated")) {
       this.fleet.changeState(isOutdated ? "outdated" : "ready", now);
     }
--- a/packages/core/src/gateway/retry_budget.ts
+++ b/packages/core/src/gateway/retry_budget.ts
@@ -52,9 +52,9 @@
     now: Instant,
   ): boolean {
     const counts = this.#counts(service, now);
-    const { retryRatio: repeatRatio, retrySlack: repeatSlack } = this.#bounds;
+    const { retryRatio, retrySlack } = this.#bounds;
     const allowed = BUDGET_FRACTION *
-      (repeatRatio * sum(counts.firsts) + repeatSlack / Math.max(1, entries));
+      (retryRatio * sum(counts.firsts) + retrySlack / Math.max(1, entries));
     if (sum(counts.repeats) + 1 > allowed) {
       return false;
     }
--- a/packages/core/src/listening/__tests__/stall_adjusted_clock.test.ts
+++ b/packages/core/src/listening/__tests__/stall_adjusted_clock.test.ts
@@ -3,25 +3,25 @@
 import { StallAdjustedClock } from "../stall_adjusted_clock.ts";
 
 describe("the time without stalls of a process", () => {
-  let listened: StallAdjustedClock;
+  let clock: StallAdjustedClock;
   let now: number;
   const run = (time: number): void => {
     const end = now + time;
     while (now < end) {
       now += 25;
-      listened.recordTurn(instant(now));
+      clock.recordTurn(instant(now));
     }
   };
   const stall = (time: number): void => {
     now += time;
-    listened.recordTurn(instant(now));
+    clock.recordTurn(instant(now));
   };
   const since = (from: number): number =>
-    listened.since(instant(from), instant(now));
+    clock.since(instant(from), instant(now));
 
   beforeEach(() => {
     now = 0;
-    listened = new StallAdjustedClock(instant(0));
+    clock = new StallAdjustedClock(instant(0));
   });
 
   it("equals the elapsed time while the event loop turns", () => {
--- a/packages/core/src/listening/index.ts
+++ b/packages/core/src/listening/index.ts
@@ -1,4 +1,4 @@
 export {
-  StallAdjustedClock as StallAdjustedClock,
-  type StallAdjustedClockView as StallAdjustedClockView,
+  StallAdjustedClock,
+  type StallAdjustedClockView,
 } from "./stall_adjusted_clock.ts";
--- a/packages/core/src/membership/index.ts
+++ b/packages/core/src/membership/index.ts
@@ -5,7 +5,7 @@
   planHeartbeat,
 } from "./heartbeat_plan.ts";
 export {
-  createMembershipSection as createMembershipSection,
+  createMembershipSection,
   LEAVING_UPDATE_DURATION_MS,
   MembershipController,
   type MembershipSection,
--- a/packages/core/src/routes/index.ts
+++ b/packages/core/src/routes/index.ts
@@ -3,8 +3,8 @@
 export * from "./route.ts";
 export * from "./route_table.ts";
 export type {
-  CatalogueDelta as CatalogueDelta,
-  FreshnessMessage as FreshnessMessage,
-  FreshnessRequest as FreshnessRequest,
-  FreshnessResponse as FreshnessResponse,
+  CatalogueDelta,
+  FreshnessMessage,
+  FreshnessRequest,
+  FreshnessResponse,
 } from "./freshness_messages.ts";
--- a/packages/daemon/src/gateway/gauges.ts
+++ b/packages/daemon/src/gateway/gauges.ts
@@ -9,7 +9,7 @@
 
 /** Gauges by name. */
 export function readGauges(
-  { catalogue, calls, fleet, quarantine, endpointTerms: terms }: Gateway,
+  { catalogue, calls, fleet, quarantine, endpointTerms }: Gateway,
   { connections, datagrams }: {
     connections: Pick<Connections, "opened">;
     datagrams: Pick<Datagrams, "counts">;
@@ -24,12 +24,12 @@
     members: fleet.liveMembers().length,
     endpoint_ends: quarantine.crashes,
     requests_held: quarantine.holds.size,
-    endpoint_limits: terms.limits.size,
-    endpoint_limits_withheld: terms.limits.withheld,
-    endpoint_limits_ignored: terms.limits.ignored,
-    endpoints_leaving: terms.departures.size,
-    endpoints_resting: terms.backoffs.activeCount(now),
-    endpoint_rests_ignored: terms.backoffs.ignored,
+    endpoint_limits: endpointTerms.limits.size,
+    endpoint_limits_withheld: endpointTerms.limits.withheld,
+    endpoint_limits_ignored: endpointTerms.limits.ignored,
+    endpoints_leaving: endpointTerms.departures.size,
+    endpoints_resting: endpointTerms.backoffs.activeCount(now),
+    endpoint_rests_ignored: endpointTerms.backoffs.ignored,
     document_version: catalogue.document?.version ?? 0,
     catalogue_epoch: catalogue.position.epoch,
     catalogue_revision: catalogue.position.revision,
--- a/packages/daemon/src/gateway/outbound_call.ts
+++ b/packages/daemon/src/gateway/outbound_call.ts
@@ -98,14 +98,14 @@
 
   /** Gets a connection and, if the request is still to be sent, writes it. */
   start(): void {
-    const { target, maxIdleTime: mostIdle } = this.#attempt;
+    const { target, maxIdleTime } = this.#attempt;
     const { connections, now } = this.#tools;
     const far = target.kind === "peer";
     const limit = target.kind === "peer"
       ? PEER_CONNECTIONS
       : target.connections;
     connections.take(
-      { address: target.address, limit, mostIdle, far },
+      { address: target.address, limit, mostIdle: maxIdleTime, far },
       now(),
       (result) => this.#connected(result),
     );
--- a/playground/src/guards/customer_guards.ts
+++ b/playground/src/guards/customer_guards.ts
@@ -17,8 +17,8 @@
     point: KEYS,
     name: "a key is accepted from a document that is known to be current",
     file: `${CUSTOMERS}/check_key.ts`,
-    find: "const isFresh = bound === undefined ||",
-    replace: "const isFresh = bound !== undefined ||",
+    find: "const isFresh = maxAge === undefined ||",
+    replace: "const isFresh = maxAge !== undefined ||",
   },
   {
     point: KEYS,
@@ -32,16 +32,18 @@
     point: KEYS,
     name: "a lease runs from the sending of the read",
     file: `${GATEWAY}/freshness_proofs.ts`,
-    find: "this.#currency.prove({ version, at: this.#readSentAt });",
-    replace: "this.#currency.prove({ version, at: Infinity as never });",
+    find:
+      "this.#documentFreshness.addProof({ version, at: this.#readSentAt });",
+    replace:
+      "this.#documentFreshness.addProof({ version, at: Infinity as never });",
   },
   {
     point: KEYS,
     name:
       "what another entry knows is as old as its answer and the time since the question",
     file: `${GATEWAY}/freshness_exchange.ts`,
-    find: "const at = question.sentAt - age as CurrencyMark;",
-    replace: "const at = currency.mark(now) as CurrencyMark;",
+    find: "const at = question.sentAt - age as FreshnessMark;",
+    replace: "const at = documentFreshness.mark(now) as FreshnessMark;",
   },
   {
     point: KEYS,
@@ -129,7 +131,7 @@
     point: LIMITS,
     name: "what a refused request took comes back",
     file: `${GATEWAY}/call_admission.ts`,
-    find: "this.#deps.limits.giveBack(customer.id, charged, now);",
+    find: "this.#deps.limits.refund(customer.id, charged, now);",
     replace: "",
   },
   {
--- a/playground/src/guards/epoch_guards.ts
+++ b/playground/src/guards/epoch_guards.ts
@@ -63,7 +63,7 @@
     name: "endpoints that a copy lacks are used for a while",
     file: CONTROLLER,
     find: "      this.#grace.noteRestore(now);",
-    replace: "      this.#grace.noteBefore(now);",
+    replace: "      this.#grace.noteNotRestored(now);",
   },
   {
     point: RESTORED,
--- a/playground/src/guards/quarantine_guards.ts
+++ b/playground/src/guards/quarantine_guards.ts
@@ -78,7 +78,7 @@
     point: POINT,
     name: "pings carry holds",
     file: `${GATEWAY}/gateway.ts`,
-    find: "holds: (at) => this.#quarantine.holds.next(at),",
-    replace: "holds: () => [],",
+    find: "nextHolds: (at) => this.#quarantine.holds.next(at),",
+    replace: "nextHolds: () => [],",
   },
 ];
--- a/playground/src/guards/route_guards.ts
+++ b/playground/src/guards/route_guards.ts
@@ -90,7 +90,7 @@
     point: "routes: leaving endpoints",
     name: "an evacuated zone gets nothing",
     file: `${GATEWAY}/endpoint_registry.ts`,
-    find: "!this.#catalogue.evacuated.has(record.zone) &&",
+    find: "!this.#catalogue.evacuatedZones.has(record.zone) &&",
     replace: "",
   },
   {
@@ -180,11 +180,12 @@
     point: "routes: list of entries",
     name: "only entries that answer are named",
     file: `${GATEWAY}/serving_set.ts`,
-    find: "...fleet.live().map(({ record }) => record)]",
-    replace: "...fleet.possible().map(({ record }) => record)]",
+    find: "...fleet.liveMembers().map(({ record }) => record),",
+    replace: "...fleet.possiblyLiveMembers().map(({ record }) => record),",
     also: [{
       file: `${FLEET}/fleet_controller.ts`,
-      find: "if (this.#options.listened.since(since, now) >= SUSPICION_MS) {",
+      find:
+        "if (this.#options.clock.since(since, now) >= SUSPICION_TIMEOUT_MS) {",
       replace: "if (now - since >= Infinity) {",
     }],
   },
--- a/playground/src/guards/stall_guards.ts
+++ b/playground/src/guards/stall_guards.ts
@@ -41,7 +41,7 @@
     point: POINT,
     name: "no peer is held for dead for an unread denial",
     file: `${CORE}/fleet/fleet_controller.ts`,
-    find: "this.#options.listened.since(since, now)",
+    find: "this.#options.clock.since(since, now)",
     replace: "now - since",
   },
   {
--- a/playground/src/guards/terms_guards.ts
+++ b/playground/src/guards/terms_guards.ts
@@ -17,7 +17,7 @@
     point: LIMITS,
     name: "no request is written to a limited endpoint without a permit",
     file: `${GATEWAY}/call_controller.ts`,
-    find: "this.#deps.terms.limits.covers(state.record, permit, now);",
+    find: "this.#deps.terms.limits.authorizeSend(state.record, permit, now);",
     replace: "true;",
     also: [{
       file: `${GATEWAY}/local_placement.ts`,
@@ -56,9 +56,9 @@
     point: LIMITS,
     name: "an issuer that hears a part of its region issues that part",
     file: `${TERMS}/endpoint_limits.ts`,
-    find: "permitIssuer.issue(known.perSecond * heardPart(), now)",
+    find: "permitIssuer.issue(known.perSecond * reachableFraction(), now)",
     replace:
-      "permitIssuer.issue(known.perSecond * Math.ceil(heardPart()), now)",
+      "permitIssuer.issue(known.perSecond * Math.ceil(reachableFraction()), now)",
   },
   {
     point: LIMITS,
--- a/playground/src/routes/fake_store.ts
+++ b/playground/src/routes/fake_store.ts
@@ -143,7 +143,7 @@
 
   /** What an entry holds otherwise than it is here, `undefined` where all is in force. */
   missingAt(
-    { document, endpoints, evacuatedZones: evacuated }: CatalogueView,
+    { document, endpoints, evacuatedZones }: CatalogueView,
   ): string | undefined {
     const version = this.#document?.version ?? 0;
     if ((document?.version ?? 0) < version) {
@@ -154,7 +154,7 @@
     if (held !== published) {
       return `endpoints ${held}, published ${published}`;
     }
-    const zones = [...evacuated].sort().join();
+    const zones = [...evacuatedZones].sort().join();
     const emptied = [...this.#evacuated].sort().join();
     return zones === emptied ? undefined : `zones ${zones}, not ${emptied}`;
   }
--- a/soak/src/guard_list.ts
+++ b/soak/src/guard_list.ts
@@ -25,26 +25,15 @@
     kinds: FAULTS,
     name: "what an attempt half received lives and dies with it",
     file: `${SHELL}/outbound_call.ts`,
-    find: "  readonly #cutter = new EventCutter();",
+    find: "this.#passage = new EventPassage(",
     replace:
-      "  get #cutter(): EventCutter { return cutterOf(this.#exchange); }",
-    also: [{
-      file: `${SHELL}/outbound_call.ts`,
-      find: "/** One attempt under way. */",
-      replace: `const CUTTERS = new WeakMap<Exchange, EventCutter>();
-function cutterOf(exchange: Exchange): EventCutter {
-  const cutter = CUTTERS.get(exchange) ?? new EventCutter();
-  CUTTERS.set(exchange, cutter);
-  return cutter;
-}
-/** One attempt under way. */`,
-    }],
+      "const kept = this.#exchange as unknown as { passage?: EventPassage };\n      this.#passage = kept.passage ??= new EventPassage(",
   },
   {
     point: POINT,
     kinds: FAULTS,
     name: "an answer that ends inside an event is lost",
-    file: `${SHELL}/outbound_call.ts`,
+    file: `${SHELL}/event_passage.ts`,
     find: "if (this.#cutter.unfinished > 0) {",
     replace: "if (this.#cutter.unfinished < 0) {",
   },
@@ -147,8 +136,8 @@
     kinds: FAULTS,
     name: "a stream is framed by its entry",
     file: `${SHELL}/outbound_call.ts`,
-    find: "headers: withoutLength(protocol.answerHeaders(this.#headers)),",
-    replace: "headers: protocol.answerHeaders(this.#headers),",
+    find: 'headers: mode === "events" ? withoutLength(headers) : headers,',
+    replace: "headers,",
   },
   {
     point: POINT,
