--- a/packages/core/src/fleet/join_phase.ts
+++ b/packages/core/src/fleet/join_phase.ts
@@ -15,8 +15,8 @@
  *
  * When all entries of a fleet start at once, none knows the others, and a restarted entry learns little from
  * settled ones. Until entries know each other, callers are directed to the few known ones, and engines are
- * chosen without knowing each other's work. At the ping rate of a settled fleet, 72 entries knew only 40% of
- * each other after two seconds.
+ * chosen without knowing each other's work. At the ping rate of a settled fleet, 72 entries knew less than half
+ * of each other after two seconds.
  */
 export class JoinPhase {
   readonly #startedAt: Instant;
--- a/packages/core/src/fleet/peer_holdings.ts
+++ b/packages/core/src/fleet/peer_holdings.ts
@@ -24,7 +24,7 @@
   readonly version: Revision;
 }
 
-/** Holdings by the entries' incarnations. */
+/** Held versions by the entries' incarnations. */
 export class PeerHoldings {
   readonly #holdings = new Map<Incarnation, HeldVersions>();
 
--- a/packages/core/src/gateway/__tests__/document_loss_detector.test.ts
+++ b/packages/core/src/gateway/__tests__/document_loss_detector.test.ts
@@ -22,7 +22,7 @@
     expect(detector.holderNewerThan(version(7))).toBeUndefined();
   });
 
-  it("is too old if this instance has a newer one", () => {
+  it("is too old if this entry has a newer one", () => {
     detector.noteRead(version(7));
     expect(detector.isDocumentLost(version(4), instant(0))).toBe(true);
   });
--- a/packages/core/src/gateway/__tests__/freshness_exchange.test.ts
+++ b/packages/core/src/gateway/__tests__/freshness_exchange.test.ts
@@ -58,7 +58,7 @@
 }
 
 describe("a peer's answer about the document", () => {
-  // Guards against dating an answer by its arrival: an instance was paused for six seconds with an answer in
+  // Guards against dating an answer by its arrival: an entry was paused for six seconds with an answer in
   // its socket and took it for recent, so that keys revoked meanwhile stayed valid for that much longer.
   it("counts its age and the time since the question", () => {
     const { documentFreshness, exchange } = build();
@@ -107,7 +107,7 @@
     expect(documentFreshness.age(instant(1_200))).toBe(300);
   });
 
-  it("is only sent by an instance that has proof itself", () => {
+  it("is only sent by an entry that has proof itself", () => {
     const { documentFreshness, exchange, sent } = build();
     const question = {
       kind: "question",
--- a/packages/core/src/gateway/__tests__/gateway_fixture.ts
+++ b/packages/core/src/gateway/__tests__/gateway_fixture.ts
@@ -9,7 +9,7 @@
   type ZoneId,
 } from "../../index.ts";
 
-/** Starts one gateway instance in a zone, at instant 0. */
+/** Starts one entry in a zone, at instant 0. */
 export function startGateway(
   { zone, region }: { zone: ZoneId; region: RegionId },
 ): Gateway {
--- a/packages/core/src/gateway/__tests__/quarantine_fixture.ts
+++ b/packages/core/src/gateway/__tests__/quarantine_fixture.ts
@@ -20,7 +20,7 @@
   };
 }
 
-/** The quarantine of a single instance, without any history. */
+/** The quarantine of a single entry, without any history. */
 export function emptyQuarantine(): QuarantineController {
   return new QuarantineController({
     self: { incarnation: "i" as Incarnation },
--- a/packages/core/src/gateway/call.ts
+++ b/packages/core/src/gateway/call.ts
@@ -67,7 +67,7 @@
   readonly log = new AttemptLog();
   readonly trace = new CallTrace();
   readonly triedEndpoints = new Set<EndpointId>();
-  /** Endpoints in `tried` to which no byte of the request was written. */
+  /** Endpoints in `triedEndpoints` to which no byte of the request was written. */
   readonly unreachedEndpoints = new Set<EndpointId>();
   phase: CallPhase = "waiting";
   attempt: OpenAttempt | undefined;
--- a/packages/core/src/gateway/call_admission.ts
+++ b/packages/core/src/gateway/call_admission.ts
@@ -17,7 +17,7 @@
 import type { CallOutcomes } from "./call_outcomes.ts";
 import type { CatalogueView } from "./catalogue_view.ts";
 
-/** Longest wait for other entries' customer usage: a round trip to the region's limit keeper, and one tick. */
+/** Longest wait for other entries' usage: a round trip to the region's spending aggregator, and one tick. */
 const LIMIT_REPORT_WAIT_MS = 150;
 
 /** A request that was admitted. */
--- a/packages/core/src/gateway/call_placer.ts
+++ b/packages/core/src/gateway/call_placer.ts
@@ -35,12 +35,12 @@
  * Longest wait for capacity, as a fraction of the request's time and in milliseconds. A request that would
  * wait longer is refused at once, while its caller still has time to retry and be served. Without the limit in
  * milliseconds, requests with a timeout of ten seconds waited four in vain: on a simulated day of high load,
- * 1.7% of the worth was lost to requests that waited and were not served, and 0.7% with the limit.
+ * more of the value was lost to requests that waited and were not served than with the limit.
  */
 const MAX_WAIT_FRACTION = 0.4;
 const MAX_WAIT_MS = 2_500;
 
-/** Longest rest of endpoints that a request waits for. Before a longer one it is refused at once. */
+/** Longest back-off of endpoints that a request waits for. If it is longer, the request is refused at once. */
 const MAX_REST_WAIT_MS = 300;
 
 const NO_VERSIONS: ReadonlySet<string> = new Set();
@@ -248,7 +248,7 @@
   }
 }
 
-/** Whether endpoints rest for so long that the request should wait at its caller instead of here. */
+/** Whether endpoints back off for so long that the request should wait at its caller instead of here. */
 function isRestTooLong(
   { wait, reason }: Extract<RoutingDecision, { kind: "wait" }>,
 ): boolean {
--- a/packages/core/src/gateway/call_queue.ts
+++ b/packages/core/src/gateway/call_queue.ts
@@ -61,12 +61,12 @@
    * Waiting requests in the order of service: first those that can still meet their objective, then by rank and
    * arrival. Under overload, strict order of arrival makes every request late, so requests that will be late
    * anyway get the remaining capacity. The time that an engine takes to begin an answer is included. Without
-   * it, each request was sent just too late: a simulated peak during an evacuation earned 0.851 of its worth,
-   * and 0.740 in its worst seconds; with it 0.867 and 0.773.
+   * it, each request was sent just too late, and less of the value of a simulated peak during an evacuation
+   * was served, most of all in its worst seconds.
    *
    * Within a rank, a request is moved back by twice the time that it keeps an engine reading. More cheap
    * requests are served this way, such as prompts whose shared prefix is cached, and no request waits forever.
-   * Reviews earned 0.737 in that peak, and 0.718 in order of arrival.
+   * In order of arrival, less of the value of the reviews in that peak was served.
    */
   ordered(readPart: number, now: Instant): Call[] {
     const late = (call: Call): number =>
--- a/packages/core/src/gateway/call_recovery.ts
+++ b/packages/core/src/gateway/call_recovery.ts
@@ -23,7 +23,7 @@
 import type { QuarantineController } from "../quarantine/index.ts";
 import type { RetryBudget } from "./retry_budget.ts";
 
-/** A repeat is only made with at least this much time left. */
+/** A retry is only made with at least this much time left. */
 const MIN_REPEAT_TIME_MS = 150;
 /** Number of refusals of one request that are followed by another attempt. */
 const MAX_REJECTIONS = 2;
@@ -58,7 +58,7 @@
   readonly forget: (call: Call) => void;
 }
 
-/** Repeats a request where its route, its attempts and the budget allow it, and ends it otherwise. */
+/** Retries a request where its route, its attempts and the budget allow it, and ends it otherwise. */
 export class CallRecovery {
   /** Number of streams that were resumed at another endpoint since the start. */
   resumedStreams = 0;
@@ -90,7 +90,7 @@
       this.#deps.router.noteDeclined(call, target.region, now);
     }
     if (declined && call.phase !== "answering") {
-      // No endpoint received the request, so sending it elsewhere does not count as a repeat.
+      // No endpoint received the request, so sending it elsewhere does not count as a retry.
       return this.#deps.placer.place(call, now);
     }
     call.rejections++;
@@ -241,7 +241,7 @@
     }
   }
 
-  /** Reserves a repeat in the budget, if the request may be repeated and can be sent to another endpoint or peer. */
+  /** Reserves a retry in the budget, if the request may be repeated and can be sent to another endpoint or peer. */
   reserveRepeat(call: Call, now: Instant): boolean {
     const allowed = call.endsAt - now >= MIN_REPEAT_TIME_MS &&
       call.possibleDeliveries < call.route.attempts &&
--- a/packages/core/src/gateway/catalogue_controller.ts
+++ b/packages/core/src/gateway/catalogue_controller.ts
@@ -42,7 +42,7 @@
  */
 const READ_TIMEOUT_MS = 1_000;
 /**
- * After a restore the full reads of all instances are spread over this time per record, so that they don't
+ * After a restore the full reads of all entries are spread over this time per record, so that they don't
  * read a large catalogue all at once.
  */
 const RESTORED_READ_SPREAD_MS = 0.1;
@@ -176,7 +176,7 @@
     }
   }
 
-  /** The instance leaves standby because of a request. Reads at once if a read is due by then. */
+  /** The entry leaves standby because of a request. Reads at once if a read is due by then. */
   leaveStandby(now: Instant): void {
     this.#schedule.hastenAfterStandby(now);
     this.tick(now);
@@ -254,7 +254,7 @@
     }
   }
 
-  /** A peer reports that the platform was restored, which this instance has not read yet. */
+  /** A peer reports that the platform was restored, which this entry has not read yet. */
   #applyReportOfLaterEpoch(
     { from, position }: PeerCatalogueReport,
     now: Instant,
@@ -351,7 +351,7 @@
     } else {
       this.#local.applyRestoredSnapshot(snapshot, { keptUntil, now });
       this.#freshness.noteRestore(now);
-      // Only this instance's own full read shows which parts of the copy the restored platform is missing.
+      // Only this entry's own full read shows which parts of the copy the restored platform is missing.
       this.#fullReadNeeded = true;
     }
     this.#epochs.notePeerCopy(this.position);
@@ -419,7 +419,7 @@
     }
   }
 
-  /** Schedules a full read at a random time. After a restore all instances need one. */
+  /** Schedules a full read at a random time. After a restore all entries need one. */
   #scheduleFullRead(now: Instant): void {
     this.#fullReadNeeded = true;
     const spreadMs = this.endpoints.size * RESTORED_READ_SPREAD_MS;
--- a/packages/core/src/gateway/catalogue_view.ts
+++ b/packages/core/src/gateway/catalogue_view.ts
@@ -33,7 +33,7 @@
   readonly reachable: boolean;
   /** Whether the last read failed. */
   readonly failing: boolean;
-  /** Hash of everything that routing decisions depend on. Instances with equal content have equal hashes. */
+  /** Hash of everything that routing decisions depend on. Entries that hold equal content have equal hashes. */
   readonly contentHash: number;
   /** Whether the catalogue is so old that requests have to wait for the read under way. */
   isStale(now: Instant): boolean;
--- a/packages/core/src/gateway/create_quarantine.ts
+++ b/packages/core/src/gateway/create_quarantine.ts
@@ -20,7 +20,7 @@
 import type { ServingSet } from "./serving_set.ts";
 
 /**
- * Number of peers to which an instance passes on news of a quarantined request. Each of them does the same,
+ * Number of peers to which an entry passes on news of a quarantined request. Each of them does the same,
  * so that all peers have it after a few hops and none sends more than this. Peers that are missed learn of it
  * from the next pings.
  */
@@ -42,7 +42,7 @@
   readonly now: () => Instant;
 }
 
-/** Creates the quarantine of an instance. */
+/** Creates the quarantine of an entry. */
 export function createQuarantine(
   dependencies: QuarantineDependencies,
 ): QuarantineController {
--- a/packages/core/src/gateway/customer_roles.ts
+++ b/packages/core/src/gateway/customer_roles.ts
@@ -1,6 +1,6 @@
 /**
  * Connects the checks of customers' keys and limits to the catalogue and the fleet. Assigns the roles that
- * instances have in them.
+ * entries have in them.
  *
  * @module
  */
@@ -20,12 +20,12 @@
 import { acceptingEntriesOf, rankEntries } from "./serving_set.ts";
 
 /**
- * Number of instances of a region that read the platform on behalf of the others. One of them may be rejected
+ * Number of entries of a region that read the platform on behalf of the others. One of them may be rejected
  * by the platform, or its availability zone may fail.
  */
 const READERS_PER_REGION = 2;
 /**
- * Minimum share of its region that an instance must be able to hear in order to add up the region's spending.
+ * Minimum share of its region that an entry must be able to hear in order to add up the region's spending.
  */
 const MIN_REACHABLE_SHARE = 0.5;
 /** Roles are recomputed after this time. */
@@ -41,7 +41,7 @@
 }
 
 /**
- * Roles in one region. They are assigned by weight and name, so that all instances arrive at the same
+ * Roles in one region. They are assigned by weight and name, so that all entries arrive at the same
  * assignment.
  */
 interface RegionRoles {
@@ -50,7 +50,7 @@
   readonly readers: readonly EntryRecord[];
 }
 
-/** Roles of the instances of each region, as seen by one instance. */
+/** Roles of the entries of each region, as seen by one entry. */
 export class CustomerRoles {
   readonly #dependencies: Pick<CustomerLinkDependencies, "self" | "fleet">;
   readonly #rolesByRegion = new Map<RegionId, RegionRoles>();
@@ -59,7 +59,7 @@
     this.#dependencies = dependencies;
   }
 
-  /** Whether this instance reads the platform on behalf of its peers. */
+  /** Whether this entry reads the platform on behalf of its peers. */
   isReader(now: Instant): boolean {
     const { self } = this.#dependencies;
     return this.#rolesOf(self.region, now).readers.some(({ incarnation }) =>
@@ -67,13 +67,13 @@
     );
   }
 
-  /** Instances of the own region that read the platform on behalf of the others. */
+  /** Entries of the own region that read the platform on behalf of the others. */
   readers(now: Instant): readonly EntryRecord[] {
     return this.#rolesOf(this.#dependencies.self.region, now).readers;
   }
 
   /**
-   * The instance that adds up what a region's instances admit. `undefined` if this instance belongs to the
+   * The entry that adds up what a region's entries admit. `undefined` if this entry belongs to the
    * region but hears too few of its peers.
    */
   spendingKeeper(region: RegionId, now: Instant): Incarnation | undefined {
@@ -102,7 +102,7 @@
 }
 
 /**
- * Selects the instances with the least weight, which have the least other work, in different availability
+ * Selects the entries with the least weight, which have the least other work, in different availability
  * zones if possible.
  */
 function selectReaders(candidates: readonly EntryRecord[]): EntryRecord[] {
@@ -117,7 +117,7 @@
   );
 }
 
-/** Creates the freshness exchange of an instance. */
+/** Creates the freshness exchange of an entry. */
 export function createFreshnessExchange(
   { self, fleet, catalogue, random, isStandby }: CustomerLinkDependencies,
   roles: CustomerRoles,
@@ -149,7 +149,7 @@
   });
 }
 
-/** Creates the customer limits of an instance. */
+/** Creates the customer limits of an entry. */
 export function createCustomerLimits(
   { self, fleet, catalogue, random }: CustomerLinkDependencies,
   roles: CustomerRoles,
--- a/packages/core/src/gateway/gateway.ts
+++ b/packages/core/src/gateway/gateway.ts
@@ -1,5 +1,5 @@
 /**
- * All routing decisions of one gateway instance, for requests of callers that name routes: events in, effects
+ * All routing decisions of one entry, for requests of callers that name routes: events in, effects
  * out. Uses no sockets, no clock and no unseeded randomness.
  *
  * @module
@@ -53,8 +53,8 @@
 /** The event loop ticks far more often: a longer gap means that the process was paused. */
 const MIN_PAUSE_MS = 1_000;
 /**
- * An instance that callers are no longer directed to goes on standby after this long without a request.
- * Callers cache lists of instances for a second, some of them for three.
+ * An entry that callers are no longer directed to goes on standby after this long without a request.
+ * Callers cache lists of entries for a second, some of them for three.
  */
 const STANDBY_AFTER_MS = 4_000;
 
@@ -65,11 +65,11 @@
 const KEY_MARGIN_MS = 250;
 /**
  * Share of the key lifetime after which a document is old enough that callers are better directed to other
- * instances.
+ * entries.
  */
 const OUTDATED_SHARE = 0.6;
 
-/** Makes the decisions of one gateway instance. */
+/** Makes the decisions of one entry. */
 export class Gateway {
   readonly self: GatewayIdentity;
   readonly fleet: FleetController;
@@ -90,7 +90,7 @@
   #bounds: GatewayBounds;
   #effects: GatewayEffect[] = [];
   #lastEventAt: Instant;
-  /** Whether the instance is on standby: callers are not directed to it, and no request is in progress. */
+  /** Whether the entry is on standby: callers are not directed to it, and no request is in progress. */
   #isStandby = false;
 
   constructor(
@@ -266,7 +266,7 @@
     return this.#calls;
   }
 
-  /** Whether callers may use this instance. */
+  /** Whether callers may use this entry. */
   get ready(): boolean {
     return this.fleet.record.state === "ready";
   }
@@ -280,7 +280,7 @@
     return this.#catalogue.snapshot();
   }
 
-  /** The instances that a caller should use. */
+  /** The entries that a caller should use. */
   nameEntries(
     question: DirectoryRequest,
     now: Instant,
@@ -429,7 +429,7 @@
       : milliseconds(Math.max(0, lifetime - KEY_MARGIN_MS));
   }
 
-  /** Directs callers to other instances before their keys can no longer be verified here. */
+  /** Directs callers to other entries before their keys can no longer be verified here. */
   #updateOutdatedState(now: Instant): void {
     const { state } = this.fleet.record;
     const lifetime = this.#bounds.keyLifetime;
--- a/packages/core/src/gateway/messages.ts
+++ b/packages/core/src/gateway/messages.ts
@@ -27,7 +27,7 @@
 import type { CatalogueChanges, CatalogueSnapshot } from "../routes/index.ts";
 import type { Verdict } from "../verdict/index.ts";
 
-/** The gateway instance's own identity and settings. Immutable. */
+/** The entry's own identity and settings. Immutable. */
 export interface GatewayIdentity {
   readonly id: EntryId;
   readonly incarnation: Incarnation;
@@ -35,7 +35,7 @@
   readonly region: RegionId;
   readonly callerAddress: string;
   readonly peerAddress: string;
-  /** Capacity relative to other instances. */
+  /** Capacity relative to other entries. */
   readonly weight: number;
   readonly seeds: readonly string[];
   /** The region of each availability zone. */
@@ -45,7 +45,7 @@
 
 /** Limits and guarantees of the deployment, from the settings. */
 export interface GatewayBounds {
-  /** Retries allowed over all instances: this fraction of the requests in a window, plus `repeatSlack`. */
+  /** Retries allowed over all entries: this fraction of the requests in a window, plus `retrySlack`. */
   readonly retryRatio: number;
   readonly retryWindow: Milliseconds;
   readonly retrySlack: number;
@@ -54,7 +54,7 @@
   /** In any one second a cold endpoint receives at most its rate times this factor, plus `coldSlack`. */
   readonly coldOvershoot: number;
   readonly coldSlack: number;
-  /** The longest time for which callers may cache a list of instances. */
+  /** The longest time for which callers may cache a list of entries. */
   readonly listLifetime: Milliseconds;
   /** Time between the stop signal and the process being killed. */
   readonly stopTime: Milliseconds;
@@ -93,12 +93,12 @@
   readonly relay: RelayInfo | undefined;
 }
 
-/** What an instance sends along with a request that it relays to a peer. */
+/** What an entry sends along with a request that it relays to a peer. */
 export interface RelayInfo {
   readonly from: Incarnation;
   /** The number of endpoints that may have received the request already. */
   readonly sentBefore: number;
-  /** The customer, as identified by the first instance: only that one sees the key. */
+  /** The customer, as identified by the first entry: only that one sees the key. */
   readonly customer: CustomerId | undefined;
 }
 
@@ -108,7 +108,7 @@
     readonly kind: "endpoint";
     readonly endpoint: EndpointId;
     readonly address: string;
-    /** The number of connections that this instance may have open to the endpoint. */
+    /** The number of connections that this entry may have open to the endpoint. */
     readonly connections: number;
     /** From 0 (most urgent) to 9 (least urgent). */
     readonly urgency: number | undefined;
@@ -153,12 +153,12 @@
   readonly status: number;
   /** Whether the sender guarantees that the request was not executed and will not be. */
   readonly notRun: boolean;
-  /** Whether the endpoint itself answered, rather than an instance on the way that refused the request. */
+  /** Whether the endpoint itself answered, rather than an entry on the way that refused the request. */
   readonly fromEndpoint: boolean;
   readonly load: ReportedLoad | undefined;
   readonly retryAfter: Milliseconds | undefined;
   /**
-   * Requests per second that the endpoint accepts from all instances together; `undefined` if it states none.
+   * Requests per second that the endpoint accepts from all entries together; `undefined` if it states none.
    */
   readonly limit: StatedValue | undefined;
   /** Whether the endpoint announces that it is shutting down. */
@@ -168,7 +168,7 @@
    */
   readonly rest: StatedValue | undefined;
   /**
-   * The number of endpoints to which a relaying instance offered the request before it refused it;
+   * The number of endpoints to which a relaying entry offered the request before it refused it;
    * `undefined` if not stated.
    */
   readonly offered: number | undefined;
@@ -271,7 +271,7 @@
   /** An operator releases a quarantined request. */
   | { readonly kind: "release"; readonly content: ContentDigest };
 
-/** Why an instance itself refuses a request. */
+/** Why an entry itself refuses a request. */
 export type CallRefusalReason =
   | "no_document"
   | "no_route"
@@ -285,7 +285,7 @@
   | "overloaded"
   /** All eligible endpoints have reached the limits that they stated. */
   | "endpoints_limited"
-  /** All eligible endpoints have asked for a rest. */
+  /** All eligible endpoints have asked callers to back off. */
   | "endpoints_resting"
   | "rejected"
   | "deadline"
@@ -294,13 +294,13 @@
   | "held"
   | "stopping";
 
-/** A final answer from the instance itself. */
+/** A final answer from the entry itself. */
 export interface CallRefusal {
   readonly reason: CallRefusalReason;
   readonly status: number;
   readonly verdict: Verdict;
   /**
-   * The number of endpoints that may have received the request, through this instance or a peer it was
+   * The number of endpoints that may have received the request, through this entry or a peer it was
    * relayed to.
    */
   readonly offered: number;
--- a/packages/core/src/gateway/peer_copies.ts
+++ b/packages/core/src/gateway/peer_copies.ts
@@ -34,7 +34,7 @@
   /**
    * Requests a copy if a peer has a newer catalogue.
    *
-   * An instance that cannot read the platform keeps routing by old records: to endpoints that have shut down,
+   * An entry that cannot read the platform keeps routing by old records: to endpoints that have shut down,
    * by a document that was replaced. Refused connections to endpoints that are long gone are the symptom.
    */
   requestNewer(position: CataloguePosition, now: Instant): void {
--- a/packages/core/src/gateway/read_schedule.ts
+++ b/packages/core/src/gateway/read_schedule.ts
@@ -18,26 +18,26 @@
  */
 const READ_INTERVAL_MS = 1_200;
 /**
- * The same for an instance on standby. Nearly two hundred instances that read every second would cause most
- * of the platform's load. An instance on standby learns from peers when the catalogue of the serving
- * instances differs from its own, and reads at once when a request arrives.
+ * The same for an entry on standby. Nearly two hundred entries that read every second would cause most
+ * of the platform's load. An entry on standby learns from peers when the catalogue of the serving
+ * entries differs from its own, and reads at once when a request arrives.
  */
 const STANDBY_READ_INTERVAL_MS = 8_000;
 /** The same on standby or while relying on peers, after a failed read. */
 const STANDBY_RETRY_MS = 2_000;
 /**
  * A catalogue that was last read on standby is stale after this time. While endpoints come and go every
- * second, instances on standby then read every three seconds: all that they decide is to which regions
+ * second, entries on standby then read every three seconds: all that they decide is to which regions
  * callers are directed.
  */
 const STANDBY_STALE_AFTER_MS = 3_000;
 /**
- * Interval between two reads of a reader, an instance that reads the platform on behalf of its peers. Readers
+ * Interval between two reads of a reader, an entry that reads the platform on behalf of its peers. Readers
  * exist where the document must be known to be current. Their reads don't long-poll, since an answer proves
  * nothing about the time spent waiting for it.
  */
 const READER_INTERVAL_MS = 800;
-/** An instance that learns from readers reads the platform itself after this long without news from them. */
+/** An entry that learns from readers reads the platform itself after this long without news from them. */
 const MAX_UNCONFIRMED_MS = 2_200;
 /** The same on standby, where hardly anything is decided by the document. */
 const STANDBY_MAX_UNCONFIRMED_MS = 2_600;
@@ -68,10 +68,10 @@
 /** Dependencies of the schedule. */
 export interface ReadScheduleOptions {
   readonly random: Randomness;
-  /** Whether this instance is on standby. */
+  /** Whether this entry is on standby. */
   readonly isStandby: () => boolean;
   /**
-   * This instance's role in keeping the document current: `no` if keys are not required, `reads` if it reads
+   * This entry's role in keeping the document current: `no` if keys are not required, `reads` if it reads
    * the platform for its peers, `asks` if it learns from those readers.
    */
   readonly freshnessRole: (now: Instant) => "no" | "reads" | "asks";
@@ -98,7 +98,7 @@
   #answeredAt: Instant | undefined;
   /** The latest time at which a peer is known to have held the same catalogue. */
   #confirmedAt: Instant | undefined;
-  /** Whether the last answer arrived while this instance was on standby. */
+  /** Whether the last answer arrived while this entry was on standby. */
   #answeredOnStandby = false;
   /** Both values as of the answer before. */
   #previousAnswer: {
@@ -167,7 +167,7 @@
       : FULL_READ_INTERVAL_MS;
     const minInterval = (now - this.#readSentAt) / MAX_FULL_READ_SHARE;
     this.#fullReadAt = now;
-    // Randomized, so that instances that started together do not stay synchronized.
+    // Randomized, so that entries that started together do not stay synchronized.
     this.#fullReadInterval = Math.max(interval, minInterval) *
       (0.5 + random.next());
   }
@@ -204,7 +204,7 @@
   }
 
   /**
-   * Endpoints changed while this instance is on standby. Delays the next read to the usual standby interval;
+   * Endpoints changed while this entry is on standby. Delays the next read to the usual standby interval;
    * a request causes an earlier one.
    */
   postponeOnStandby(): void {
@@ -234,20 +234,20 @@
 
   /**
    * Schedules an early read because a request arrived on standby: the catalogue may be older than that of a
-   * serving instance.
+   * serving entry.
    */
   hastenAfterStandby(now: Instant): void {
     this.#hasten(READ_INTERVAL_MS, now);
   }
 
-  /** Schedules an early read because a serving instance has a different catalogue. */
+  /** Schedules an early read because a serving entry has a different catalogue. */
   hastenForPeerCatalogue(now: Instant): void {
     this.#hasten(STANDBY_STALE_AFTER_MS, now);
   }
 
   /**
    * Whether requests have to wait for the read under way. Only a catalogue that was last read on standby can
-   * be stale: serving instances read regularly, and their requests don't wait if the platform falls silent.
+   * be stale: serving entries read regularly, and their requests don't wait if the platform falls silent.
    */
   isStale(now: Instant): boolean {
     const age = now - (this.#answeredAt ?? now);
--- a/packages/core/src/gateway/retry_budget.ts
+++ b/packages/core/src/gateway/retry_budget.ts
@@ -17,7 +17,7 @@
 }
 
 /**
- * Budget for repeats. When endpoints fail under load, repeats add to the load that makes them fail. The budget
+ * Budget for retries. When endpoints fail under load, retries add to the load that makes them fail. The budget
  * holds for all entries together, and an entry cannot know the total without asking all others. So each entry
  * uses a share such that all shares add up to no more than the whole: the ratio applied to its own requests,
  * and the slack divided by the largest number of entries that may be alive.
@@ -40,12 +40,12 @@
     this.#counts(service, now).firsts[0]!++;
   }
 
-  /** Counts a repeat that was made without asking the budget, such as one that another entry began. */
+  /** Counts a retry that was made without asking the budget, such as one that another entry began. */
   noteRepeat(service: ServiceId, now: Instant): void {
     this.#counts(service, now).repeats[0]!++;
   }
 
-  /** Takes one repeat from the budget. Returns `false` if none is left. */
+  /** Takes one retry from the budget. Returns `false` if none is left. */
   spend(
     service: ServiceId,
     { entries }: { entries: number },
--- a/packages/core/src/gateway/stop_controller.ts
+++ b/packages/core/src/gateway/stop_controller.ts
@@ -14,7 +14,7 @@
 import type { GatewayEmit } from "./messages.ts";
 
 /**
- * New requests are accepted for this long, because callers keep using a cached list of instances for some
+ * New requests are accepted for this long, because callers keep using a cached list of entries for some
  * seconds. A request accepted later might not be answered before the process has to exit.
  */
 const ACCEPT_NEW_MS = 2_600;
@@ -68,7 +68,7 @@
     this.#emit({
       kind: "log",
       part: "stop",
-      text: "Stopping, directing callers to other instances.",
+      text: "Stopping, directing callers to other entries.",
       fields: { requests: this.#calls.active },
     });
   }
--- a/packages/core/src/gateway/tick_interval.ts
+++ b/packages/core/src/gateway/tick_interval.ts
@@ -1,5 +1,5 @@
 /**
- * How often a gateway instance is ticked.
+ * How often an entry is ticked.
  *
  * @module
  */
@@ -9,11 +9,11 @@
 const ACTIVE_TICK_MS = 25;
 /**
  * Tick interval without open requests: pings and catalogue reads may be late by this much. At shorter
- * intervals, waking up took a third of the CPU time of an idle instance.
+ * intervals, waking up took a third of the CPU time of an idle entry.
  */
 const IDLE_TICK_MS = 250;
 /**
- * Tick interval without open requests while the instance joins the fleet: it sends queries at this interval.
+ * Tick interval without open requests while the entry joins the fleet: it sends queries at this interval.
  */
 const JOINING_TICK_MS = 100;
 
