--- a/packages/daemon/src/gateway/__tests__/answer_writer.test.ts
+++ b/packages/daemon/src/gateway/__tests__/answer_writer.test.ts
@@ -2,7 +2,7 @@
 import { beforeEach, describe, expect, it } from "vitest";
 import { type AnswerSource, AnswerWriter } from "../answer_writer.ts";
 
-/** A caller with room for so many bytes, and a source that notes what it is told. */
+/** A reply whose write buffer is full after four bytes. */
 class SlowReply {
   written = "";
   destroyed = false;
@@ -22,60 +22,60 @@
   }
 }
 
-describe("the writer of an attempt", () => {
+describe("answer writer", () => {
   let reply: SlowReply;
-  let told: string[];
+  let calls: string[];
 
   const open = (name: string): AnswerWriter => {
     const source: AnswerSource = {
-      hold: () => told.push(`${name} held`),
-      release: () => told.push(`${name} released`),
+      pause: () => calls.push(`${name} held`),
+      resume: () => calls.push(`${name} released`),
     };
     return new AnswerWriter(reply as unknown as ServerResponse, source);
   };
 
   beforeEach(() => {
     reply = new SlowReply();
-    told = [];
+    calls = [];
   });
 
-  it("holds its source back once, and releases it once there is room", () => {
+  it("pauses its source once and resumes it once after the buffer was emptied", () => {
     const writer = open("a");
-    writer.drained();
+    writer.onDrain();
     writer.write(Buffer.from("12345"));
     writer.write(Buffer.from("6"));
-    expect(told).toEqual(["a held"]);
+    expect(calls).toEqual(["a held"]);
     reply.drain();
-    writer.drained();
-    writer.drained();
-    expect(told).toEqual(["a held", "a released"]);
+    writer.onDrain();
+    writer.onDrain();
+    expect(calls).toEqual(["a held", "a released"]);
   });
 
-  it("begins held back where the attempt before it has filled the buffer", () => {
+  it("starts with its source paused if the previous attempt has filled the buffer", () => {
     open("a").write(Buffer.from("12345"));
     const next = open("b");
-    expect(told).toEqual(["a held", "b held"]);
+    expect(calls).toEqual(["a held", "b held"]);
     reply.drain();
-    next.drained();
-    expect(told).toEqual(["a held", "b held", "b released"]);
+    next.onDrain();
+    expect(calls).toEqual(["a held", "b held", "b released"]);
   });
 
-  it("changes nothing once it is closed", () => {
+  it("does nothing once it is closed", () => {
     const writer = open("a");
     writer.write(Buffer.from("12345"));
     writer.close();
     reply.drain();
-    writer.drained();
+    writer.onDrain();
     writer.write(Buffer.from("late"));
     expect(reply.written).toBe("12345");
-    expect(told).toEqual(["a held"]);
+    expect(calls).toEqual(["a held"]);
   });
 
-  it("writes nothing to a caller that has left", () => {
+  it("writes nothing to a caller that has disconnected", () => {
     const writer = open("a");
     reply.destroyed = true;
     writer.write(Buffer.from("12345"));
     expect(reply.written).toBe("");
-    expect(told).toEqual([]);
+    expect(calls).toEqual([]);
   });
 });
--- a/packages/daemon/src/gateway/__tests__/catalogue_copy.test.ts
+++ b/packages/daemon/src/gateway/__tests__/catalogue_copy.test.ts
@@ -2,29 +2,30 @@
 import type { AddressInfo } from "node:net";
 import { type GatewayEvent, milliseconds } from "@sassafrasstep/core";
 import { afterEach, describe, expect, it } from "vitest";
-import { CatalogueRunner } from "../catalogue_runner.ts";
+import { CatalogueReader } from "../catalogue_runner.ts";
 import type { CatalogueSource } from "../protocol.ts";
 
-const PIECE_MS = 60;
+const CHUNK_INTERVAL_MS = 60;
 const TIMEOUT = milliseconds(200);
 const SNAPSHOT = { revision: 7, endpoints: [], evacuated: ["a-1"] };
 
-describe("a copy of the picture from a peer", () => {
+describe("copying the catalogue from a peer", () => {
   let server: Server;
   afterEach(() => {
     server.closeAllConnections();
     server.close();
   });
 
-  // Entries that the platform turned away asked their peers, and those on slow links had never got the
-  // picture of 3,000 routes when their second was over: a copy was limited as a whole, like a read.
-  it("is taken though it keeps coming for longer than its limit", async () => {
+  // Entries rejected by the platform copy the catalogue from peers. When the timeout of one second applied to
+  // the whole copy, entries on slow links never received a catalogue of 3,000 routes. It now limits silence
+  // only.
+  it("succeeds if data keeps arriving for longer than the timeout", async () => {
     const text = JSON.stringify({ result: { data: SNAPSHOT } });
-    const snapshot = await copyFrom((reply) => trickle(reply, text));
+    const snapshot = await copyFrom((reply) => sendInChunks(reply, text));
     expect(snapshot).toMatchObject({ revision: 7, evacuated: ["a-1"] });
   });
 
-  it("is given up where it stops coming", async () => {
+  it("fails if no more data arrives", async () => {
     const from = performance.now();
     expect(await copyFrom((reply) => reply.write("{"))).toBeUndefined();
     expect(performance.now() - from).toBeLessThan(10 * TIMEOUT);
@@ -42,7 +43,7 @@
     );
     const { port } = server.address() as AddressInfo;
     const event = await new Promise<GatewayEvent>((resolve) =>
-      new CatalogueRunner({ source: {} as CatalogueSource, tell: resolve })
+      new CatalogueReader({ source: {} as CatalogueSource, dispatch: resolve })
         .copy({
           kind: "copyCatalogue",
           address: `127.0.0.1:${port}`,
@@ -53,14 +54,14 @@
   }
 });
 
-/** Eight pieces, none of them late, together over the limit. */
-function trickle(reply: ServerResponse, text: string): void {
+/** Sends the text in eight chunks, each within the timeout, all together exceeding it. */
+function sendInChunks(reply: ServerResponse, text: string): void {
   const size = Math.ceil(text.length / 8);
-  for (let piece = 0; piece < 8; piece++) {
+  for (let chunk = 0; chunk < 8; chunk++) {
     setTimeout(
-      () => reply.write(text.slice(piece * size, (piece + 1) * size)),
-      piece * PIECE_MS,
+      () => reply.write(text.slice(chunk * size, (chunk + 1) * size)),
+      chunk * CHUNK_INTERVAL_MS,
     );
   }
-  setTimeout(() => reply.end(), 8 * PIECE_MS);
+  setTimeout(() => reply.end(), 8 * CHUNK_INTERVAL_MS);
 }
--- a/packages/daemon/src/gateway/__tests__/connections.test.ts
+++ b/packages/daemon/src/gateway/__tests__/connections.test.ts
@@ -1,125 +1,133 @@
 import { instant } from "@sassafrasstep/core";
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
-import { ConnectError, type Connection, Connections } from "../connections.ts";
+import {
+  ConnectError,
+  type Connection,
+  ConnectionPool,
+} from "../connections.ts";
 import { listenRaw, type RawEndpoint } from "./wire_fixture.ts";
 
 const NOW = instant(1_000);
 
 describe("connections", () => {
   let endpoint: RawEndpoint;
-  let connections: Connections;
+  let connections: ConnectionPool;
 
   beforeEach(async () => {
     endpoint = await listenRaw(() => {});
-    connections = new Connections();
+    connections = new ConnectionPool();
   });
   afterEach(async () => {
     connections.closeAll();
     await endpoint.close();
   });
 
-  function take(
-    { limit = 4, mostIdle = Infinity, now = NOW } = {},
+  function acquire(
+    { limit = 4, maxIdleTime = Infinity, now = NOW } = {},
   ): Promise<Connection | ConnectError> {
     const { address } = endpoint;
     return new Promise((resolve) =>
-      connections.take({ address, limit, mostIdle, far: false }, now, resolve)
+      connections.acquire(
+        { address, limit, maxIdleTime, crossRegion: false },
+        now,
+        resolve,
+      )
     );
   }
 
-  it("gives the one used last", async () => {
-    const first = await take() as Connection;
-    const second = await take() as Connection;
-    connections.giveBack(first, NOW);
-    connections.giveBack(second, NOW);
-    expect(await take()).toBe(second);
+  it("reuses the most recently used one", async () => {
+    const first = await acquire() as Connection;
+    const second = await acquire() as Connection;
+    connections.release(first, NOW);
+    connections.release(second, NOW);
+    expect(await acquire()).toBe(second);
     expect(connections.opened).toBe(2);
   });
 
-  it("opens a new one where the kept ones were idle for too long", async () => {
-    const kept = await take() as Connection;
-    connections.giveBack(kept, NOW);
-    const other = await take({ mostIdle: 500, now: instant(NOW + 501) });
+  it("opens a new one if the existing ones were idle for too long", async () => {
+    const kept = await acquire() as Connection;
+    connections.release(kept, NOW);
+    const other = await acquire({ maxIdleTime: 500, now: instant(NOW + 501) });
     expect(other).not.toBe(kept);
   });
 
-  it("keeps to the limit, and closes an idle one to make room", async () => {
-    const first = await take({ limit: 2 }) as Connection;
-    await take({ limit: 2 });
-    expect(await take({ limit: 2 })).toBeInstanceOf(ConnectError);
-    connections.giveBack(first, NOW);
-    const fresh = await take({ limit: 2, mostIdle: 0 });
+  it("enforces the limit and closes an idle one to make room", async () => {
+    const first = await acquire({ limit: 2 }) as Connection;
+    await acquire({ limit: 2 });
+    expect(await acquire({ limit: 2 })).toBeInstanceOf(ConnectError);
+    connections.release(first, NOW);
+    const fresh = await acquire({ limit: 2, maxIdleTime: 0 });
     expect(fresh).not.toBeInstanceOf(ConnectError);
     expect(first.failed).toBe(true);
   });
 
-  it("never gives back one that failed", async () => {
-    const first = await take() as Connection;
+  it("never reuses one that failed", async () => {
+    const first = await acquire() as Connection;
     first.close();
-    connections.giveBack(first, NOW);
-    expect(await take()).not.toBe(first);
+    connections.release(first, NOW);
+    expect(await acquire()).not.toBe(first);
   });
 
-  // An attempt was given up while it connected, and its connection was kept without a request on it. The
-  // client has not seen its socket yet, so neither its endpoint's end nor closing it ended the socket:
-  // it counted as open for good, and once all that may be open were such ones, the endpoint got nothing
-  // any more, with "no connection is free" as the reason.
+  // An attempt that is aborted while it connects leaves a connection that never carried a request. Its client
+  // has not received the socket yet, so neither the endpoint's end nor closing the client closed the socket.
+  // Such connections counted as open forever, and once they reached the limit, the endpoint received no more
+  // requests because no connection was free.
   describe("that carried no request", () => {
-    it("make room when they are closed", async () => {
-      const unused = await take({ limit: 1 }) as Connection;
-      connections.giveBack(unused, NOW);
+    it("make room when they are evicted", async () => {
+      const unused = await acquire({ limit: 1 }) as Connection;
+      connections.release(unused, NOW);
       const later = instant(NOW + 1_000);
-      const other = await take({ limit: 1, mostIdle: 500, now: later });
+      const other = await acquire({ limit: 1, maxIdleTime: 500, now: later });
       expect(other).not.toBeInstanceOf(ConnectError);
       expect(unused.failed).toBe(true);
       await expect.poll(() => endpoint.open()).toBe(1);
     });
 
-    it("end with the endpoint's side", async () => {
-      const unused = await take() as Connection;
-      connections.giveBack(unused, NOW);
+    it("close when the endpoint closes its side", async () => {
+      const unused = await acquire() as Connection;
+      connections.release(unused, NOW);
       await expect.poll(() => endpoint.open()).toBe(1);
       endpoint.endAll();
       await expect.poll(() => unused.failed).toBe(true);
       await expect.poll(() => endpoint.open()).toBe(0);
-      expect(await take()).not.toBe(unused);
+      expect(await acquire()).not.toBe(unused);
     });
   });
 
   describe("to an address where nothing listens", () => {
     beforeEach(() => endpoint.close());
 
-    it("are refused, and say so", async () => {
-      expect(await take()).toMatchObject({ refused: true });
+    it("fail and report the refusal", async () => {
+      expect(await acquire()).toMatchObject({ refused: true });
     });
 
-    it("are found closed by a knock", async () => {
+    it("are reported by a probe", async () => {
       await new Promise<void>((closed) =>
-        connections.knock(endpoint.address, closed)
+        connections.probe(endpoint.address, closed)
       );
       expect(connections.opened).toBe(1);
     });
   });
 
-  // A process stood still while it connected. The connection stood by then, and the timer came first:
-  // the endpoint counted as not reached, and its request went elsewhere.
-  it("stand although the process stood still meanwhile", async () => {
-    const taken = take();
-    block(500);
-    expect(await taken).not.toBeInstanceOf(ConnectError);
+  // When the process was paused while connecting, the connection was established by the time it continued,
+  // but the timeout fired first: the endpoint counted as unreachable, and its request went to another one.
+  it("are established although the process was paused meanwhile", async () => {
+    const acquired = acquire();
+    blockEventLoop(500);
+    expect(await acquired).not.toBeInstanceOf(ConnectError);
   });
 
-  it("are not found closed by a knock where something listens", async () => {
+  it("are not reported as refused by a probe if something listens", async () => {
     let closed = false;
-    connections.knock(endpoint.address, () => closed = true);
-    await take();
-    await take();
+    connections.probe(endpoint.address, () => closed = true);
+    await acquire();
+    await acquire();
     expect(closed).toBe(false);
   });
 });
 
-/** Holds the loop up, as a stopped process or a busy machine does. */
-function block(time: number): void {
+/** Blocks the event loop, as a paused process or a busy machine does. */
+function blockEventLoop(time: number): void {
   const end = performance.now() + time;
   while (performance.now() < end);
 }
--- a/packages/daemon/src/gateway/__tests__/event_cutter.test.ts
+++ b/packages/daemon/src/gateway/__tests__/event_cutter.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from "vitest";
-import { EventCutter } from "../event_cutter.ts";
+import { EventSplitter } from "../event_cutter.ts";
 
 function feed(chunks: readonly string[]): { out: string; ids: unknown[] } {
-  const cutter = new EventCutter();
+  const cutter = new EventSplitter();
   let out = "";
   const ids: unknown[] = [];
   for (const chunk of chunks) {
@@ -15,74 +15,78 @@
   return { out, ids };
 }
 
-describe("event cutter", () => {
+describe("event splitter", () => {
   const whole = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
 
-  it("passes whole events on with the last id", () => {
+  it("returns complete events with the last id", () => {
     expect(feed([whole])).toEqual({ out: whole, ids: ["2"] });
   });
 
-  it("gives the same bytes however they are cut", () => {
+  it("returns the same bytes however they are chunked", () => {
     for (let at = 1; at < whole.length; at++) {
       expect(feed([whole.slice(0, at), whole.slice(at)]).out).toBe(whole);
     }
     expect(feed([...whole]).out).toBe(whole);
   });
 
-  it("gives the same bytes and ids as events cut at once, whatever the line ends", () => {
+  it("returns the same bytes and ids however they are chunked, for all line ends", () => {
     const text = "id: 1\r\ndata: a\r\n\r\n: c\n\r\nid: 2\ndata: b\r\n\n\n" +
       "id: 3\ndata: c\n\n\r\n";
     for (let at = 0; at < text.length; at++) {
       for (let then = at; then < text.length; then++) {
-        const cutter = new EventCutter();
+        const cutter = new EventSplitter();
         const out = [
           text.slice(0, at),
           text.slice(at, then),
           text.slice(then),
         ].map((part) => cutter.push(Buffer.from(part)));
-        const passed = Buffer.concat([
+        const output = Buffer.concat([
           ...out.map((events) => events?.bytes ?? Buffer.alloc(0)),
-          cutter.rest,
+          cutter.remainder,
         ]).toString();
         const ids = out.map((events) => events?.lastId).filter(Boolean);
-        expect({ passed, last: ids.at(-1), unfinished: cutter.unfinished })
-          .toEqual({ passed: text, last: "3", unfinished: 0 });
+        expect({
+          output,
+          last: ids.at(-1),
+          unfinished: cutter.unfinishedBytes,
+        })
+          .toEqual({ output: text, last: "3", unfinished: 0 });
       }
     }
   });
 
-  it("keeps a torn event back", () => {
-    const cutter = new EventCutter();
+  it("buffers an incomplete event", () => {
+    const cutter = new EventSplitter();
     const events = cutter.push(Buffer.from(`${whole}id: 3\nda`));
     expect(events?.bytes.toString()).toBe(whole);
-    expect(cutter.rest.toString()).toBe("id: 3\nda");
+    expect(cutter.remainder.toString()).toBe("id: 3\nda");
     expect(cutter.push(Buffer.from("ta: c\n\n"))?.bytes.toString()).toBe(
       "id: 3\ndata: c\n\n",
     );
-    expect(cutter.rest.length).toBe(0);
+    expect(cutter.remainder.length).toBe(0);
   });
 
-  it("takes a blank line that comes by itself for no event", () => {
-    const cutter = new EventCutter();
+  it("does not treat a separate blank line as an event", () => {
+    const cutter = new EventSplitter();
     cutter.push(Buffer.from(whole));
     cutter.push(Buffer.from("\n"));
-    expect(cutter.unfinished).toBe(0);
+    expect(cutter.unfinishedBytes).toBe(0);
     cutter.push(Buffer.from("i"));
-    expect(cutter.unfinished).toBeGreaterThan(0);
+    expect(cutter.unfinishedBytes).toBeGreaterThan(0);
   });
 
-  it("knows events that end lines with carriage returns", () => {
+  it("recognizes events whose lines end with carriage returns", () => {
     const text = "id: 7\r\ndata: a\r\n\r\n";
     expect(feed([text])).toEqual({ out: text, ids: ["7"] });
   });
 
-  it("reads the id behind another first line", () => {
+  it("reads an id that is not on the first line", () => {
     expect(feed(["x-note: 4\nid: 9\ndata: a\n\n"]).ids).toEqual(["9"]);
     expect(feed(["data: a\n\n"]).ids).toEqual([undefined]);
   });
 
-  it("keeps comments for the event that they stand before", () => {
-    const cutter = new EventCutter();
+  it("buffers comments until the event that follows them", () => {
+    const cutter = new EventSplitter();
     const bytesOf = (text: string): string | undefined =>
       cutter.push(Buffer.from(text))?.bytes.toString();
     expect(bytesOf(": still there\n\n")).toBe(undefined);
@@ -90,8 +94,8 @@
       ": still there\n\nid: 1\ndata: a\n\n",
     );
     expect(bytesOf(": more\n\n")).toBe(undefined);
-    expect(cutter.unfinished).toBe(0);
-    expect(cutter.rest.toString()).toBe(": again\r\n\r\n: more\n\n");
+    expect(cutter.unfinishedBytes).toBe(0);
+    expect(cutter.remainder.toString()).toBe(": again\r\n\r\n: more\n\n");
   });
 
   it.each([
@@ -104,17 +108,17 @@
     ["id: 1\ndata: a\n\n: still there\n\n", false],
     ["id: 4\ndata: a\n\nid:\ndata: b\n\n", true],
     ["id:\ndata: a\n\nid: 5\ndata: b\n\n", false],
-  ])("knows events without an id in %j: %s", (text, expected) => {
-    expect(new EventCutter().push(Buffer.from(text))?.unnumbered).toBe(
+  ])("detects events without an id in %j: %s", (text, expected) => {
+    expect(new EventSplitter().push(Buffer.from(text))?.unnumbered).toBe(
       expected,
     );
   });
 
-  // Comments are kept until an event follows them. All of them were joined and searched with each new
-  // one: an endpoint that sent 1 MB of them kept the process from everything else for seconds.
-  it("takes many comments in a time that grows with their number", () => {
+  // Comments are buffered until an event follows. When all buffered comments were joined and searched again
+  // for each new one, an endpoint that sent 1 MB of comments blocked the process for seconds.
+  it("processes many comments in linear time", () => {
     const timeOf = (count: number): number => {
-      const cutter = new EventCutter();
+      const cutter = new EventSplitter();
       const comment = Buffer.from(": a comment of a few words\n\n");
       const from = performance.now();
       for (let index = 0; index < count; index++) {
@@ -122,7 +126,7 @@
       }
       return performance.now() - from;
     };
-    // The least of several: other work of the machine only ever adds to a time.
+    // The minimum of several runs: other load on the machine only ever lengthens a run.
     const least = (count: number): number =>
       Math.min(...Array.from({ length: 4 }, () => timeOf(count)));
     expect(least(16_000)).toBeLessThan(least(2_000) * 8 * 4);
--- a/packages/daemon/src/gateway/__tests__/fingerprints.test.ts
+++ b/packages/daemon/src/gateway/__tests__/fingerprints.test.ts
@@ -2,7 +2,7 @@
 import type { Incarnation, RequestFingerprint } from "@sassafrasstep/core";
 import { describe, expect, it } from "vitest";
 import { FingerprintBuilder } from "../fingerprints.ts";
-import { readRelay, writeRelay } from "../relay_header.ts";
+import { formatRelayHeader, parseRelayHeader } from "../relay_header.ts";
 
 function fingerprint(
   { host = "a.example", url = "/p/x", from = "10.0.0.1", chunks = ["body"] },
@@ -12,14 +12,14 @@
     url,
     socket: { remoteAddress: from },
   } as unknown as IncomingMessage);
-  chunks.forEach((chunk) => builder.add(Buffer.from(chunk)));
+  chunks.forEach((chunk) => builder.update(Buffer.from(chunk)));
   return builder.build();
 }
 
-describe("what a request is known by", () => {
+describe("fingerprint of a request", () => {
   const first = fingerprint({});
 
-  it("is the same for each repeat, however its body is cut", () => {
+  it("is the same for each retry, however its body is chunked", () => {
     expect(fingerprint({ chunks: ["bo", "", "dy"] })).toEqual(first);
     expect(fingerprint({ host: "A.example" })).toEqual(first);
   });
@@ -34,29 +34,29 @@
     expect(fingerprint(change).content).not.toBe(first.content);
   });
 
-  it("tells callers apart, and not what they ask", () => {
+  it("distinguishes callers without changing the content digest", () => {
     const other = fingerprint({ from: "10.0.0.2" });
     expect(other.content).toBe(first.content);
     expect(other.caller).not.toBe(first.caller);
   });
 
-  it("has one size, whatever the body", () => {
+  it("has the same size for any body", () => {
     const large = fingerprint({ chunks: ["x".repeat(1_000_000)] });
     expect(large.content.length).toBe(first.content.length);
   });
 
-  it("goes on with a request that is passed on", () => {
+  it("is preserved when the request is relayed", () => {
     const relay = { from: "abc" as Incarnation, sentBefore: 2 };
-    expect(readRelay(writeRelay(relay, first))).toEqual({
+    expect(parseRelayHeader(formatRelayHeader(relay, first))).toEqual({
       relay,
       fingerprint: first,
     });
   });
 
   it.each([undefined, "", "abc", "abc;1", "abc;1;;c", "abc;x;d;c", ["a"]])(
-    "is not read from a header that is none of an entry's: %o",
+    "is not read from an invalid relay header: %o",
     (text) => {
-      expect(readRelay(text)).toBeUndefined();
+      expect(parseRelayHeader(text)).toBeUndefined();
     },
   );
 });
--- a/packages/daemon/src/gateway/__tests__/fleet_schema.test.ts
+++ b/packages/daemon/src/gateway/__tests__/fleet_schema.test.ts
@@ -177,33 +177,36 @@
 ] as unknown as FleetMessage[];
 
 describe("datagrams between entries", () => {
-  it.each(messages)("come back as they were written: $kind", (message) => {
+  it.each(messages)("are decoded as they were encoded: $kind", (message) => {
     expect(decodeFleetMessage(encodeFleetMessage(message))).toEqual(message);
   });
 
-  it("take half of what JSON with names takes", () => {
+  it("take less than 60 % of JSON with field names", () => {
     for (const message of messages.slice(0, 2).concat(messages.slice(-1))) {
       const named = JSON.stringify(message).length;
       expect(encodeFleetMessage(message).length).toBeLessThan(named * 0.6);
     }
   });
 
-  describe("of another shape are none of ours", () => {
+  describe("in another format are rejected", () => {
     const cases: [string, string][] = [
-      ["no JSON", "{"],
-      ["no list", '{"kind":"ping"}'],
+      ["invalid JSON", "{"],
+      ["not an array", '{"kind":"ping"}'],
       ["null", "null"],
       ["nothing", ""],
       ["an unknown kind", '["pong",[],[0,0]]'],
       ["the name of a method", '["constructor"]'],
-      ["a list as kind", '[["ping"]]'],
-      ["an item too few", '["work","a"]'],
-      ["an item too many", '["work","a",[true,[],[],[]],1]'],
-      ["a text for a number", '["work","a",[true,[["e","9",1,1]],[],[]]]'],
-      ["a record cut short", '["announce",["id"],[0,0]]'],
+      ["an array as kind", '[["ping"]]'],
+      ["a missing item", '["work","a"]'],
+      ["an additional item", '["work","a",[true,[],[],[]],1]'],
+      [
+        "a string instead of a number",
+        '["work","a",[true,[["e","9",1,1]],[],[]]]',
+      ],
+      ["a truncated record", '["announce",["id"],[0,0]]'],
       ["a negative version", '["indirect_ack",[],[0,-1],1]'],
       [
-        "a text that is too long",
+        "a string that is too long",
         `["work","${"a".repeat(300)}",[true,[],[],[]]]`,
       ],
     ];
@@ -211,7 +214,7 @@
       expect(decodeFleetMessage(Buffer.from(text))).toBeUndefined();
     });
 
-    it("whatever byte is lost", () => {
+    it("truncated at any byte", () => {
       const bytes = encodeFleetMessage(messages[5]!);
       for (let length = 0; length < bytes.length; length++) {
         expect(decodeFleetMessage(bytes.subarray(0, length))).toBeUndefined();
--- a/packages/daemon/src/gateway/__tests__/idle_callers.test.ts
+++ b/packages/daemon/src/gateway/__tests__/idle_callers.test.ts
@@ -6,19 +6,19 @@
 import { createIngress } from "../ingress.ts";
 
 const IDLE_MS = 300;
-/** The server adds a second to it. */
+/** Exceeds the second that the server adds to the idle time. */
 const BEYOND_MS = 1_500;
 const REQUEST = "GET /a HTTP/1.1\r\nhost: h\r\n\r\n";
 
-/** Holds the loop up, as a stopped process or a busy machine does. */
-function block(time: number): void {
+/** Blocks the event loop, as a paused process or a busy machine does. */
+function blockEventLoop(time: number): void {
   const end = performance.now() + time;
   while (performance.now() < end);
 }
 
-// A caller sent its next request on a kept connection while the process stood still. The connection's
-// idle time had run out when the process went on, and it was closed with the request unread in it: the
-// caller got a reset, and could not know that nothing had run.
+// A caller sent its next request on an idle connection while the process was paused. When the process
+// continued, the idle timeout had expired, and the connection was closed with the request unread. The caller
+// received a reset and could not know that the request had not been executed.
 describe("a caller's idle connection", () => {
   let server: Server;
   let socket: Socket;
@@ -32,9 +32,9 @@
       limits: () => undefined,
       closing: () => false,
       nextRequestId: () => `q${requests++}` as RequestId,
-      open: (exchange) =>
-        exchange.answer(200, { reason: "", headers: [], body: Buffer.of() }),
-      gone: () => {},
+      onRequest: (exchange) =>
+        exchange.respond(200, { reason: "", headers: [], body: Buffer.of() }),
+      onCallerGone: () => {},
     }, { relays: false });
     server.keepAliveTimeout = IDLE_MS;
     server.listen(0, "127.0.0.1");
@@ -52,16 +52,16 @@
     server.close();
   });
 
-  it("stays open where its next request came while the process stood still", async () => {
+  it("stays open if its next request arrived while the process was paused", async () => {
     setImmediate(() => {
       socket.write(REQUEST);
-      block(IDLE_MS + BEYOND_MS);
+      blockEventLoop(IDLE_MS + BEYOND_MS);
     });
     await Promise.race([once(socket, "data"), once(socket, "close")]);
     expect(answers).toBe(2);
   });
 
-  it("is closed after its time where nothing came", async () => {
+  it("is closed after the idle timeout if no request arrived", async () => {
     await once(socket, "close");
     expect(answers).toBe(1);
   });
--- a/packages/daemon/src/gateway/__tests__/outbound_call.test.ts
+++ b/packages/daemon/src/gateway/__tests__/outbound_call.test.ts
@@ -1,9 +1,9 @@
 import type { Socket } from "node:net";
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
-import { Connections } from "../connections.ts";
+import { ConnectionPool } from "../connections.ts";
 import {
   attempt,
-  endOf,
+  endKindOf,
   listenRaw,
   type RawAnswer,
   type RawEndpoint,
@@ -14,19 +14,19 @@
 const CHUNKED = `${HEAD}transfer-encoding: chunked\r\n\r\n`;
 const UNFRAMED = `${HEAD}connection: close\r\n\r\n`;
 
-/** What one read of a socket brings at most. */
+/** Maximum number of bytes that one read of a socket returns. */
 const SOCKET_BYTES = 65_536;
 
-function say(text: string, then?: (socket: Socket) => void): RawAnswer {
+function send(text: string, then?: (socket: Socket) => void): RawAnswer {
   return (socket) => socket.write(text, () => then?.(socket));
 }
 
 describe("an attempt", () => {
-  let connections: Connections;
+  let connections: ConnectionPool;
   let endpoint: RawEndpoint | undefined;
 
   beforeEach(() => {
-    connections = new Connections();
+    connections = new ConnectionPool();
   });
   afterEach(async () => {
     connections.closeAll();
@@ -43,32 +43,32 @@
     }[] = [
       {
         name: "an answer with a length",
-        answer: say(`${LENGTH}hello`),
+        answer: send(`${LENGTH}hello`),
         end: "complete",
         body: "hello",
       },
       {
         name: "a chunked answer",
-        answer: say(`${CHUNKED}5\r\nhello\r\n0\r\n\r\n`),
+        answer: send(`${CHUNKED}5\r\nhello\r\n0\r\n\r\n`),
         end: "complete",
         body: "hello",
       },
       {
-        name: "an answer without a length that ends with its connection",
-        answer: say(`${UNFRAMED}hello`, (socket) => socket.end()),
+        name: "an answer without a length whose connection closes",
+        answer: send(`${UNFRAMED}hello`, (socket) => socket.end()),
         end: "complete",
         body: "hello",
       },
       {
-        name: "an answer without a length that is reset",
-        answer: say(
+        name: "an answer without a length whose connection is reset",
+        answer: send(
           `${UNFRAMED}hel`,
           (socket) => setTimeout(() => socket.resetAndDestroy(), 5),
         ),
         end: "lost",
       },
       {
-        name: "an answer without a length whose last bytes come with a reset",
+        name: "an answer without a length whose last bytes arrive with a reset",
         answer: (socket) => {
           socket.write(`${UNFRAMED}hel`);
           socket.resetAndDestroy();
@@ -76,39 +76,39 @@
         end: "lost",
       },
       {
-        name: "an answer that is shorter than its length",
-        answer: say(`${LENGTH}hel`, (socket) => socket.end()),
+        name: "an answer that is shorter than its content length",
+        answer: send(`${LENGTH}hel`, (socket) => socket.end()),
         end: "lost",
       },
       {
-        name: "a chunked answer that breaks off",
-        answer: say(`${CHUNKED}5\r\nhel`, (socket) => socket.destroy()),
+        name: "a truncated chunked answer",
+        answer: send(`${CHUNKED}5\r\nhel`, (socket) => socket.destroy()),
         end: "lost",
       },
       {
-        name: "bytes that are no answer",
-        answer: say("nonsense\r\n\r\n"),
+        name: "bytes that are not HTTP",
+        answer: send("nonsense\r\n\r\n"),
         end: "lost",
       },
       {
         name: "an answer to another request",
-        answer: say(`${LENGTH}hello`.replace("c1", "c9")),
+        answer: send(`${LENGTH}hello`.replace("c1", "c9")),
         end: "lost",
       },
       {
-        name: "a connection that closes at once",
+        name: "a connection that closes without an answer",
         answer: (socket) => socket.destroy(),
         end: "lost",
       },
       {
         name: "an interim answer before the final one",
-        answer: say(`HTTP/1.1 102 Processing\r\n\r\n${LENGTH}hello`),
+        answer: send(`HTTP/1.1 102 Processing\r\n\r\n${LENGTH}hello`),
         end: "complete",
         body: "hello",
       },
       {
         name: "bytes after the answer",
-        answer: say(`${LENGTH}hello${LENGTH}other`),
+        answer: send(`${LENGTH}hello${LENGTH}other`),
         end: "complete",
         body: "hello",
       },
@@ -116,22 +116,22 @@
     it.each(cases)("$name: $end", async ({ answer, end, body }) => {
       endpoint = await listenRaw(answer);
       const seen = await attempt(endpoint.address, { connections }).done;
-      expect(endOf(seen)).toBe(end);
+      expect(endKindOf(seen)).toBe(end);
       expect(seen.body).toBe(body ?? "");
     });
 
-    it("is unsent where no connection comes about", async () => {
+    it("is unsent if no connection is established", async () => {
       const gone = await listenRaw(() => {});
       await gone.close();
       const seen = await attempt(gone.address, { connections }).done;
-      expect(endOf(seen)).toBe("unsent");
+      expect(endKindOf(seen)).toBe("unsent");
     });
 
-    it("is written once, and not at all where the gateway says no", async () => {
-      endpoint = await listenRaw(say(`${LENGTH}hello`));
+    it("is written once, and not at all if the gateway declines", async () => {
+      endpoint = await listenRaw(send(`${LENGTH}hello`));
       const refused = attempt(endpoint.address, {
         connections,
-        judge: () => [],
+        decide: () => [],
       });
       await refused.done;
       expect(endpoint.requests).toEqual([]);
@@ -141,11 +141,11 @@
     });
 
     /**
-     * Symptom: a badge is printed twice with one attempt in the log.
-     * Sequence: a kept connection dies as the request is written on it.
-     * Cause: an HTTP client that connects anew and sends again by itself.
+     * Symptom: a request runs twice (a badge is printed twice) with one attempt in the log.
+     * Sequence: a reused connection fails while the request is written to it.
+     * Cause: an HTTP client that reconnects and resends the request on its own.
      */
-    it("is not sent again by itself on a connection that died", async () => {
+    it("is not resent automatically when its connection fails", async () => {
       let answers = 0;
       endpoint = await listenRaw((socket) => {
         answers++;
@@ -153,20 +153,20 @@
       });
       await attempt(endpoint.address, { connections }).done;
       const second = await attempt(endpoint.address, { connections }).done;
-      expect(endOf(second)).toBe("lost");
+      expect(endKindOf(second)).toBe("lost");
       await new Promise((resolve) => setImmediate(resolve));
       expect(endpoint.requests.length).toBe(2);
     });
 
     /**
-     * Symptom: a caller gets another caller's answer.
-     * Sequence: an endpoint says one more answer after a complete one; the next request goes out on
-     * the same connection.
-     * Cause: the extra answer is taken for that of the next request.
+     * Symptom: a caller receives another caller's answer.
+     * Sequence: an endpoint sends an extra answer after a complete one; the next request is sent on the same
+     * connection.
+     * Cause: the extra answer is taken for the answer to the next request.
      */
-    it("never takes an extra answer for its own", async () => {
+    it("never accepts an extra answer as its own", async () => {
       endpoint = await listenRaw(
-        say(`${LENGTH}hello${LENGTH.replace("c1", "c0")}extra`),
+        send(`${LENGTH}hello${LENGTH.replace("c1", "c0")}extra`),
       );
       await attempt(endpoint.address, { connections }).done;
       const second = await attempt(endpoint.address, { connections }).done;
@@ -174,7 +174,7 @@
       expect(endpoint.connections).toBe(2);
     });
 
-    it("gets the bytes of its own body after an early answer to another", async () => {
+    it("is sent with its own body after an early answer to another request", async () => {
       endpoint = await listenRaw((socket, request) => {
         if (request.includes(" /x ")) {
           socket.write(`${LENGTH}early`);
@@ -192,7 +192,7 @@
   describe("of a stream", () => {
     const FIRST = "id: 1\ndata: a\n\n";
 
-    it("passes events on as they come", async () => {
+    it("forwards events as they arrive", async () => {
       endpoint = await listenRaw((socket) => {
         socket.write(`${CHUNKED}${chunk(FIRST)}`);
         setTimeout(() => socket.write(`${chunk("id: 2\n\n")}0\r\n\r\n`), 20);
@@ -204,12 +204,12 @@
       await until(() => seen.body === FIRST);
       await done;
       expect(seen.body).toBe(`${FIRST}id: 2\n\n`);
-      expect(endOf(seen)).toBe("complete");
+      expect(endKindOf(seen)).toBe("complete");
     });
 
-    it("keeps back an event that is torn", async () => {
+    it("does not forward a truncated event", async () => {
       endpoint = await listenRaw(
-        say(
+        send(
           `${CHUNKED}${chunk(`${FIRST}id: 2\nda`)}`,
           (socket) => setTimeout(() => socket.destroy(), 5),
         ),
@@ -219,32 +219,32 @@
         streaming: true,
       }).done;
       expect(seen.body).toBe(FIRST);
-      expect(endOf(seen)).toBe("lost");
+      expect(endKindOf(seen)).toBe("lost");
     });
 
-    // Streams were told whole inside an event: the framing had ended there in order.
-    it("is lost where its framing ends inside an event", async () => {
+    // Streams that ended inside an event were treated as complete because the HTTP body had ended correctly.
+    it("is lost if its body ends inside an event", async () => {
       endpoint = await listenRaw(
-        say(`${CHUNKED}${chunk(`${FIRST}id: 2\nda`)}0\r\n\r\n`),
+        send(`${CHUNKED}${chunk(`${FIRST}id: 2\nda`)}0\r\n\r\n`),
       );
       const seen = await attempt(endpoint.address, {
         connections,
         streaming: true,
       }).done;
       expect(seen.body).toBe(FIRST);
-      expect(endOf(seen)).toBe("lost");
+      expect(endKindOf(seen)).toBe("lost");
     });
 
-    it("is whole with blank lines after its last event", async () => {
+    it("is complete with blank lines after its last event", async () => {
       endpoint = await listenRaw(
-        say(`${CHUNKED}${chunk(`${FIRST}\n`)}0\r\n\r\n`),
+        send(`${CHUNKED}${chunk(`${FIRST}\n`)}0\r\n\r\n`),
       );
       const seen = await attempt(endpoint.address, {
         connections,
         streaming: true,
       }).done;
       expect(seen.body).toBe(`${FIRST}\n`);
-      expect(endOf(seen)).toBe("complete");
+      expect(endKindOf(seen)).toBe("complete");
     });
 
     it.each([
@@ -253,20 +253,20 @@
         "another type",
         LENGTH.replace("x-call", "content-type: text/plain\r\nx-call"),
       ],
-    ])("passes %s on to its last byte", async (_name, head) => {
-      endpoint = await listenRaw(say(`${head}hello`));
+    ])("forwards %s completely", async (_name, head) => {
+      endpoint = await listenRaw(send(`${head}hello`));
       const seen = await attempt(endpoint.address, {
         connections,
         streaming: true,
       }).done;
       expect(seen.body).toBe("hello");
-      expect(endOf(seen)).toBe("complete");
+      expect(endKindOf(seen)).toBe("complete");
     });
 
-    // An entry died with all its streams, by an assertion of the HTTP client: "assert(!this.paused)". A caller
-    // had no room for more, so reading was held back, and meanwhile the endpoint's connection ended or was
-    // reset under an answer that ends with it. The client then ends its parser, which must not be paused.
-    describe("whose caller has no room while the connection ends", () => {
+    // An entry crashed with all its streams on the HTTP client's assertion "assert(!this.paused)". Reading
+    // was paused for a slow caller, and meanwhile the endpoint's connection closed or was reset during an
+    // answer that is delimited by it. The client then finishes its parser, which must not be paused.
+    describe("whose connection ends while reading is paused for a slow caller", () => {
       const CLOSING = `${HEAD}connection: close\r\n`;
       const cases: readonly {
         name: string;
@@ -275,7 +275,7 @@
         end: string;
       }[] = [
         {
-          name: "in order after an answer without a length",
+          name: "by closing after an answer without a length",
           head: `${CLOSING}\r\n${FIRST}`,
           then: (socket) => socket.end(),
           end: "complete",
@@ -293,7 +293,7 @@
           end: "lost",
         },
         {
-          name: "in order after a whole chunked answer",
+          name: "by closing after a complete chunked answer",
           head: `${CLOSING}transfer-encoding: chunked\r\n\r\n${chunk(FIRST)}`,
           then: (socket) => socket.end("0\r\n\r\n"),
           end: "complete",
@@ -313,16 +313,16 @@
         await new Promise((resolve) => setTimeout(resolve, 50));
         seen.resume!();
         await done;
-        expect(endOf(seen)).toBe(end);
+        expect(endKindOf(seen)).toBe(end);
         expect(seen.body).toBe(FIRST);
       }, 5_000);
     });
 
-    it("is not read further than its caller has room, and gives the rest later", async () => {
+    it("is not read faster than its caller reads, and delivers the rest later", async () => {
       const event = `id: 1\ndata: ${"x".repeat(1_000)}\n\n`;
       const body = event.repeat(20_000);
       endpoint = await listenRaw(
-        say(`${HEAD}content-length: ${body.length}\r\n\r\n${body}`),
+        send(`${HEAD}content-length: ${body.length}\r\n\r\n${body}`),
       );
       const { seen, done } = attempt(endpoint.address, {
         connections,
@@ -335,14 +335,14 @@
       seen.resume!();
       await done;
       expect(seen.body === body).toBe(true);
-      expect(endOf(seen)).toBe("complete");
+      expect(endKindOf(seen)).toBe("complete");
     });
 
     it(
-      "leaves a connection that is read, where it is whole before its caller has room",
+      "leaves its connection unpaused if it completes before its caller reads on",
       async () => {
         endpoint = await listenRaw(
-          say(`${CHUNKED}${chunk(FIRST)}0\r\n\r\n`),
+          send(`${CHUNKED}${chunk(FIRST)}0\r\n\r\n`),
         );
         const options = { connections, streaming: true };
         const first = attempt(endpoint.address, { ...options, slow: true });
@@ -354,7 +354,7 @@
       5_000,
     );
 
-    it("is given up at once", async () => {
+    it("is aborted immediately", async () => {
       let closed = false;
       endpoint = await listenRaw((socket) => {
         socket.on("close", () => closed = true);
@@ -367,7 +367,7 @@
       await until(() => seen.body === FIRST);
       call.abort();
       await until(() => closed);
-      expect(endOf(seen)).toBe("none");
+      expect(endKindOf(seen)).toBe("none");
     });
   });
 });
--- a/packages/daemon/src/gateway/__tests__/wire_fixture.ts
+++ b/packages/daemon/src/gateway/__tests__/wire_fixture.ts
@@ -1,5 +1,5 @@
 /**
- * An endpoint that says exactly the bytes that a test gives it, and an attempt against it.
+ * An endpoint that sends exactly the bytes given by a test, and attempts against it.
  *
  * @module
  */
@@ -23,27 +23,27 @@
   type RequestId,
 } from "@sassafrasstep/core";
 import type { AnswerSource } from "../answer_writer.ts";
-import { Connections } from "../connections.ts";
+import { ConnectionPool } from "../connections.ts";
 import type { Exchange } from "../exchange.ts";
 import { OutboundCall } from "../outbound_call.ts";
 import type { EndpointProtocol } from "../protocol.ts";
 
-/** Answers one request, given its bytes, on a socket. */
+/** Writes the answer to a request, given as its bytes, to a socket. */
 export type RawAnswer = (socket: Socket, request: string) => void;
 
-/** A listening endpoint. */
+/** A listening endpoint with the requests that it received. */
 export interface RawEndpoint {
   readonly address: string;
   readonly requests: string[];
   connections: number;
-  /** Connections that are open. */
+  /** Number of open connections. */
   open(): number;
-  /** Ends its side of each. */
+  /** Closes the endpoint's side of every connection. */
   endAll(): void;
   close(): Promise<void>;
 }
 
-/** Listens and answers each whole request head. */
+/** Starts an endpoint that answers each piece of data that it receives. */
 export async function listenRaw(answer: RawAnswer): Promise<RawEndpoint> {
   const sockets = new Set<Socket>();
   const requests: string[] = [];
@@ -76,7 +76,7 @@
   return endpoint;
 }
 
-/** Names the call in `x-call`; `x-not-run` vouches. */
+/** Identifies the call in `x-call`; `x-not-run` guarantees that the request was not executed. */
 export const TEST_PROTOCOL: EndpointProtocol = {
   requestHeaders: (_caller, { timeLeft }) => [
     "x-call",
@@ -107,17 +107,17 @@
     ),
 };
 
-/** What came of one attempt. */
-export interface Seen {
+/** What an attempt reported and forwarded. */
+export interface AttemptResult {
   readonly events: GatewayEvent[];
   status: number | undefined;
   body: string;
   ended: boolean;
-  /** The caller has room again. */
+  /** Lets a slow caller read on. */
   resume: (() => void) | undefined;
 }
 
-/** Runs one attempt to its end. */
+/** Starts an attempt; `done` resolves when it has ended. */
 export function attempt(
   address: string,
   {
@@ -125,20 +125,23 @@
     streaming = false,
     slow = false,
     body = "",
-    mostIdle = Infinity,
-    judge,
+    maxIdleTime = Infinity,
+    decide,
   }: {
-    connections: Connections;
+    connections: ConnectionPool;
     streaming?: boolean;
-    /** Whether the caller has no room for more after the first bytes, until `seen.resume` is called. */
+    /** Whether the caller stops reading after the first bytes until `seen.resume` is called. */
     slow?: boolean;
     body?: string;
-    mostIdle?: number;
-    /** What the gateway says to an answer; it is passed on by default. */
-    judge?: (event: GatewayEvent) => GatewayEffect[];
+    maxIdleTime?: number;
+    /**
+     * Effects with which the gateway responds to an event. By default, requests are sent and answers
+     * forwarded.
+     */
+    decide?: (event: GatewayEvent) => GatewayEffect[];
   },
-): { seen: Seen; done: Promise<Seen>; call: OutboundCall } {
-  const seen: Seen = {
+): { seen: AttemptResult; done: Promise<AttemptResult>; call: OutboundCall } {
+  const seen: AttemptResult = {
     events: [],
     status: undefined,
     body: "",
@@ -161,13 +164,13 @@
         const full = slow && seen.body === "";
         seen.body += bytes.toString();
         if (full) {
-          source.hold();
-          seen.resume = () => source.release();
+          source.pause();
+          seen.resume = () => source.resume();
         }
       },
       close: () => {},
     }),
-    answer: (status: number, { body: bytes }: { body: Buffer }) => {
+    respond: (status: number, { body: bytes }: { body: Buffer }) => {
       seen.status = status;
       seen.body += bytes.toString();
     },
@@ -184,25 +187,25 @@
       prefixFrom: undefined,
     },
     streaming,
-    maxIdleTime: milliseconds(mostIdle),
+    maxIdleTime: milliseconds(maxIdleTime),
     resumeAfter: undefined,
   };
-  let finish!: (seen: Seen) => void;
-  const done = new Promise<Seen>((resolve) => finish = resolve);
+  let finish!: (seen: AttemptResult) => void;
+  const done = new Promise<AttemptResult>((resolve) => finish = resolve);
   const call = new OutboundCall(planned, {
     exchange,
-    tools: {
+    context: {
       incarnation: "n1",
       protocol: TEST_PROTOCOL,
       connections,
       now: () => instant(performance.now()),
-      done: () => {
+      onDone: () => {
         seen.ended = true;
         setImmediate(() => finish(seen));
       },
-      tell: (event) => {
+      dispatch: (event) => {
         seen.events.push(event);
-        return (judge ?? defaultJudge)(event);
+        return (decide ?? decideDefault)(event);
       },
     },
   });
@@ -210,7 +213,7 @@
   return { seen, done, call };
 }
 
-function defaultJudge(event: GatewayEvent): GatewayEffect[] {
+function decideDefault(event: GatewayEvent): GatewayEffect[] {
   if (event.kind === "commit") {
     return [{
       kind: "proceed",
@@ -223,8 +226,8 @@
     : [];
 }
 
-/** The end that the gateway was told. */
-export function endOf({ events }: Seen): string {
+/** Returns the kind of end that the gateway was told, or `none`. */
+export function endKindOf({ events }: AttemptResult): string {
   const ended = events.find((event) => event.kind === "ended");
   return ended?.kind === "ended" ? ended.end.kind : "none";
 }
--- a/packages/daemon/src/gateway/answer_writer.ts
+++ b/packages/daemon/src/gateway/answer_writer.ts
@@ -1,59 +1,61 @@
 /**
- * The right of one attempt to write a part of the answer.
+ * Writes the part of an answer that one attempt delivers, with backpressure towards its source.
  *
  * @module
  */
 import type { ServerResponse } from "node:http";
 
-/** Where the bytes of an attempt come from. */
+/** Source of the bytes that an attempt writes. */
 export interface AnswerSource {
-  /** The caller has no room: give nothing more. */
-  hold(): void;
-  /** It has room again. */
-  release(): void;
+  /** Stops delivering bytes because the caller's write buffer is full. */
+  pause(): void;
+  /** Continues delivering bytes. */
+  resume(): void;
 }
 
-/** Writes for one attempt. Once it is closed, whatever its attempt still says changes nothing. */
+/**
+ * Writes to the caller on behalf of one attempt. Once closed, it ignores whatever the attempt still writes.
+ */
 export class AnswerWriter {
   readonly #reply: ServerResponse;
   readonly #source: AnswerSource;
-  #held = false;
+  #sourcePaused = false;
   #closed = false;
 
   constructor(reply: ServerResponse, source: AnswerSource) {
     this.#reply = reply;
     this.#source = source;
-    // What the attempt before it left in the buffer is still on its way.
+    // The write buffer may still be full of what the previous attempt wrote.
     if (reply.writableNeedDrain) {
-      this.#hold();
+      this.#pauseSource();
     }
   }
 
-  /** Passes bytes on, and holds the source back once the caller has no room for more. */
+  /** Writes bytes to the caller and pauses the source once the caller's write buffer is full. */
   write(chunk: Buffer): void {
     const open = !this.#closed && !this.#reply.destroyed;
     if (open && !this.#reply.write(chunk)) {
-      this.#hold();
+      this.#pauseSource();
     }
   }
 
-  /** The caller has room. */
-  drained(): void {
-    if (this.#held && !this.#closed) {
-      this.#held = false;
-      this.#source.release();
+  /** Resumes the source after the caller's write buffer was emptied. */
+  onDrain(): void {
+    if (this.#sourcePaused && !this.#closed) {
+      this.#sourcePaused = false;
+      this.#source.resume();
     }
   }
 
-  /** The attempt writes nothing more. */
+  /** Discards all further writes of the attempt. */
   close(): void {
     this.#closed = true;
   }
 
-  #hold(): void {
-    if (!this.#held) {
-      this.#held = true;
-      this.#source.hold();
+  #pauseSource(): void {
+    if (!this.#sourcePaused) {
+      this.#sourcePaused = true;
+      this.#source.pause();
     }
   }
 }
--- a/packages/daemon/src/gateway/broken_reply.ts
+++ b/packages/daemon/src/gateway/broken_reply.ts
@@ -1,40 +1,41 @@
 /**
- * Ends an answer that can't be completed.
+ * Aborts an answer that cannot be completed.
  *
  * @module
  */
 import type { ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 
-/** A caller that reads nothing keeps its connection for so long at most. */
-const MOST_FLUSH_MS = 5_000;
-/** What the kernel still has to send is dropped by a reset: it gets so long. */
+/** The longest time for which a caller that reads nothing keeps its connection. */
+const FLUSH_TIMEOUT_MS = 5_000;
+/** Time for the kernel to send what it has buffered: a reset would drop it. */
 const RESET_DELAY_MS = 100;
 
 /**
- * Ends the connection once what was written has left, so that the answer is visibly not whole.
+ * Closes the connection once everything written has been sent, in a way that shows the caller that the answer
+ * is incomplete.
  *
- * Closed at once, the connection takes with it what a slow caller has not read yet, and the last event
- * that it gets is torn.
+ * Closing it immediately would discard what a slow caller has not read yet and truncate the last event that
+ * the caller receives.
  */
-export function breakReply(reply: ServerResponse): void {
+export function abortReply(reply: ServerResponse): void {
   const { socket } = reply;
   if (socket === null || !reply.headersSent) {
     reply.destroy();
     return;
   }
-  const overdue = setTimeout(() => socket.destroy(), MOST_FLUSH_MS);
-  socket.once("close", () => clearTimeout(overdue));
+  const flushTimer = setTimeout(() => socket.destroy(), FLUSH_TIMEOUT_MS);
+  socket.once("close", () => clearTimeout(flushTimer));
   if (reply.chunkedEncoding) {
-    // Without the last chunk the answer is not whole, in whatever order the connection ends.
+    // Without the final chunk the answer is recognizably incomplete, however the connection closes.
     socket.destroySoon();
   } else {
-    socket.write("", () => resetLater(socket));
+    socket.write("", () => resetAfterDelay(socket));
   }
 }
 
-/** An answer that ends with its connection would look whole if that were closed in order. */
-function resetLater(socket: Socket): void {
+/** Resets the connection: an answer delimited by it would look complete if the connection closed normally. */
+function resetAfterDelay(socket: Socket): void {
   const timer = setTimeout(() => socket.resetAndDestroy(), RESET_DELAY_MS);
   socket.once("close", () => clearTimeout(timer));
 }
--- a/packages/daemon/src/gateway/catalogue_runner.ts
+++ b/packages/daemon/src/gateway/catalogue_runner.ts
@@ -1,5 +1,5 @@
 /**
- * Reads of the published picture, from the platform and from peers.
+ * Reads the catalogue from the platform and copies it from peers.
  *
  * @module
  */
@@ -21,39 +21,39 @@
   { kind: Kind }
 >;
 
-/** Runs the reads that the gateway asks for; each ends in one event. */
-export class CatalogueRunner {
+/** Carries out the reads that the gateway requests and reports the result of each as one event. */
+export class CatalogueReader {
   readonly #source: CatalogueSource;
-  readonly #tell: (event: GatewayEvent) => void;
+  readonly #dispatch: (event: GatewayEvent) => void;
 
   constructor(
-    { source, tell }: {
+    { source, dispatch }: {
       source: CatalogueSource;
-      tell: (event: GatewayEvent) => void;
+      dispatch: (event: GatewayEvent) => void;
     },
   ) {
     this.#source = source;
-    this.#tell = tell;
+    this.#dispatch = dispatch;
   }
 
-  /** Reads from the platform. */
+  /** Reads the catalogue or its changes from the platform. */
   read(effect: EffectOf<"readCatalogue">): void {
     this.#read(effect).then(
-      this.#tell,
+      this.#dispatch,
       (error: Error) =>
-        this.#tell({ kind: "catalogueFailed", detail: error.message }),
+        this.#dispatch({ kind: "catalogueFailed", detail: error.message }),
     );
   }
 
-  /** Reads from a peer. */
+  /** Copies the catalogue from a peer. */
   copy(effect: EffectOf<"copyCatalogue">): void {
     this.#copy(effect).then(
-      (snapshot) => this.#tell({ kind: "catalogueCopied", snapshot }),
-      () => this.#tell({ kind: "catalogueCopied", snapshot: undefined }),
+      (snapshot) => this.#dispatch({ kind: "catalogueCopied", snapshot }),
+      () => this.#dispatch({ kind: "catalogueCopied", snapshot: undefined }),
     );
   }
 
-  /** The client's library is loaded at its first use, see `control_app.ts`. */
+  /** Loads the client library on first use, for the reason given in `control_app.ts`. */
   async #copy(
     { address, timeout }: EffectOf<"copyCatalogue">,
   ): Promise<CatalogueSnapshot | undefined> {
@@ -62,8 +62,8 @@
     );
     const message = await whileHearing(
       timeout,
-      (signal, heard) =>
-        createGatewayClient(`http://${address}`, heard)
+      (signal, onData) =>
+        createGatewayClient(`http://${address}`, onData)
           .catalogue.query(undefined, { signal }),
     );
     return message === null
@@ -79,7 +79,7 @@
       return { kind: "catalogueRead", snapshot };
     }
     if (proof.kind !== "none") {
-      return await this.#verify(after, { timeout, proof });
+      return await this.#readVerified(after, { timeout, proof });
     }
     const answer = await this.#source.changes(after, { wait, timeout });
     return answer.kind === "compacted"
@@ -88,11 +88,11 @@
   }
 
   /**
-   * Reads up to the present state. History may be dropped while a wait for changes says that there were
-   * none; so the newest revision is asked for, where no other entry told it, and changes count only where
-   * they lead there one by one.
+   * Reads the changes up to the newest revision without a gap. The platform may compact its history and still
+   * report no changes to a waiting read. The newest revision is therefore requested, unless a peer reported
+   * it, and changes are accepted only if they lead to it one by one.
    */
-  async #verify(
+  async #readVerified(
     after: Revision,
     { timeout, proof }: {
       timeout: Milliseconds;
@@ -107,12 +107,12 @@
     }
     const wait = milliseconds(0);
     const answer = await this.#source.changes(after, { wait, timeout });
-    const whole = answer.kind === "changes" && answer.complete &&
+    const reachesNewest = answer.kind === "changes" && answer.complete &&
       answer.changes.revision >= newest;
-    if (whole) {
+    if (reachesNewest) {
       return { kind: "catalogueChanged", changes: answer.changes };
     }
-    const stated = answer.kind === "changes" ? answer.changes : answer;
-    return { kind: "catalogueCompacted", epoch: stated.epoch };
+    const reported = answer.kind === "changes" ? answer.changes : answer;
+    return { kind: "catalogueCompacted", epoch: reported.epoch };
   }
 }
--- a/packages/daemon/src/gateway/connections.ts
+++ b/packages/daemon/src/gateway/connections.ts
@@ -1,30 +1,33 @@
 /**
- * Kept connections to endpoints and peers, one request at a time on each.
+ * A pool of connections to endpoints and peers, each used for one request at a time.
  *
  * @module
  */
 import { connect, type Socket } from "node:net";
 import { CONNECTION_LIMIT_REACHED, type Instant } from "@sassafrasstep/core";
 import { type buildConnector, Client } from "undici";
-import { EndpointSocket } from "./endpoint_socket.ts";
+import { PausableSocket } from "./endpoint_socket.ts";
 import { afterPoll } from "../timers/index.ts";
 import { isReset } from "../sockets/index.ts";
 
-/** Within a region a connection stands after a few milliseconds; the first packet may be lost once. */
+/** Within a region connecting takes a few milliseconds; this allows for losing the first packet once. */
 const CONNECT_TIMEOUT_MS = 400;
-/** The way to another region and back, twice. */
-export const FAR_CONNECT_TIMEOUT_MS = 700;
-/** Idle connections are closed by us before the other side does, where it does not tell its time. */
-const IDLE_MS = 8_000;
-/** And this long before the time that it tells. */
-const IDLE_MARGIN_MS = 300;
-const REFUSED = "ECONNREFUSED";
+/** Two round trips to another region. */
+export const CROSS_REGION_CONNECT_TIMEOUT_MS = 700;
+/**
+ * Idle time after which connections are closed if the server states no keep-alive timeout: sooner than it
+ * would.
+ */
+const KEEP_ALIVE_TIMEOUT_MS = 8_000;
+/** How long before a keep-alive timeout that the server states the connection is closed. */
+const KEEP_ALIVE_MARGIN_MS = 300;
+const CONNECTION_REFUSED_CODE = "ECONNREFUSED";
 const MAX_RESPONSE_HEADER_BYTES = 32_768;
 
-/** No connection came about: nothing was written. */
+/** No connection could be used, and nothing was written. */
 export class ConnectError extends Error {
   override readonly name = "ConnectError";
-  /** Whether nothing listens at the address. */
+  /** Whether the connection was refused because nothing listens at the address. */
   readonly refused: boolean;
 
   constructor(message: string, { refused = false } = {}) {
@@ -33,43 +36,44 @@
   }
 }
 
-/** How a connection is wanted. */
-export interface Wish {
-  /** Host and port. */
+/** Requirements for a connection. */
+export interface ConnectionRequest {
+  /** Host and port, as `host:port`. */
   readonly address: string;
-  /** Connections that may be open at the address. */
+  /** Maximum number of open connections to the address. */
   readonly limit: number;
-  /** Longest idle time of a kept one, in milliseconds. */
-  readonly mostIdle: number;
-  readonly far: boolean;
+  /** Maximum time in milliseconds for which a reused connection may have been idle. */
+  readonly maxIdleTime: number;
+  /** Whether the address may be in another region, which takes longer to reach. */
+  readonly crossRegion: boolean;
 }
 
-/** One connection. */
+/** A connection with its HTTP client. */
 export class Connection {
   readonly client: Client;
   readonly address: string;
-  readonly #socket: EndpointSocket;
+  readonly #socket: PausableSocket;
   idleSince: Instant;
   /**
-   * Set once the socket had an error. An answer without a length ends with its connection; one that
-   * was reset on the way would pass for whole, and its caller would get a part of it.
+   * Whether the connection has failed or was closed. An answer without a length ends with its connection; if
+   * a reset went unnoticed, the caller would receive a truncated answer as a complete one.
    */
   failed = false;
-  /** Whether the answer under way ends with the connection. */
-  endsAnswer = false;
-  /** Whether the client has its socket: it asks for it with its first request. */
+  /** Whether the end of the current answer is marked only by the connection closing. */
+  closeDelimited = false;
+  /** Whether the client has received the socket, which it requests with its first request. */
   #handedOut = false;
 
-  constructor(socket: EndpointSocket, address: string, now: Instant) {
+  constructor(socket: PausableSocket, address: string, now: Instant) {
     this.#socket = socket;
     this.address = address;
     this.idleSince = now;
     socket.on("error", () => this.failed = true);
     socket.on("end", () => {
       if (!this.#handedOut) {
-        // Its side stays open for the client's sake, which does not know of it yet: it would never close.
+        // The socket is half-open and the client does not know of it yet, so nothing else would close it.
         this.close();
-      } else if (this.endsAnswer && isReset(socket)) {
+      } else if (this.closeDelimited && isReset(socket)) {
         this.failed = true;
       }
     });
@@ -77,28 +81,28 @@
       pipelining: 1,
       headersTimeout: 0,
       bodyTimeout: 0,
-      keepAliveTimeout: IDLE_MS,
-      keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
+      keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
       maxHeaderSize: MAX_RESPONSE_HEADER_BYTES,
-      connect: oneSocket(socket, () => this.#handedOut = true),
+      connect: createSingleUseConnector(socket, () => this.#handedOut = true),
     });
     this.client.on("disconnect", () => this.failed = true);
   }
 
-  /** Reads nothing more, for now. */
-  hold(): void {
-    this.#socket.hold();
+  /** Stops reading until `resumeReading`. */
+  pauseReading(): void {
+    this.#socket.pauseReading();
   }
 
-  /** Reads again. */
-  release(): void {
-    this.#socket.release();
+  /** Continues reading. */
+  resumeReading(): void {
+    this.#socket.resumeReading();
   }
 
-  /** Ends the connection. */
+  /** Closes the connection. */
   close(): void {
     this.failed = true;
-    this.client.destroy().catch(ignoreClosed);
+    this.client.destroy().catch(ignoreCloseError);
     if (!this.#handedOut) {
       this.#socket.destroy();
     }
@@ -106,58 +110,58 @@
 }
 
 /**
- * Hands the socket out once: a client that connects anew by itself would send a request twice without
- * anybody having decided it.
+ * Creates a connector that hands out the socket once. A client that reconnected on its own could send a
+ * request twice without the gateway having decided so.
  */
-function oneSocket(
+function createSingleUseConnector(
   socket: Socket,
-  handedOut: () => void,
+  onHandedOut: () => void,
 ): buildConnector.connector {
-  let taken = false;
+  let used = false;
   return (_options, callback): void => {
-    const first = !taken && !socket.destroyed;
-    taken = true;
-    handedOut();
+    const isFirst = !used && !socket.destroyed;
+    used = true;
+    onHandedOut();
     queueMicrotask(() =>
-      first
+      isFirst
         ? callback(null, socket)
         : callback(new ConnectError("Connection was closed"), null)
     );
   };
 }
 
-function ignoreClosed(): void {
-  // A connection that is closed already is what was wanted.
+function ignoreCloseError(): void {
+  // The connection is already closed, which is the goal.
 }
 
-/** All connections by address. */
-export class Connections {
-  readonly #idle = new Map<string, Connection[]>();
-  readonly #open = new Map<string, number>();
-  /** Opened since the start, for metrics. */
+/** The pool of connections by address. */
+export class ConnectionPool {
+  readonly #idleByAddress = new Map<string, Connection[]>();
+  readonly #openCounts = new Map<string, number>();
+  /** Number of connections opened since the start, for metrics. */
   opened = 0;
 
-  /** Gives a kept connection at once, or opens one. */
-  take(
-    wish: Wish,
+  /** Passes `done` an idle connection immediately, or opens a new one. */
+  acquire(
+    request: ConnectionRequest,
     now: Instant,
     done: (result: Connection | ConnectError) => void,
   ): void {
-    const kept = this.#takeIdle(wish, now);
-    if (kept !== undefined) {
-      done(kept);
+    const idle = this.#acquireIdle(request, now);
+    if (idle !== undefined) {
+      done(idle);
       return;
     }
-    const open = this.#open.get(wish.address) ?? 0;
-    if (open >= wish.limit && !this.#evict(wish.address)) {
+    const openCount = this.#openCounts.get(request.address) ?? 0;
+    if (openCount >= request.limit && !this.#evictIdle(request.address)) {
       done(new ConnectError(CONNECTION_LIMIT_REACHED));
       return;
     }
-    this.#connect(wish, now, done);
+    this.#connect(request, now, done);
   }
 
-  /** Connects and closes at once; `closed` is called if nothing listens there. */
-  knock(address: string, closed: () => void): void {
+  /** Connects and closes again immediately; calls `onRefused` if nothing listens at the address. */
+  probe(address: string, onRefused: () => void): void {
     const colon = address.lastIndexOf(":");
     const socket = connect({
       host: address.slice(0, colon),
@@ -168,42 +172,42 @@
     socket.once("close", cancel);
     socket.once("connect", () => socket.destroy());
     socket.on("error", ({ code }: Error & { code?: string }) => {
-      if (code === REFUSED) {
-        closed();
+      if (code === CONNECTION_REFUSED_CODE) {
+        onRefused();
       }
     });
   }
 
-  /** Gives a connection back after a whole answer. */
-  giveBack(connection: Connection, now: Instant): void {
-    connection.release();
+  /** Returns a connection to the pool when its request has ended, unless the connection has failed. */
+  release(connection: Connection, now: Instant): void {
+    connection.resumeReading();
     if (connection.failed) {
       return;
     }
     connection.idleSince = now;
-    const idle = this.#idle.get(connection.address) ?? [];
+    const idle = this.#idleByAddress.get(connection.address) ?? [];
     idle.push(connection);
-    this.#idle.set(connection.address, idle);
+    this.#idleByAddress.set(connection.address, idle);
   }
 
   closeAll(): void {
-    for (const idle of this.#idle.values()) {
+    for (const idle of this.#idleByAddress.values()) {
       idle.forEach((connection) => connection.close());
     }
-    this.#idle.clear();
+    this.#idleByAddress.clear();
   }
 
-  /** The one used last, so that those that are not needed run out. */
-  #takeIdle(
-    { address, mostIdle }: Wish,
+  /** Takes the most recently used idle connection, so that surplus connections time out. */
+  #acquireIdle(
+    { address, maxIdleTime }: ConnectionRequest,
     now: Instant,
   ): Connection | undefined {
-    const idle = this.#idle.get(address);
+    const idle = this.#idleByAddress.get(address);
     while (idle !== undefined && idle.length > 0) {
       const connection = idle[idle.length - 1]!;
       if (connection.failed) {
         idle.pop();
-      } else if (now - connection.idleSince >= mostIdle) {
+      } else if (now - connection.idleSince >= maxIdleTime) {
         return undefined;
       } else {
         idle.pop();
@@ -214,63 +218,65 @@
   }
 
   #connect(
-    { address, far }: Wish,
+    { address, crossRegion }: ConnectionRequest,
     now: Instant,
     done: (result: Connection | ConnectError) => void,
   ): void {
     const colon = address.lastIndexOf(":");
-    // Ours stays open when the other side ends, see `isReset`; the client closes it.
-    const socket = new EndpointSocket({ allowHalfOpen: true });
+    // Our side stays open when the server closes its side, as `isReset` requires; the client closes it.
+    const socket = new PausableSocket({ allowHalfOpen: true });
     socket.connect({
       host: address.slice(0, colon),
       port: Number(address.slice(colon + 1)),
       noDelay: true,
     });
-    this.#count(address, 1);
+    this.#adjustOpenCount(address, 1);
     this.opened++;
-    const timeout = far ? FAR_CONNECT_TIMEOUT_MS : CONNECT_TIMEOUT_MS;
-    // After a pause of the process the connection may stand without its having been told.
+    const timeout = crossRegion
+      ? CROSS_REGION_CONNECT_TIMEOUT_MS
+      : CONNECT_TIMEOUT_MS;
+    // After a pause of the process the connection may be established without the event having been handled.
     const cancel = afterPoll(
       timeout,
       () => socket.destroy(new ConnectError("Connection timed out")),
     );
     const fail = (error: Error & { code?: string }): void => {
       cancel();
-      const refused = error.code === REFUSED;
+      const refused = error.code === CONNECTION_REFUSED_CODE;
       done(new ConnectError(error.message, { refused }));
     };
     socket.once("error", fail);
-    socket.once("close", () => this.#count(address, -1));
+    socket.once("close", () => this.#adjustOpenCount(address, -1));
     socket.once("connect", () => {
       cancel();
       socket.off("error", fail);
       const connection = new Connection(socket, address, now);
-      socket.once("close", () => this.#drop(connection));
+      socket.once("close", () => this.#removeIdle(connection));
       done(connection);
     });
   }
 
-  /** Makes room by closing the connection that was idle for longest. */
-  #evict(address: string): boolean {
-    const oldest = this.#idle.get(address)?.shift();
+  /** Closes the connection that was idle for longest; returns whether there was one. */
+  #evictIdle(address: string): boolean {
+    const oldest = this.#idleByAddress.get(address)?.shift();
     oldest?.close();
     return oldest !== undefined;
   }
 
-  #drop(connection: Connection): void {
-    const idle = this.#idle.get(connection.address) ?? [];
+  #removeIdle(connection: Connection): void {
+    const idle = this.#idleByAddress.get(connection.address) ?? [];
     const index = idle.indexOf(connection);
     if (index >= 0) {
       idle.splice(index, 1);
     }
   }
 
-  #count(address: string, change: 1 | -1): void {
-    const open = (this.#open.get(address) ?? 0) + change;
-    if (open > 0) {
-      this.#open.set(address, open);
+  #adjustOpenCount(address: string, change: 1 | -1): void {
+    const openCount = (this.#openCounts.get(address) ?? 0) + change;
+    if (openCount > 0) {
+      this.#openCounts.set(address, openCount);
     } else {
-      this.#open.delete(address);
+      this.#openCounts.delete(address);
     }
   }
 }
--- a/packages/daemon/src/gateway/control_app.ts
+++ b/packages/daemon/src/gateway/control_app.ts
@@ -1,6 +1,6 @@
 /**
- * Procedures for peers and operators, metrics and health. Loaded at its first use: the libraries of it
- * take a third of the time of a start, and an entry that was killed is missed until it is back.
+ * HTTP application for the tRPC procedures, the metrics and the health check. It is loaded on first use: its
+ * libraries take a third of the startup time, and an entry that was killed serves nothing until it is back.
  *
  * @module
  */
@@ -9,12 +9,12 @@
 import { H3 } from "h3";
 import { toNodeHandler } from "h3/node";
 import { gatewayRouter } from "./gateway_router.ts";
-import { type ControlSources, TRPC_PATH } from "./servers.ts";
+import { type ControlService, TRPC_PATH } from "./servers.ts";
 
 const NOT_READY = 503;
 
-/** The application as a listener. */
-export function createControlApp(service: ControlSources): RequestListener {
+/** Creates the application as a request listener. */
+export function createControlApp(service: ControlService): RequestListener {
   const app = new H3();
   app.get(
     "/health",
--- a/packages/daemon/src/gateway/datagrams.ts
+++ b/packages/daemon/src/gateway/datagrams.ts
@@ -1,5 +1,5 @@
 /**
- * The socket for datagrams between entries.
+ * UDP socket for messages between entries.
  *
  * @module
  */
@@ -7,24 +7,26 @@
 import type { FleetMessage } from "@sassafrasstep/core";
 import { decodeFleetMessage, encodeFleetMessage } from "./fleet_schema.ts";
 
-/** Sends and receives fleet messages. */
-export class Datagrams {
+/** Sends and receives messages between entries as datagrams. */
+export class DatagramSocket {
   readonly #socket: Socket = createSocket("udp4");
-  #last: { message: FleetMessage; bytes: Buffer } | undefined;
-  /** Bytes sent and received, and datagrams that were not ours, for metrics. */
-  readonly counts = { sent: 0, received: 0, foreign: 0 };
+  /** The message encoded last. */
+  #lastEncoded: { message: FleetMessage; bytes: Buffer } | undefined;
+  /** Bytes sent and received, and the number of datagrams that could not be decoded, for metrics. */
+  readonly counts = { sent: 0, received: 0, undecodable: 0 };
 
   constructor(receive: (message: FleetMessage) => void) {
     this.#socket.on("message", (bytes) => {
       this.counts.received += bytes.length;
       const message = decodeFleetMessage(bytes);
       if (message === undefined) {
-        this.counts.foreign++;
+        this.counts.undecodable++;
       } else {
         receive(message);
       }
     });
-    // A peer that has ended answers with an ICMP error; its silence says the same.
+    // The host of a peer that has exited answers with an ICMP error. It is ignored: missing replies show the
+    // same.
     this.#socket.on("error", () => {});
   }
 
@@ -46,7 +48,7 @@
       bytes,
       Number(to.slice(colon + 1)),
       to.slice(0, colon),
-      ignoreUnsent,
+      ignoreSendError,
     );
   }
 
@@ -54,15 +56,15 @@
     this.#socket.close();
   }
 
-  /** A message that goes to many is written once. */
+  /** Encodes a message once, even if it is sent to many entries in a row. */
   #encode(message: FleetMessage): Buffer {
-    if (message !== this.#last?.message) {
-      this.#last = { message, bytes: encodeFleetMessage(message) };
+    if (message !== this.#lastEncoded?.message) {
+      this.#lastEncoded = { message, bytes: encodeFleetMessage(message) };
     }
-    return this.#last.bytes;
+    return this.#lastEncoded.bytes;
   }
 }
 
-function ignoreUnsent(): void {
-  // A datagram that could not be sent is a lost one; the next ping repeats it.
+function ignoreSendError(): void {
+  // A datagram that could not be sent counts as lost; the next ping makes up for it.
 }
--- a/packages/daemon/src/gateway/endpoint_socket.ts
+++ b/packages/daemon/src/gateway/endpoint_socket.ts
@@ -1,47 +1,47 @@
 /**
- * The socket of a connection to an endpoint or a peer, with reading that can be held back.
+ * Socket of a connection to an endpoint or a peer whose reading can be paused.
  *
  * @module
  */
 import { Socket } from "node:net";
 
 /**
- * Holds back what has arrived, its end included.
+ * Socket that can withhold received data, including the end of the stream.
  *
- * The HTTP client can pause an answer itself, but not one that ends with its connection: when that
- * connection ends or is reset meanwhile, it finishes a parser that must not be paused, by an assertion.
- * One notices by a process that ends with all its streams. Held back here, the client sees a connection
- * on which nothing comes.
+ * The HTTP client can pause an answer itself, but not safely if the answer is delimited by its connection:
+ * when that connection ends or is reset meanwhile, the client finishes a paused parser, and its failing
+ * assertion ends the process with all its streams. While the socket withholds the data, the client sees an
+ * idle connection.
  */
-export class EndpointSocket extends Socket {
-  #held = false;
+export class PausableSocket extends Socket {
+  #readingPaused = false;
 
-  /** Whether reading is held back. */
-  get held(): boolean {
-    return this.#held;
+  /** Whether reading is paused. */
+  get readingPaused(): boolean {
+    return this.#readingPaused;
   }
 
-  /** Gives nothing out from now on; the kernel's buffer fills, and then the other side waits. */
-  hold(): void {
-    this.#held = true;
+  /** Withholds received data. Once the kernel's buffer is full, the sender has to wait. */
+  pauseReading(): void {
+    this.#readingPaused = true;
   }
 
-  /** Goes on with what has arrived meanwhile. */
-  release(): void {
-    if (this.#held) {
-      this.#held = false;
-      // Not at once: the client may be in the middle of what it read before.
-      process.nextTick(() => this.#tellReadable());
+  /** Delivers the data that has arrived meanwhile and continues reading. */
+  resumeReading(): void {
+    if (this.#readingPaused) {
+      this.#readingPaused = false;
+      // Deferred: the client may still be processing what it read before.
+      process.nextTick(() => this.#emitReadable());
     }
   }
 
-  #tellReadable(): void {
+  #emitReadable(): void {
     if (!this.destroyed) {
       this.emit("readable");
     }
   }
 
   override read(size?: number): unknown {
-    return this.#held ? null : super.read(size);
+    return this.#readingPaused ? null : super.read(size);
   }
 }
--- a/packages/daemon/src/gateway/event_cutter.ts
+++ b/packages/daemon/src/gateway/event_cutter.ts
@@ -1,9 +1,9 @@
 /**
- * Cuts a stream of events at its event boundaries.
+ * Splits an event stream at its event boundaries.
  *
- * An endpoint may end in the middle of an event. Passed on as they come, the bytes would leave the
- * caller with a torn event, and a resumed stream would begin inside it. One notices by events that do
- * not parse. So only whole events leave.
+ * An endpoint may fail in the middle of an event. If bytes were forwarded as they arrive, the caller would be
+ * left with a truncated event, a resumed stream would continue inside it, and the caller could not parse the
+ * result. Therefore only complete events are forwarded.
  *
  * @module
  */
@@ -11,94 +11,99 @@
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 /** Line feed, carriage return, line feed. */
-const LONGEST_BOUNDARY_BYTES = 3;
+const MAX_BOUNDARY_BYTES = 3;
 
-/** Whole events. */
-export interface WholeEvents {
+/** One or more complete events. */
+export interface CompleteEvents {
   readonly bytes: Buffer;
-  /** Id of the first one that has an id. */
+  /** Id of the first event that has one. */
   readonly firstId: string | undefined;
-  /** Id of the last one that has an id. */
+  /** Id of the last event that has one. */
   readonly lastId: string | undefined;
-  /** Whether events with data and without an id follow that one. */
+  /** Whether events with data but without an id follow the event with `lastId`. */
   readonly unnumbered: boolean;
 }
 
-/** Keeps the event that is not complete yet. One answer has one: what it keeps fits no other. */
-export class EventCutter {
-  #parts: Buffer[] = [];
-  #size = 0;
-  /** Whether they hold more than line ends. */
-  #begun = false;
-  /** The last bytes of the parts: a boundary may begin there. */
+/** Buffers the incomplete event at the end of the stream. Belongs to one answer and must not be reused. */
+export class EventSplitter {
+  /** Bytes after the last event boundary. */
+  #pendingChunks: Buffer[] = [];
+  #pendingBytes = 0;
+  /** Whether the pending chunks contain anything but line ends. */
+  #eventStarted = false;
+  /** The last pending bytes, in which an event boundary may begin. */
   #tail: Buffer = Buffer.alloc(0);
   /**
-   * Comments that stand before the event to come. Passed on ahead of it, they would come again from the
-   * next endpoint where the event is torn.
+   * Comments that precede the next event. If they were forwarded ahead of it and the event is then truncated,
+   * the next endpoint would send them again.
    */
   #comments: Buffer[] = [];
   #commentBytes = 0;
 
-  /** Adds bytes; gives the events that they complete. */
-  push(chunk: Buffer): WholeEvents | undefined {
-    // Only what is new is searched: with the whole event each time, long ones would block the process.
+  /** Adds bytes and returns the events that they complete. */
+  push(chunk: Buffer): CompleteEvents | undefined {
+    // Only new bytes are searched: searching the entire event each time would block the process on long
+    // events.
     const searched = Buffer.concat([this.#tail, chunk]);
     const end = lastBoundary(searched) - this.#tail.length;
     if (end <= 0) {
-      this.#keep(chunk, searched);
+      this.#buffer(chunk, searched);
       return undefined;
     }
-    const whole = Buffer.concat([...this.#parts, chunk.subarray(0, end)]);
+    const complete = Buffer.concat([
+      ...this.#pendingChunks,
+      chunk.subarray(0, end),
+    ]);
     const rest = chunk.subarray(end);
-    this.#parts = [];
-    this.#size = 0;
-    this.#begun = false;
-    this.#keep(rest, rest);
-    return this.#takeEvents(whole);
+    this.#pendingChunks = [];
+    this.#pendingBytes = 0;
+    this.#eventStarted = false;
+    this.#buffer(rest, rest);
+    return this.#extractEvents(complete);
   }
 
-  /** Bytes that are no whole event, and comments before the next one. */
-  get rest(): Buffer {
-    return Buffer.concat([...this.#comments, ...this.#parts]);
+  /** All buffered bytes: the comments before the next event, and the incomplete event. */
+  get remainder(): Buffer {
+    return Buffer.concat([...this.#comments, ...this.#pendingChunks]);
   }
 
-  /** How many bytes are kept. */
-  get size(): number {
-    return this.#commentBytes + this.#size;
+  /** Number of buffered bytes. */
+  get bufferedBytes(): number {
+    return this.#commentBytes + this.#pendingBytes;
   }
 
-  /** How many of them belong to an event that has begun. Blank lines after the last one begin none. */
-  get unfinished(): number {
-    return this.#begun ? this.#size : 0;
+  /** Number of buffered bytes of an incomplete event. Blank lines after the last event do not start one. */
+  get unfinishedBytes(): number {
+    return this.#eventStarted ? this.#pendingBytes : 0;
   }
 
-  /** Keeps the comments behind the last event. */
-  #takeEvents(whole: Buffer): WholeEvents | undefined {
-    const text = whole.toString("latin1");
+  /** Returns the events and buffers the comments that follow the last one. */
+  #extractEvents(complete: Buffer): CompleteEvents | undefined {
+    const text = complete.toString("latin1");
     const end = endOfEvents(text);
     if (end === 0) {
-      // Searched anew with each one that follows, many comments would block the process.
-      this.#keepComments(whole);
+      // Set aside: searching them again with each following comment would block the process.
+      this.#bufferComments(complete);
       return undefined;
     }
-    const bytes = Buffer.concat([...this.#comments, whole.subarray(0, end)]);
+    const bytes = Buffer.concat([...this.#comments, complete.subarray(0, end)]);
     this.#comments = [];
     this.#commentBytes = 0;
-    this.#keepComments(whole.subarray(end));
-    return { bytes, ...positionOf(text.slice(0, end)) };
+    this.#bufferComments(complete.subarray(end));
+    return { bytes, ...readIds(text.slice(0, end)) };
   }
 
-  #keepComments(bytes: Buffer): void {
+  #bufferComments(bytes: Buffer): void {
     this.#comments.push(bytes);
     this.#commentBytes += bytes.length;
   }
 
-  #keep(bytes: Buffer, searched: Buffer): void {
-    this.#parts.push(bytes);
-    this.#size += bytes.length;
-    this.#begun ||= !bytes.every(isLineEnd);
+  #buffer(bytes: Buffer, searched: Buffer): void {
+    this.#pendingChunks.push(bytes);
+    this.#pendingBytes += bytes.length;
+    this.#eventStarted ||= !bytes.every(isLineEnd);
     this.#tail = searched.subarray(
-      Math.max(0, searched.length - LONGEST_BOUNDARY_BYTES + 1),
+      Math.max(0, searched.length - MAX_BOUNDARY_BYTES + 1),
     );
   }
 }
@@ -107,7 +112,7 @@
   return byte === LINE_FEED || byte === CARRIAGE_RETURN;
 }
 
-/** The end of the last blank line, 0 where there is none. */
+/** Returns the offset after the last blank line, or 0 if there is none. */
 function lastBoundary(bytes: Buffer): number {
   for (let index = bytes.length - 1; index > 0; index--) {
     if (bytes[index] !== LINE_FEED) {
@@ -126,7 +131,7 @@
 const DATA_LINE = /^data/m;
 const BLANK_LINE = /\n\r?\n/;
 
-/** The end of the last event that is more than a comment, 0 where there is none. */
+/** Returns the offset after the last event that is more than a comment, or 0 if there is none. */
 function endOfEvents(text: string): number {
   const last = [...text.matchAll(FIELD_LINE)].at(-1);
   if (last === undefined) {
@@ -136,21 +141,21 @@
   return last.index + boundary.index + boundary[0].length;
 }
 
-function positionOf(text: string): Omit<WholeEvents, "bytes"> {
+function readIds(text: string): Omit<CompleteEvents, "bytes"> {
   const ids = [...text.matchAll(ID_LINE)];
   const last = ids.at(-1);
-  const after = last === undefined ? text : text.slice(last.index);
-  const later = last === undefined
-    ? after
-    : after.slice(after.search(BLANK_LINE));
-  const firstId = idOf(ids[0]);
-  const lastId = idOf(last);
-  // An empty id takes the last one back: sent on, another endpoint would begin anew.
+  const fromLastId = last === undefined ? text : text.slice(last.index);
+  const afterLastId = last === undefined
+    ? fromLastId
+    : fromLastId.slice(fromLastId.search(BLANK_LINE));
+  const firstId = parseIdLine(ids[0]);
+  const lastId = parseIdLine(last);
+  // An empty id resets the last id. Resuming with it would make another endpoint restart the stream.
   return lastId === ""
     ? { firstId, lastId: undefined, unnumbered: true }
-    : { firstId, lastId, unnumbered: DATA_LINE.test(later) };
+    : { firstId, lastId, unnumbered: DATA_LINE.test(afterLastId) };
 }
 
-function idOf(line: RegExpMatchArray | undefined): string | undefined {
+function parseIdLine(line: RegExpMatchArray | undefined): string | undefined {
   return line?.[1]?.trim();
 }
--- a/packages/daemon/src/gateway/event_passage.ts
+++ b/packages/daemon/src/gateway/event_passage.ts
@@ -1,91 +1,99 @@
 /**
- * An answer on its way to the caller, event by event.
+ * Validates the event stream of one answer before it is forwarded to the caller.
  *
  * @module
  */
-import { EventCutter, type WholeEvents } from "./event_cutter.ts";
+import { type CompleteEvents, EventSplitter } from "./event_cutter.ts";
 
-/** Nothing of an event goes out before it is whole: one without an end would fill the memory. */
+/** An event is buffered until it is complete, so one that never ends would exhaust the memory. */
 const MAX_EVENT_BYTES = 1_048_576;
 const WHOLE_NUMBER = /^\d{1,15}$/;
 
-/** What came of a part of the answer. */
-export interface PassedPart {
-  /** Events that are whole now. */
-  readonly events: WholeEvents | undefined;
-  /** Why nothing of the answer may be passed on after them. */
+/** Result of reading a part of the answer. */
+export interface ReadResult {
+  /** Events that are now complete. */
+  readonly events: CompleteEvents | undefined;
+  /** Why nothing after these events may be forwarded; `undefined` if the answer is valid so far. */
   readonly fault: string | undefined;
 }
 
-/** How an answer came to its end. */
-export type PassageEnd =
-  /** What is left to pass on: nothing of an event. */
+/** How an answer ended. */
+export type EventStreamEnd =
+  /** Remaining bytes to forward, which contain no part of an event. */
   | { readonly kind: "whole"; readonly rest: Buffer }
   | { readonly kind: "torn"; readonly fault: string };
 
 /**
- * Judges what may be passed on of one answer. It lives and dies with its attempt: kept for the next one of
- * the request, the bytes of an unfinished event would stand before that one's first event, and the caller
- * would get an event that no endpoint made.
+ * Determines which events of one answer may be forwarded. Each attempt needs its own reader: if it were
+ * reused for the next attempt, the bytes of an incomplete event would precede that attempt's first event, and
+ * the caller would receive an event that no endpoint sent.
  */
-export class EventPassage {
-  readonly #cutter = new EventCutter();
-  /** Last event that the caller has, until the first one that follows it. */
-  #goesOnAfter: string | undefined;
+export class EventStreamReader {
+  readonly #splitter = new EventSplitter();
+  /** The last event that the caller received; cleared once the resumed answer brings an event with an id. */
+  #resumeAfter: string | undefined;
   #isEmpty = true;
 
-  /** `goesOnAfter`: last event of the caller, where the answer goes on with another one. */
-  constructor(goesOnAfter: string | undefined) {
-    this.#goesOnAfter = goesOnAfter;
+  /** `resumeAfter` is the last event that the caller received, if this answer resumes an earlier one. */
+  constructor(resumeAfter: string | undefined) {
+    this.#resumeAfter = resumeAfter;
   }
 
-  /** Bytes of an event that is not whole yet. */
-  get unfinished(): number {
-    return this.#cutter.unfinished;
+  /** Number of bytes buffered of an incomplete event. */
+  get unfinishedBytes(): number {
+    return this.#splitter.unfinishedBytes;
   }
 
-  take(chunk: Buffer): PassedPart {
-    const events = this.#cutter.push(chunk);
-    if (this.#repeats(events?.firstId)) {
-      return { events: undefined, fault: "Events began anew" };
+  /** Reads a part of the answer. */
+  push(chunk: Buffer): ReadResult {
+    const events = this.#splitter.push(chunk);
+    if (this.#isRepeat(events?.firstId)) {
+      return {
+        events: undefined,
+        fault: "Stream restarted from an earlier event",
+      };
     }
     this.#isEmpty &&= events === undefined;
-    const tooLong = this.#cutter.size > MAX_EVENT_BYTES;
-    return { events, fault: tooLong ? "An event is too long" : undefined };
+    const tooLong = this.#splitter.bufferedBytes > MAX_EVENT_BYTES;
+    return {
+      events,
+      fault: tooLong ? "Event exceeds the size limit" : undefined,
+    };
   }
 
   /**
-   * The answer ended in order. An endpoint, or what stands before it, may end the framing inside an event;
-   * passed on to its last byte, the stream would look whole to its caller.
+   * Handles the regular end of the answer. An endpoint or a proxy in front of it may end the body inside an
+   * event; if all its bytes were forwarded, the stream would look complete to the caller.
    */
   end(
     { framed, resumed }: {
-      /** Whether the answer told where it ends. */
+      /** Whether the answer marked its end by a length or by chunked encoding. */
       framed: boolean;
-      /** Whether it was asked for what follows an event. */
+      /** Whether the request asked for the events after a given one. */
       resumed: boolean;
     },
-  ): PassageEnd {
-    if (this.#cutter.unfinished > 0) {
-      return { kind: "torn", fault: "Answer ended inside an event" };
+  ): EventStreamEnd {
+    if (this.#splitter.unfinishedBytes > 0) {
+      return { kind: "torn", fault: "Answer ended within an event" };
     }
     if (this.#isEmpty && !framed && !resumed) {
-      // Its connection alone tells that it is whole, and a process that ends closes it in the same way.
-      return { kind: "torn", fault: "No event came" };
+      // Only the closed connection marks the end, and a process that exits closes it in the same way.
+      return { kind: "torn", fault: "Answer contained no event" };
     }
-    return { kind: "whole", rest: this.#cutter.rest };
+    return { kind: "whole", rest: this.#splitter.remainder };
   }
 
   /**
-   * Whether an endpoint that shall go on begins with what the caller has: one that takes no notice of the
-   * last id begins anew, and the caller would get events twice. Ids that are no numbers tell nothing.
+   * Whether a resumed answer begins with an event that the caller already received. An endpoint that ignores
+   * the last event id starts over, and the caller would receive events twice. Non-numeric ids are not
+   * compared.
    */
-  #repeats(firstId: string | undefined): boolean {
-    const after = this.#goesOnAfter;
+  #isRepeat(firstId: string | undefined): boolean {
+    const after = this.#resumeAfter;
     if (after === undefined || firstId === undefined) {
       return false;
     }
-    this.#goesOnAfter = undefined;
+    this.#resumeAfter = undefined;
     return WHOLE_NUMBER.test(after) && WHOLE_NUMBER.test(firstId) &&
       Number(firstId) <= Number(after);
   }
--- a/packages/daemon/src/gateway/exchange.ts
+++ b/packages/daemon/src/gateway/exchange.ts
@@ -1,5 +1,5 @@
 /**
- * One request of a caller and the answer to it.
+ * A request from a caller and its answer.
  *
  * @module
  */
@@ -12,38 +12,38 @@
 } from "@sassafrasstep/core";
 import { OFFERED_HEADER, VERDICT_HEADER } from "../callers/headers.ts";
 import { type AnswerSource, AnswerWriter } from "./answer_writer.ts";
-import { breakReply } from "./broken_reply.ts";
+import { abortReply } from "./broken_reply.ts";
 import type { CallerProtocol, RawHeaders } from "./protocol.ts";
 
 const NO_CONTENT_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
-/** What an exchange is made with. */
+/** Constructor arguments of an exchange. */
 export interface ExchangeOptions {
   readonly head: CallHead;
   readonly body: Buffer;
   readonly message: IncomingMessage;
   readonly reply: ServerResponse;
   readonly protocol: CallerProtocol;
-  /** Whether callers shall not use the connection again. */
+  /** Whether callers should close the connection after the answer. */
   readonly closing: () => boolean;
 }
 
-/** A request whose body has been read. */
+/** A completely received request, with the answer to it. */
 export class Exchange {
   readonly head: CallHead;
   readonly body: Buffer;
   readonly #options: ExchangeOptions;
-  /** Status of the answer that has begun, 0 before. */
+  /** Status of the answer; 0 until it has begun. */
   status = 0;
   readonly #arrivedAt = performance.now();
-  /** Of the attempt that may write at present. */
+  /** Writer of the attempt that may currently write. */
   #writer: AnswerWriter | undefined;
 
   constructor(options: ExchangeOptions) {
     this.#options = options;
     this.head = options.head;
     this.body = options.body;
-    options.reply.on("drain", () => this.#writer?.drained());
+    options.reply.on("drain", () => this.#writer?.onDrain());
   }
 
   get id(): RequestId {
@@ -63,12 +63,12 @@
     return this.#options.message.rawHeaders;
   }
 
-  /** Calls back once the answer has left, or its connection has ended. */
+  /** Calls `listener` once the answer has been sent or the connection has closed. */
   onClosed(listener: () => void): void {
     this.#options.reply.once("close", listener);
   }
 
-  /** Begins the answer. */
+  /** Begins the answer with its status line and headers. */
   begin(
     status: number,
     { reason, headers }: { reason: string; headers: RawHeaders },
@@ -80,14 +80,14 @@
     reply.writeHead(status, reason, all);
   }
 
-  /** Lets an attempt write from now on, and the one before it no more. */
+  /** Opens a writer for an attempt and closes that of the previous attempt. */
   openWriter(source: AnswerSource): AnswerWriter {
     this.#writer?.close();
     this.#writer = new AnswerWriter(this.#options.reply, source);
     return this.#writer;
   }
 
-  /** Sends the head now: a stream's first event may be a while. */
+  /** Sends the headers now: the first event of a stream may take a while. */
   flush(): void {
     this.#options.reply.flushHeaders();
   }
@@ -98,8 +98,8 @@
     }
   }
 
-  /** A whole answer at once. */
-  answer(
+  /** Sends a complete answer. */
+  respond(
     status: number,
     { reason, headers, body }: {
       reason: string;
@@ -114,24 +114,27 @@
     this.#options.reply.end(body);
   }
 
-  /** Ends the connection after what was written: the caller must see that the answer is not whole. */
-  breakOff(): void {
+  /**
+   * Closes the connection after sending what was written, so that the caller sees that the answer is
+   * incomplete.
+   */
+  abort(): void {
     this.#writer?.close();
-    breakReply(this.#options.reply);
+    abortReply(this.#options.reply);
   }
 
-  /** An answer of the entry's own. */
+  /** Refuses the request with an answer from the entry itself. */
   refuse(refusal: CallRefusal): void {
     const { reply, protocol } = this.#options;
     if (reply.destroyed || reply.headersSent) {
-      return this.breakOff();
+      return this.abort();
     }
     const body = Buffer.from(JSON.stringify({
       type: "about:blank",
       status: refusal.status,
       title: refusal.reason,
     }));
-    this.answer(refusal.status, {
+    this.respond(refusal.status, {
       reason: "",
       body,
       headers: [
--- a/packages/daemon/src/gateway/fingerprints.ts
+++ b/packages/daemon/src/gateway/fingerprints.ts
@@ -1,5 +1,5 @@
 /**
- * Works out what a request is known by while its body passes.
+ * Computes the fingerprint of a request while its body is received.
  *
  * @module
  */
@@ -12,32 +12,39 @@
 } from "@sassafrasstep/core";
 
 /**
- * Characters of a digest. Ninety-six bits of SHA-256: nobody finds another body with the digest of a
- * request that he wants refused, and what is kept of a body is of one size, however long it is.
+ * Length of a content digest in Base64 characters. With 96 bits of SHA-256 nobody can craft a body that
+ * matches the digest of a request to have that request refused, and the digest has a fixed size however long
+ * the body is.
  */
-const CONTENT_LENGTH = 16;
-/** Callers are told apart for a request only, so that less will do. */
-const CALLER_LENGTH = 8;
+const CONTENT_DIGEST_CHARACTERS = 16;
+/**
+ * Length of a caller digest. Callers are only distinguished for the same request, so fewer characters
+ * suffice.
+ */
+const CALLER_DIGEST_CHARACTERS = 8;
 
-/** Digests one request: host and path first, then its body. */
+/** Computes the fingerprint of one request from its host and path, then its body. */
 export class FingerprintBuilder {
   readonly #hash: Hash = createHash("sha256");
   readonly #caller: string;
 
-  /** The caller is who sent it, as far as an entry sees: the address without its port. */
+  /** The caller is identified by its IP address without the port. */
   constructor({ headers, url, socket }: IncomingMessage) {
     const host = headers.host?.toLowerCase() ?? "";
     this.#hash.update(`${host}\n${url ?? ""}\n`);
     this.#caller = socket.remoteAddress ?? "";
   }
 
-  add(chunk: Buffer): void {
+  update(chunk: Buffer): void {
     this.#hash.update(chunk);
   }
 
-  /** Call it once. */
+  /** Finishes the digest; may be called only once. */
   build(): RequestFingerprint {
-    const content = this.#hash.digest("base64url").slice(0, CONTENT_LENGTH);
+    const content = this.#hash.digest("base64url").slice(
+      0,
+      CONTENT_DIGEST_CHARACTERS,
+    );
     return {
       content: content as ContentDigest,
       caller: callerDigest(this.#caller),
@@ -47,5 +54,5 @@
 
 function callerDigest(name: string): CallerDigest {
   const digest = createHash("sha256").update(name).digest("base64url");
-  return digest.slice(0, CALLER_LENGTH) as CallerDigest;
+  return digest.slice(0, CALLER_DIGEST_CHARACTERS) as CallerDigest;
 }
--- a/packages/daemon/src/gateway/fleet_schema.ts
+++ b/packages/daemon/src/gateway/fleet_schema.ts
@@ -1,7 +1,7 @@
 /**
- * Shape of the datagrams between entries: JSON lists whose items have fixed places. Names of fields were
- * half of the bytes, and these go to every entry of a region many times a second. A datagram of another
- * shape is dropped and counted.
+ * Format of the datagrams between entries: JSON arrays whose items are identified by position. Field names
+ * made up half of the bytes, and every entry of a region receives these datagrams many times a second. A
+ * datagram of any other format is dropped and counted.
  *
  * @module
  */
@@ -15,10 +15,10 @@
 } from "@sassafrasstep/core";
 import { z } from "zod";
 import {
-  departureMessage,
+  departureMessageSchema,
   encodeDepartures,
   encodeLimits,
-  limitMessage,
+  limitMessageSchema,
 } from "./terms_schema.ts";
 import {
   currencyMessage,
@@ -40,7 +40,7 @@
   whole,
 } from "../quarantine/index.ts";
 
-const record = z.tuple([
+const recordSchema = z.tuple([
   text,
   text,
   whole,
@@ -73,13 +73,14 @@
   state,
   weight,
 }));
-const holdings = z.tuple([whole, position]).transform(
+const holdingsSchema = z.tuple([whole, position]).transform(
   ([document, catalogue]) => ({ document, catalogue }),
 );
-const news = z.tuple([record, z.enum(["live", "suspect", "dead"])]).transform(
-  ([record, health]) => ({ record, health }),
-);
-const load = z.tuple([text, whole, number, number, number]).transform(
+const newsSchema = z.tuple([recordSchema, z.enum(["live", "suspect", "dead"])])
+  .transform(
+    ([record, health]) => ({ record, health }),
+  );
+const loadSchema = z.tuple([text, whole, number, number, number]).transform(
   ([service, endpoints, work, requests, backlog]) => ({
     service,
     endpoints,
@@ -88,16 +89,21 @@
     backlog,
   }),
 );
-const share = z.tuple([text, number]).transform(
+const shareSchema = z.tuple([text, number]).transform(
   ([region, share]) => ({ region, share }),
 );
-const summary = z.tuple([text, number, list(load), list(share)]).transform(
+const summarySchema = z.tuple([
+  text,
+  number,
+  list(loadSchema),
+  list(shareSchema),
+]).transform(
   ([region, age, loads, shares]) => ({ region, age, loads, shares }),
 );
-const part = z.tuple([text, number]).transform(
+const prefixPartSchema = z.tuple([text, number]).transform(
   ([id, tokens]) => ({ id, tokens }),
 );
-const report = z.tuple([
+const reportSchema = z.tuple([
   z.boolean(),
   list(
     z.tuple([text, life, number, number, number]).transform(
@@ -111,7 +117,7 @@
     ),
   ),
   list(
-    z.tuple([text, life, list(part)]).transform(
+    z.tuple([text, life, list(prefixPartSchema)]).transform(
       ([endpoint, life, parts]) => ({ endpoint, life, parts }),
     ),
   ),
@@ -129,18 +135,20 @@
   picture,
 }));
 
-const base = [record, holdings] as const;
-const probe = z.tuple([
-  ...base,
+const baseItems = [recordSchema, holdingsSchema] as const;
+const probeSchema = z.tuple([
+  ...baseItems,
   whole,
-  list(news),
-  list(summary),
+  list(newsSchema),
+  list(summarySchema),
   list(holdNotice),
 ]);
 
-/** What follows the kind, for each kind of message. */
-const BODIES = {
-  ping: probe.transform(([from, holdings, sequence, news, regions, holds]) => ({
+/** Schemas of the items after the kind, for each kind of message. */
+const BODY_SCHEMAS = {
+  ping: probeSchema.transform((
+    [from, holdings, sequence, news, regions, holds],
+  ) => ({
     kind: "ping",
     from,
     holdings,
@@ -149,7 +157,9 @@
     regions,
     holds,
   })),
-  ack: probe.transform(([from, holdings, sequence, news, regions, holds]) => ({
+  ack: probeSchema.transform((
+    [from, holdings, sequence, news, regions, holds],
+  ) => ({
     kind: "ack",
     from,
     holdings,
@@ -158,7 +168,7 @@
     regions,
     holds,
   })),
-  indirect: z.tuple([...base, whole, text]).transform(
+  indirect: z.tuple([...baseItems, whole, text]).transform(
     ([from, holdings, sequence, target]) => ({
       kind: "indirect",
       from,
@@ -167,7 +177,7 @@
       target,
     }),
   ),
-  indirect_ack: z.tuple([...base, whole]).transform(
+  indirect_ack: z.tuple([...baseItems, whole]).transform(
     ([from, holdings, sequence]) => ({
       kind: "indirect_ack",
       from,
@@ -175,10 +185,10 @@
       sequence,
     }),
   ),
-  announce: z.tuple([...base]).transform(
+  announce: z.tuple([...baseItems]).transform(
     ([from, holdings]) => ({ kind: "announce", from, holdings }),
   ),
-  work: z.tuple([text, report]).transform(
+  work: z.tuple([text, reportSchema]).transform(
     ([incarnation, report]) => ({ kind: "work", incarnation, report }),
   ),
   quarantine: z.tuple([text, quarantineNews]).transform(
@@ -190,20 +200,20 @@
   spending: z.tuple([spendingMessage]).transform(
     ([message]) => ({ kind: "spending", message }),
   ),
-  limits: z.tuple([limitMessage]).transform(
+  limits: z.tuple([limitMessageSchema]).transform(
     ([message]) => ({ kind: "limits", message }),
   ),
-  departures: z.tuple([departureMessage]).transform(
+  departures: z.tuple([departureMessageSchema]).transform(
     ([message]) => ({ kind: "departures", message }),
   ),
 } as const;
 
-/** Reads a datagram, `undefined` where it is none of ours. */
+/** Decodes a datagram; returns `undefined` if it is not a valid message. */
 export function decodeFleetMessage(bytes: Buffer): FleetMessage | undefined {
   try {
     const [kind, ...body] = JSON.parse(bytes.toString("utf8"));
-    const schema = Object.hasOwn(BODIES, kind)
-      ? BODIES[kind as FleetMessage["kind"]]
+    const schema = Object.hasOwn(BODY_SCHEMAS, kind)
+      ? BODY_SCHEMAS[kind as FleetMessage["kind"]]
       : undefined;
     const result = schema?.safeParse(body);
     return result?.success === true
@@ -214,12 +224,12 @@
   }
 }
 
-/** Writes a datagram. */
+/** Encodes a message as a datagram. */
 export function encodeFleetMessage(message: FleetMessage): Buffer {
-  return Buffer.from(JSON.stringify([message.kind, ...bodyOf(message)]));
+  return Buffer.from(JSON.stringify([message.kind, ...encodeBody(message)]));
 }
 
-function bodyOf(message: FleetMessage): unknown[] {
+function encodeBody(message: FleetMessage): unknown[] {
   if (message.kind === "work") {
     return [message.incarnation, encodeReport(message.report)];
   }
--- a/packages/daemon/src/gateway/gateway_entry.ts
+++ b/packages/daemon/src/gateway/gateway_entry.ts
@@ -1,5 +1,5 @@
 /**
- * One entry for callers that name routes: the gateway's decisions with their sockets, clock and timer.
+ * The gateway process: connects the gateway's decision logic to sockets, clock and timer.
  *
  * @module
  */
@@ -23,70 +23,71 @@
 import type { Logger } from "../logs/index.ts";
 import type { GatewaySettings } from "../settings/index.ts";
 import { afterPoll, type Cancel, Suspensions } from "../timers/index.ts";
-import { CatalogueRunner } from "./catalogue_runner.ts";
-import { Connections } from "./connections.ts";
-import { Datagrams } from "./datagrams.ts";
+import { CatalogueReader } from "./catalogue_runner.ts";
+import { ConnectionPool } from "./connections.ts";
+import { DatagramSocket } from "./datagrams.ts";
 import type { Exchange } from "./exchange.ts";
-import { applyLimits, createIngress, type IngressEvents } from "./ingress.ts";
+import { applyLimits, createIngress, type IngressOptions } from "./ingress.ts";
 import { readGauges } from "./gauges.ts";
 import { GatewayMetrics } from "./gateway_metrics.ts";
 import { OpenAnswers } from "./open_answers.ts";
-import { OutboundCall, type OutboundTools } from "./outbound_call.ts";
+import { OutboundCall, type OutboundContext } from "./outbound_call.ts";
 import type {
   CallerProtocol,
   CatalogueSource,
   EndpointProtocol,
 } from "./protocol.ts";
 import {
-  type ControlSources,
+  type ControlService,
   createAppServer,
   lazyControlApp,
   listenOn,
-  shareServer,
+  routeProcedures,
 } from "./servers.ts";
 import { reportGateway } from "./status.ts";
 
 const INCARNATION_BYTES = 6;
 const SEED_LIMIT = 2 ** 32;
 
-/** How a platform is spoken to. */
+/** Platform-specific parts of an entry. */
 export interface GatewayPlatform {
   readonly callers: CallerProtocol;
   readonly endpoints: EndpointProtocol;
   readonly source: CatalogueSource;
-  /** Listeners for the directory and for readiness. */
+  /** Creates the listener that serves the directory of entries. */
   readonly directory: (
     gateway: Gateway,
     now: () => Instant,
   ) => RequestListener;
+  /** Creates the listener that serves the readiness check. */
   readonly readiness: (gateway: Gateway) => RequestListener;
 }
 
-/** A running entry. */
+/** A gateway entry: its servers, its calls and the loop that drives them. */
 export class GatewayEntry {
   readonly #settings: GatewaySettings;
   readonly #platform: GatewayPlatform;
   readonly #logger: Logger;
   readonly #gateway: Gateway;
   readonly #metrics = new GatewayMetrics();
-  readonly #connections = new Connections();
+  readonly #connections = new ConnectionPool();
   readonly #calls = new Map<RequestId, Exchange>();
-  readonly #answers = new OpenAnswers();
+  readonly #openAnswers = new OpenAnswers();
   readonly #attempts = new Map<AttemptId, OutboundCall>();
-  readonly #outbound: OutboundTools;
-  readonly #datagrams: Datagrams;
-  readonly #catalogue: CatalogueRunner;
+  readonly #outboundContext: OutboundContext;
+  readonly #datagrams: DatagramSocket;
+  readonly #catalogueReader: CatalogueReader;
   readonly #suspensions = new Suspensions();
   readonly #servers: Server[] = [];
   #requests = 0;
   #cancelTick: Cancel = () => {};
-  /** For how long the timer was set. */
-  #pause = milliseconds(0);
-  #ended = false;
-  #exited!: () => void;
-  /** Resolves when a planned stop is complete. */
+  /** Delay with which the tick timer was last set. */
+  #tickDelay = milliseconds(0);
+  #exiting = false;
+  #resolveStopped!: () => void;
+  /** Resolves when a graceful shutdown is complete. */
   readonly stopped: Promise<void> = new Promise((resolve) => {
-    this.#exited = resolve;
+    this.#resolveStopped = resolve;
   });
 
   constructor(
@@ -103,30 +104,30 @@
       self: { ...settings.self, incarnation },
       random: new SeededRandomness(randomInt(SEED_LIMIT)),
     }, this.#now());
-    this.#outbound = {
+    this.#outboundContext = {
       incarnation,
       protocol: platform.endpoints,
       connections: this.#connections,
       now: () => this.#now(),
-      tell: (event) => this.#tell(event),
-      done: ({ id }) => this.#attempts.delete(id),
+      dispatch: (event) => this.#dispatch(event),
+      onDone: ({ id }) => this.#attempts.delete(id),
     };
-    this.#datagrams = new Datagrams((message) =>
-      this.#tell({ kind: "datagram", message })
+    this.#datagrams = new DatagramSocket((message) =>
+      this.#dispatch({ kind: "datagram", message })
     );
-    this.#catalogue = new CatalogueRunner({
+    this.#catalogueReader = new CatalogueReader({
       source: platform.source,
-      tell: (event) => void this.#tell(event),
+      dispatch: (event) => void this.#dispatch(event),
     });
   }
 
-  /** Listens and starts the loop. */
+  /** Starts listening and begins the tick loop. */
   async start(): Promise<void> {
     const { addresses } = this.#settings;
-    const control = lazyControlApp(this.#control());
-    const callers = createIngress(this.#ingress(), { relays: false });
-    const peers = shareServer(
-      createIngress(this.#ingress(), { relays: true }),
+    const control = lazyControlApp(this.#controlService());
+    const callers = createIngress(this.#ingressOptions(), { relays: false });
+    const peers = routeProcedures(
+      createIngress(this.#ingressOptions(), { relays: true }),
       control,
     );
     const { directory, readiness } = this.#platform;
@@ -137,7 +138,7 @@
       createAppServer(directory(this.#gateway, () => this.#now())),
       createAppServer(readiness(this.#gateway)),
     );
-    const places = [
+    const bindings = [
       addresses.callers,
       addresses.peers,
       addresses.control,
@@ -146,43 +147,43 @@
     ];
     await this.#datagrams.listen(addresses.peers.host, addresses.peers.port);
     await Promise.all(
-      this.#servers.map((server, index) => listenOn(server, places[index]!)),
+      this.#servers.map((server, index) => listenOn(server, bindings[index]!)),
     );
     this.#tick();
     this.#logger.info("stop", "Listening.", { ...addresses });
   }
 
   /**
-   * Takes changed settings. Only figures can change: an entry that gets other addresses or another place
-   * is started anew.
+   * Applies changed settings. Only the bounds can change: other addresses or another location require a
+   * restart.
    */
   reload({ self }: GatewaySettings): void {
-    this.#tell({ kind: "rebound", bounds: self.bounds });
-    this.#logger.info("stop", "Settings were read again.", {});
+    this.#dispatch({ kind: "rebound", bounds: self.bounds });
+    this.#logger.info("stop", "Settings reloaded.", {});
   }
 
-  /** Begins a planned stop; `stopped` tells of its end. */
+  /** Begins a graceful shutdown; `stopped` resolves when it is complete. */
   stop(): void {
-    this.#tell({ kind: "stop" });
+    this.#dispatch({ kind: "stop" });
   }
 
   #tick(): void {
-    this.#tell({ kind: "tick" });
+    this.#dispatch({ kind: "tick" });
     this.#setTimer();
   }
 
   #setTimer(): void {
     this.#cancelTick();
-    this.#pause = this.#gateway.tickInterval;
-    if (!this.#ended) {
-      // Ticks judge who was silent and whose time is over: what was received comes first.
-      this.#cancelTick = afterPoll(this.#pause, () => this.#tick());
+    this.#tickDelay = this.#gateway.tickInterval;
+    if (!this.#exiting) {
+      // Ticks check for silence and expired deadlines, so data already received must be processed first.
+      this.#cancelTick = afterPoll(this.#tickDelay, () => this.#tick());
     }
   }
 
-  /** Something came that can't wait for the tick that is set. */
-  #hasten(): void {
-    if (this.#gateway.tickInterval < this.#pause) {
+  /** Moves the next tick forward if the gateway now needs it earlier. */
+  #rescheduleTick(): void {
+    if (this.#gateway.tickInterval < this.#tickDelay) {
       this.#setTimer();
     }
   }
@@ -191,19 +192,19 @@
     return instant(performance.now());
   }
 
-  #tell(event: GatewayEvent): readonly GatewayEffect[] {
-    const slept = this.#suspensions.take();
-    if (slept > 0) {
-      this.#gateway.handle({ kind: "slept", time: slept }, this.#now());
+  #dispatch(event: GatewayEvent): readonly GatewayEffect[] {
+    const suspendedTime = this.#suspensions.take();
+    if (suspendedTime > 0) {
+      this.#gateway.handle({ kind: "slept", time: suspendedTime }, this.#now());
     }
     const effects = this.#gateway.handle(event, this.#now());
     for (const effect of effects) {
-      this.#run(effect);
+      this.#runEffect(effect);
     }
     return effects;
   }
 
-  #ingress(): IngressEvents {
+  #ingressOptions(): IngressOptions {
     return {
       protocol: this.#platform.callers,
       limits: () => this.#gateway.catalogue.document?.limits,
@@ -214,20 +215,20 @@
           this.#requests.toString(36)
         }` as RequestId;
       },
-      open: (exchange) => {
+      onRequest: (exchange) => {
         this.#calls.set(exchange.id, exchange);
-        this.#answers.add(exchange);
-        this.#tell({ kind: "arrived", head: exchange.head });
-        this.#hasten();
+        this.#openAnswers.add(exchange);
+        this.#dispatch({ kind: "arrived", head: exchange.head });
+        this.#rescheduleTick();
       },
-      gone: (request) => {
+      onCallerGone: (request) => {
         this.#calls.delete(request);
-        this.#tell({ kind: "callerGone", request });
+        this.#dispatch({ kind: "callerGone", request });
       },
     };
   }
 
-  #control(): ControlSources {
+  #controlService(): ControlService {
     return {
       snapshot: () => this.#gateway.snapshot(),
       status: () => reportGateway(this.#gateway, this.#now()),
@@ -242,38 +243,38 @@
   }
 
   #release(content: ContentDigest): boolean {
-    const held = this.#gateway.quarantine.holds.has(content);
-    this.#tell({ kind: "release", content });
-    return held;
+    const wasHeld = this.#gateway.quarantine.holds.has(content);
+    this.#dispatch({ kind: "release", content });
+    return wasHeld;
   }
 
-  #run(effect: GatewayEffect): void {
+  #runEffect(effect: GatewayEffect): void {
     switch (effect.kind) {
       case "send":
         return this.#send(effect.attempt);
       case "abort":
         return this.#attempts.get(effect.attempt)?.abort();
       case "knock":
-        return this.#knock(effect);
+        return this.#probe(effect);
       case "refuse":
-        return this.#close(effect.request, (exchange) => {
+        return this.#closeCall(effect.request, (exchange) => {
           exchange.refuse(effect.refusal);
-          this.#metrics.refused(effect.refusal.reason);
+          this.#metrics.countRefusal(effect.refusal.reason);
         });
       case "breakOff":
-        return this.#close(effect.request, (exchange) => exchange.breakOff());
+        return this.#closeCall(effect.request, (exchange) => exchange.abort());
       case "complete":
-        return this.#close(effect.request, (exchange) => {
-          this.#metrics.answered(exchange.status, exchange.age());
+        return this.#closeCall(effect.request, (exchange) => {
+          this.#metrics.recordAnswer(exchange.status, exchange.age());
           exchange.end();
         });
       case "datagram":
         return this.#datagrams.send(effect.to, effect.message);
       case "readCatalogue":
         this.#applyLimits();
-        return this.#catalogue.read(effect);
+        return this.#catalogueReader.read(effect);
       case "copyCatalogue":
-        return this.#catalogue.copy(effect);
+        return this.#catalogueReader.copy(effect);
       case "log":
         return this.#logger.info(effect.part, effect.text, effect.fields);
       case "stopListening":
@@ -288,22 +289,22 @@
     if (exchange === undefined) {
       return;
     }
-    const tools = this.#outbound;
-    const outbound = new OutboundCall(attempt, { exchange, tools });
+    const context = this.#outboundContext;
+    const outbound = new OutboundCall(attempt, { exchange, context });
     this.#attempts.set(attempt.id, outbound);
     outbound.start();
   }
 
-  #knock(
+  #probe(
     { endpoint, life, address }: Extract<GatewayEffect, { kind: "knock" }>,
   ): void {
-    this.#connections.knock(
+    this.#connections.probe(
       address,
-      () => this.#tell({ kind: "portClosed", endpoint, life }),
+      () => this.#dispatch({ kind: "portClosed", endpoint, life }),
     );
   }
 
-  #close(request: RequestId, end: (exchange: Exchange) => void): void {
+  #closeCall(request: RequestId, end: (exchange: Exchange) => void): void {
     const exchange = this.#calls.get(request);
     this.#calls.delete(request);
     if (exchange !== undefined) {
@@ -327,16 +328,16 @@
   }
 
   async #exit(within: Milliseconds): Promise<void> {
-    this.#ended = true;
+    this.#exiting = true;
     this.#cancelTick();
     for (const server of this.#servers) {
       server.close();
       server.closeIdleConnections();
     }
     this.#datagrams.close();
-    await this.#answers.left(within);
+    await this.#openAnswers.waitUntilSent(within);
     this.#connections.closeAll();
     await this.#platform.source.close();
-    this.#exited();
+    this.#resolveStopped();
   }
 }
--- a/packages/daemon/src/gateway/gateway_metrics.ts
+++ b/packages/daemon/src/gateway/gateway_metrics.ts
@@ -1,36 +1,37 @@
 /**
- * What an entry counts, as text for monitoring.
+ * Metrics of an entry in the Prometheus text format.
  *
- * Counters only: histograms need a library that takes a tenth of the time of a start, and an entry that
- * has been killed is missed until it is back.
+ * Plain counters without a metrics library: the library takes a tenth of the startup time, and an entry that
+ * was killed serves nothing until it is back.
  *
  * @module
  */
 import type { CallRefusalReason } from "@sassafrasstep/core";
 
-/** Upper bounds of the buckets of answer times, in milliseconds; the last one has none. */
+/** Upper bounds of the answer time buckets in milliseconds. A further bucket has no bound. */
 const TIME_BOUNDS_MS = [50, 100, 250, 500, 1_000, 2_500, 5_000, 10_000];
 
-/** Counters of one entry. */
+/** Counters of an entry. */
 export class GatewayMetrics {
   readonly #refusals = new Map<CallRefusalReason, number>();
   readonly #answers = new Map<number, number>();
   readonly #times = new Array<number>(TIME_BOUNDS_MS.length + 1).fill(0);
   #timeSum = 0;
 
-  refused(reason: CallRefusalReason): void {
+  /** Counts a request that the entry refused. */
+  countRefusal(reason: CallRefusalReason): void {
     this.#refusals.set(reason, (this.#refusals.get(reason) ?? 0) + 1);
   }
 
-  /** An answer of an endpoint has ended. */
-  answered(status: number, took: number): void {
+  /** Counts an answer from an endpoint that has ended. */
+  recordAnswer(status: number, durationMs: number): void {
     this.#answers.set(status, (this.#answers.get(status) ?? 0) + 1);
-    const bucket = TIME_BOUNDS_MS.findIndex((bound) => took <= bound);
+    const bucket = TIME_BOUNDS_MS.findIndex((bound) => durationMs <= bound);
     this.#times[bucket < 0 ? TIME_BOUNDS_MS.length : bucket]!++;
-    this.#timeSum += took;
+    this.#timeSum += durationMs;
   }
 
-  /** Prometheus text exposition; `gauges` are read now. */
+  /** Returns all counters and the given gauges in the Prometheus text format. */
   toPrometheus(gauges: Readonly<Record<string, number>>): string {
     const lines = Object.entries(gauges).map(([name, value]) =>
       `sassafrasstep_${name} ${value}`
--- a/packages/daemon/src/gateway/gateway_router.ts
+++ b/packages/daemon/src/gateway/gateway_router.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry answers to peers and operators over tRPC.
+ * tRPC procedures that an entry offers to peers and operators.
  *
  * @module
  */
@@ -15,41 +15,41 @@
 import { readJson } from "../sockets/index.ts";
 import type { GatewayStatus } from "./status.ts";
 
-/** The entry, as seen by its peers and operators. */
+/** Operations of an entry that the procedures expose. */
 export interface GatewayService {
   snapshot(): CatalogueSnapshot | undefined;
   status(): GatewayStatus;
-  /** Ends the hold of a request; `false` where it is not held. */
+  /** Releases a quarantined request; returns `false` if the request is not quarantined. */
   release(digest: string): boolean;
 }
 
 const trpc = initTRPC.context<{ readonly service: GatewayService }>().create();
 
-/** As lines and status name a held request. */
-const digest = z.string().max(64);
+/** The digest by which logs and status identify a quarantined request. */
+const digestSchema = z.string().max(64);
 
-/** All procedures. */
+/** Router of all procedures. */
 export const gatewayRouter = trpc.router({
   catalogue: trpc.procedure.query(({ ctx }) => {
     const snapshot = ctx.service.snapshot();
     return snapshot === undefined ? null : encodeSnapshot(snapshot);
   }),
   status: trpc.procedure.query(({ ctx }) => ctx.service.status()),
-  release: trpc.procedure.input(digest).mutation(({ ctx, input }) =>
+  release: trpc.procedure.input(digestSchema).mutation(({ ctx, input }) =>
     ctx.service.release(input)
   ),
 });
 
-/** Type of the procedures, for clients. */
+/** Type of the router, for clients. */
 export type GatewayRouter = typeof gatewayRouter;
 
 /**
- * A client of an entry's control address, or of its address for peers. `heard` is called whenever bytes of
- * an answer have come.
+ * Creates a client for an entry's control address or peer address. `onData` is called whenever bytes of an
+ * answer arrive.
  */
 export function createGatewayClient(
   url: string,
-  heard: () => void = () => {},
+  onData: () => void = () => {},
 ): TRPCClient<GatewayRouter> {
   return createTRPCClient<GatewayRouter>({
     links: [
@@ -57,15 +57,15 @@
         url: `${url}/trpc`,
         fetch: async (input, init) => {
           const { body, ok } = await fetch(input, init as RequestInit);
-          heard();
-          return { ok, json: () => readJson(body ?? [], heard) };
+          onData();
+          return { ok, json: () => readJson(body ?? [], onData) };
         },
       }),
     ],
   });
 }
 
-/** A snapshot as JSON: maps as lists. */
+/** A catalogue snapshot as JSON, with maps converted to arrays. */
 export type SnapshotMessage =
   & Omit<CatalogueSnapshot, "document">
   & {
@@ -90,7 +90,7 @@
   };
 }
 
-/** The snapshot that a peer sent. */
+/** Decodes a snapshot received from a peer. */
 export function decodeSnapshot(message: SnapshotMessage): CatalogueSnapshot {
   const { document } = message;
   return {
--- a/packages/daemon/src/gateway/gauges.ts
+++ b/packages/daemon/src/gateway/gauges.ts
@@ -1,18 +1,18 @@
 /**
- * What an entry holds at a moment, for monitoring.
+ * Current values of an entry for its metrics.
  *
  * @module
  */
 import { catalogueAge, type Gateway, type Instant } from "@sassafrasstep/core";
-import type { Connections } from "./connections.ts";
-import type { Datagrams } from "./datagrams.ts";
+import type { ConnectionPool } from "./connections.ts";
+import type { DatagramSocket } from "./datagrams.ts";
 
-/** Gauges by name. */
+/** Reads all gauges, by metric name without the prefix. */
 export function readGauges(
   { catalogue, calls, fleet, quarantine, endpointTerms }: Gateway,
   { connections, datagrams }: {
-    connections: Pick<Connections, "opened">;
-    datagrams: Pick<Datagrams, "counts">;
+    connections: Pick<ConnectionPool, "opened">;
+    datagrams: Pick<DatagramSocket, "counts">;
   },
   now: Instant,
 ): Record<string, number> {
@@ -40,6 +40,6 @@
     connections_opened: connections.opened,
     datagram_bytes_sent: datagrams.counts.sent,
     datagram_bytes_received: datagrams.counts.received,
-    datagrams_foreign: datagrams.counts.foreign,
+    datagrams_foreign: datagrams.counts.undecodable,
   };
 }
--- a/packages/daemon/src/gateway/ingress.ts
+++ b/packages/daemon/src/gateway/ingress.ts
@@ -1,8 +1,8 @@
 /**
- * The address for callers, and the same for entries that pass requests on.
+ * HTTP server that accepts requests from callers, and requests relayed by peers.
  *
- * Node's own server stands here and not h3: its web requests merge and lower-case headers, and what
- * passes through must stay as it was.
+ * It uses Node's HTTP server rather than h3, whose web requests merge headers and convert their names to
+ * lower case: forwarded headers must stay unchanged.
  *
  * @module
  */
@@ -22,13 +22,13 @@
 import { Exchange } from "./exchange.ts";
 import { FingerprintBuilder } from "./fingerprints.ts";
 import type { CallerProtocol } from "./protocol.ts";
-import { readRelay, RELAY_HEADER } from "./relay_header.ts";
+import { parseRelayHeader, RELAY_HEADER } from "./relay_header.ts";
 
-/** Larger heads are refused; callers' own limit is lower. */
+/** Limit of the request headers. Callers themselves are given a lower limit. */
 const MAX_HEADER_BYTES = 65_536;
-/** A head that is slower than this is no caller's. */
+/** Time within which the request headers must arrive. No regular caller takes longer. */
 const HEAD_TIMEOUT_MS = 30_000;
-/** A kept connection outlives the time that callers may leave it idle by this much. */
+/** How much longer the server keeps idle connections than callers may reuse them. */
 const IDLE_MARGIN_MS = 2_000;
 const DEFAULT_IDLE_MS = 60_000;
 const DEFAULT_BODY_BYTES = 4_194_304;
@@ -36,26 +36,26 @@
 const TOO_LARGE = 413;
 const HEADERS_TOO_LARGE = 431;
 
-/** What the server works for. */
-export interface IngressEvents {
+/** Settings and callbacks of the server. */
+export interface IngressOptions {
   readonly protocol: CallerProtocol;
   readonly limits: () => CallerLimits | undefined;
   readonly closing: () => boolean;
   nextRequestId(): RequestId;
-  /** A request has arrived with its whole body. */
-  open(exchange: Exchange): void;
-  /** The caller has left before its answer was complete. */
-  gone(request: RequestId): void;
+  /** Called when a request has arrived with its complete body. */
+  onRequest(exchange: Exchange): void;
+  /** Called when the caller disconnected before its answer was complete. */
+  onCallerGone(request: RequestId): void;
 }
 
-/** Makes the server. `relays`: requests come from other entries. */
+/** Creates the server. `relays` states whether its requests come from other entries. */
 export function createIngress(
-  events: IngressEvents,
+  options: IngressOptions,
   { relays }: { relays: boolean },
 ): Server {
   const server = createServer(
     { maxHeaderSize: MAX_HEADER_BYTES, noDelay: true },
-    (message, reply) => take(events, { message, reply, relays }),
+    (message, reply) => readRequest(options, { message, reply, relays }),
   );
   server.headersTimeout = HEAD_TIMEOUT_MS;
   server.requestTimeout = 0;
@@ -66,7 +66,7 @@
   return server;
 }
 
-/** Keeps the server's idle time above the one that callers were told. */
+/** Sets the server's keep-alive timeout above the idle time that callers were told. */
 export function applyLimits(server: Server, limits: CallerLimits): void {
   server.keepAliveTimeout = limits.idleTime + IDLE_MARGIN_MS;
 }
@@ -77,9 +77,9 @@
   readonly relays: boolean;
 }
 
-function take(events: IngressEvents, arrival: Arrival): void {
+function readRequest(options: IngressOptions, arrival: Arrival): void {
   const { message, reply, relays } = arrival;
-  const limit = events.limits()?.bodyBytes ?? DEFAULT_BODY_BYTES;
+  const limit = options.limits()?.bodyBytes ?? DEFAULT_BODY_BYTES;
   const chunks: Buffer[] = [];
   const fingerprint = relays ? undefined : new FingerprintBuilder(message);
   let size = 0;
@@ -88,58 +88,64 @@
     if (size > limit) {
       message.removeAllListeners("data");
       message.resume();
-      end(reply, TOO_LARGE);
+      rejectRequest(reply, TOO_LARGE);
     } else {
       chunks.push(chunk);
-      fingerprint?.add(chunk);
+      fingerprint?.update(chunk);
     }
   });
   message.on("end", () => {
     if (size <= limit) {
       const body = chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
-      open(events, arrival, { body, fingerprint: fingerprint?.build() });
+      openExchange(options, arrival, {
+        body,
+        fingerprint: fingerprint?.build(),
+      });
     }
   });
   message.on("error", () => reply.destroy());
 }
 
-function open(
-  events: IngressEvents,
+function openExchange(
+  options: IngressOptions,
   { message, reply }: Arrival,
   { body, fingerprint }: {
     body: Buffer;
-    /** `undefined` for a request that an entry passes on. */
+    /** `undefined` for a request relayed by another entry. */
     fingerprint: RequestFingerprint | undefined;
   },
 ): void {
-  const head = events.protocol.readHead(message);
-  const facts = fingerprint === undefined
-    ? readRelay(message.headers[RELAY_HEADER])
+  const head = options.protocol.readHead(message);
+  const origin = fingerprint === undefined
+    ? parseRelayHeader(message.headers[RELAY_HEADER])
     : { fingerprint, relay: undefined };
-  if (head === undefined || facts === undefined) {
-    end(reply, BAD_REQUEST);
+  if (head === undefined || origin === undefined) {
+    rejectRequest(reply, BAD_REQUEST);
     return;
   }
-  const id = events.nextRequestId();
+  const id = options.nextRequestId();
   reply.on("close", () => {
     if (!reply.writableFinished) {
-      events.gone(id);
+      options.onCallerGone(id);
     }
   });
-  events.open(
+  options.onRequest(
     new Exchange({
-      head: { ...head, ...facts, id, bodyBytes: body.length },
+      head: { ...head, ...origin, id, bodyBytes: body.length },
       body,
       message,
       reply,
-      protocol: events.protocol,
-      closing: events.closing,
+      protocol: options.protocol,
+      closing: options.closing,
     }),
   );
 }
 
-/** A request that is malformed, too large or stopped short leaves the stream unusable: the connection ends. */
-function end(reply: ServerResponse, status: number): void {
+/**
+ * Rejects a request and closes the connection, which cannot be reused after a malformed, oversized or
+ * truncated request.
+ */
+function rejectRequest(reply: ServerResponse, status: number): void {
   reply.writeHead(status, { connection: "close", "content-length": 0 });
   reply.end();
 }
--- a/packages/daemon/src/gateway/open_answers.ts
+++ b/packages/daemon/src/gateway/open_answers.ts
@@ -1,36 +1,39 @@
 /**
- * Answers that have not left altogether.
+ * Tracks answers that have not been sent completely.
  *
  * @module
  */
 import type { Milliseconds } from "@sassafrasstep/core";
 import type { Exchange } from "./exchange.ts";
 
-/** Counts them, decided ones included: a process that ends takes with it what a slow caller has not read. */
+/**
+ * Counts the open answers, including those already written: if the process exits, what a slow caller has not
+ * read yet is lost.
+ */
 export class OpenAnswers {
   #count = 0;
-  #empty: (() => void) | undefined;
+  #onEmpty: (() => void) | undefined;
 
-  /** Counts an answer until it has left. */
+  /** Counts an answer until it has been sent or its connection has closed. */
   add(exchange: Exchange): void {
     this.#count++;
     exchange.onClosed(() => {
       this.#count--;
       if (this.#count === 0) {
-        this.#empty?.();
+        this.#onEmpty?.();
       }
     });
   }
 
-  /** Resolves once all have left, or after so long. */
-  async left(within: Milliseconds): Promise<void> {
+  /** Resolves once no answer is open, or after the timeout. */
+  async waitUntilSent(timeout: Milliseconds): Promise<void> {
     if (this.#count === 0) {
       return;
     }
     let timer: NodeJS.Timeout | undefined;
     await new Promise<void>((resolve) => {
-      this.#empty = resolve;
-      timer = setTimeout(resolve, within);
+      this.#onEmpty = resolve;
+      timer = setTimeout(resolve, timeout);
     });
     clearTimeout(timer);
   }
--- a/packages/daemon/src/gateway/outbound_call.ts
+++ b/packages/daemon/src/gateway/outbound_call.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt: a request on a connection, and its answer on the way to the caller.
+ * One attempt of a call: sends the request on a connection and forwards the answer to the caller.
  *
  * @module
  */
@@ -16,125 +16,133 @@
 import {
   ConnectError,
   type Connection,
-  type Connections,
+  type ConnectionPool,
 } from "./connections.ts";
-import type { WholeEvents } from "./event_cutter.ts";
-import { EventPassage } from "./event_passage.ts";
+import type { CompleteEvents } from "./event_cutter.ts";
+import { EventStreamReader } from "./event_passage.ts";
 import type { AnswerSource, AnswerWriter } from "./answer_writer.ts";
 import type { Exchange } from "./exchange.ts";
 import { afterPoll, type Cancel } from "../timers/index.ts";
-import { RELAY_HEADER, writeRelay } from "./relay_header.ts";
+import { formatRelayHeader, RELAY_HEADER } from "./relay_header.ts";
 import type { EndpointProtocol, RawHeaders } from "./protocol.ts";
 import {
   decodeHeaders,
   isEventStream,
   isFramed,
-  withoutLength,
+  withoutContentLength,
 } from "./raw_headers.ts";
 
-/** Plain answers up to this size are held until they are whole, so that a torn one can be repeated. */
+/**
+ * Plain answers up to this size are held until complete, so that the request can be retried after a truncated
+ * one.
+ */
 const MAX_HELD_BYTES = 262_144;
-/** Of an answer that nobody wants so much is read, to keep its connection. */
+/** How much of an unwanted answer is read so that its connection can be reused. */
 const MAX_DISCARDED_BYTES = 16_384;
-/** And for so long: the rest may never come. */
-const MOST_DISCARDING_MS = 1_000;
+/** How long an unwanted answer is read: the rest may never arrive. */
+const DISCARD_TIMEOUT_MS = 1_000;
 const FIRST_FINAL_STATUS = 200;
 const OK = 200;
-/** Connections to one peer. */
+/** Maximum number of open connections to one peer. */
 const PEER_CONNECTIONS = 64;
 
-/** What attempts work with. */
-export interface OutboundTools {
+/** What attempts need from the entry. */
+export interface OutboundContext {
   readonly incarnation: Incarnation;
   readonly protocol: EndpointProtocol;
-  readonly connections: Connections;
+  readonly connections: ConnectionPool;
   readonly now: () => Instant;
-  /** Tells the gateway; runs the effects, and returns them. */
-  readonly tell: (event: GatewayEvent) => readonly GatewayEffect[];
-  /** The attempt needs nothing any more. */
-  readonly done: (attempt: CallAttempt) => void;
+  /** Passes an event to the gateway, runs the resulting effects and returns them. */
+  readonly dispatch: (event: GatewayEvent) => readonly GatewayEffect[];
+  /** Called when the attempt is finished. */
+  readonly onDone: (attempt: CallAttempt) => void;
 }
 
-/** What happens to the bytes of the answer. */
-type Mode =
+/** What is done with the bytes of the answer. */
+type ForwardingMode =
+  /** The answer has not begun. */
   | "waiting"
-  /** Kept until the answer is whole. */
+  /** Held until the answer is complete. */
   | "holding"
-  /** Passed on event by event. */
+  /** Forwarded event by event. */
   | "events"
-  /** Passed on as they come. */
+  /** Forwarded as they arrive. */
   | "bytes"
+  /** Discarded, to reuse the connection. */
   | "discarding";
 
 /** One attempt under way. */
 export class OutboundCall implements Dispatcher.DispatchHandler, AnswerSource {
   readonly #attempt: CallAttempt;
   readonly #exchange: Exchange;
-  readonly #tools: OutboundTools;
+  readonly #context: OutboundContext;
   #connection: Connection | undefined;
-  /** Set for an answer of events. */
-  #passage: EventPassage | undefined;
-  /** Set while bytes of the answer may go to the caller. */
+  /** Set if the answer is an event stream. */
+  #eventReader: EventStreamReader | undefined;
+  /** Set once the answer is being forwarded to the caller. */
   #writer: AnswerWriter | undefined;
   #controller: Dispatcher.DispatchController | undefined;
-  #mode: Mode = "waiting";
+  #mode: ForwardingMode = "waiting";
   #status = 0;
-  #reason = "";
+  #reasonPhrase = "";
   #headers: RawHeaders = [];
   #framed = false;
-  #kept: Buffer[] = [];
-  #bytes = 0;
-  #over = false;
-  #endDiscarding: Cancel | undefined;
+  #heldChunks: Buffer[] = [];
+  #receivedBytes = 0;
+  #finished = false;
+  #cancelDiscardTimer: Cancel | undefined;
 
   constructor(
     attempt: CallAttempt,
-    { exchange, tools }: { exchange: Exchange; tools: OutboundTools },
+    { exchange, context }: {
+      exchange: Exchange;
+      context: OutboundContext;
+    },
   ) {
     this.#attempt = attempt;
     this.#exchange = exchange;
-    this.#tools = tools;
+    this.#context = context;
   }
 
-  /** Gets a connection and, if the request is still to be sent, writes it. */
+  /** Acquires a connection and sends the request if the gateway still wants it. */
   start(): void {
     const { target, maxIdleTime } = this.#attempt;
-    const { connections, now } = this.#tools;
-    const far = target.kind === "peer";
+    const { connections, now } = this.#context;
+    const crossRegion = target.kind === "peer";
     const limit = target.kind === "peer"
       ? PEER_CONNECTIONS
       : target.connections;
-    connections.take(
-      { address: target.address, limit, mostIdle: maxIdleTime, far },
+    connections.acquire(
+      { address: target.address, limit, maxIdleTime, crossRegion },
       now(),
-      (result) => this.#connected(result),
+      (result) => this.#onConnected(result),
     );
   }
 
-  /** The gateway wants no more of this attempt. */
+  /** Aborts the attempt and closes its connection. */
   abort(): void {
-    if (this.#over) {
+    if (this.#finished) {
       return;
     }
     this.#stop();
     this.#controller?.abort(new Error("Attempt was given up"));
     this.#connection?.close();
-    this.#tools.done(this.#attempt);
+    this.#context.onDone(this.#attempt);
   }
 
-  hold(): void {
-    this.#connection!.hold();
-    this.#tellHeld(true);
+  pause(): void {
+    this.#connection!.pauseReading();
+    this.#reportHeld(true);
   }
 
-  release(): void {
-    this.#connection!.release();
-    this.#tellHeld(false);
+  resume(): void {
+    this.#connection!.resumeReading();
+    this.#reportHeld(false);
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.#controller = controller;
-    if (this.#over) {
+    if (this.#finished) {
       controller.abort(new Error("Attempt was given up"));
     }
   }
@@ -145,96 +153,96 @@
     _headers: unknown,
     reason?: string,
   ): void {
-    if (status < FIRST_FINAL_STATUS || this.#over) {
+    if (status < FIRST_FINAL_STATUS || this.#finished) {
       return;
     }
     this.#status = status;
-    this.#reason = reason ?? "";
+    this.#reasonPhrase = reason ?? "";
     this.#headers = decodeHeaders(controller.rawHeaders as Buffer[]);
     this.#framed = isFramed(this.#headers);
-    this.#connection!.endsAnswer = !this.#framed;
+    this.#connection!.closeDelimited = !this.#framed;
     if (!this.#attempt.streaming) {
       this.#mode = "holding";
     } else if (status === OK && isEventStream(this.#headers)) {
-      this.#passOn("events");
+      this.#startForwarding("events");
     } else {
-      // What is not wanted is known by its head; kept until whole, a failure whose body never ends would
-      // keep its caller from the next endpoint.
-      this.#passOn("bytes");
+      // The headers suffice to decide whether the answer is wanted. If it were held until complete, a failure
+      // whose body never ends would keep the request from the next endpoint.
+      this.#startForwarding("bytes");
     }
   }
 
   onResponseData(_controller: unknown, chunk: Buffer): void {
-    if (this.#over) {
+    if (this.#finished) {
       return;
     }
-    this.#bytes += chunk.length;
+    this.#receivedBytes += chunk.length;
     switch (this.#mode) {
       case "events":
-        return this.#passEvents(chunk);
+        return this.#forwardEvents(chunk);
       case "bytes":
-        return this.#passBytes(chunk);
+        return this.#forwardBytes(chunk);
       case "holding":
-        return this.#keep(chunk);
+        return this.#holdChunk(chunk);
       default:
-        if (this.#bytes > MAX_DISCARDED_BYTES) {
+        if (this.#receivedBytes > MAX_DISCARDED_BYTES) {
           this.abort();
         }
     }
   }
 
   onResponseEnd(): void {
-    if (this.#over) {
+    if (this.#finished) {
       return;
     }
     if (!this.#framed && this.#connection?.failed === true) {
-      return this.#end({ kind: "lost", detail: "Answer was cut off" });
+      return this.#reportEnd({ kind: "lost", detail: "Answer was cut off" });
     }
     switch (this.#mode) {
       case "holding":
-        return this.#takeWhole();
+        return this.#completeHeld();
       case "events":
         return this.#endEvents();
       case "bytes":
-        return this.#end({ kind: "complete" });
+        return this.#reportEnd({ kind: "complete" });
       default:
-        this.#finish();
+        this.#finishDiscarded();
     }
   }
 
   onResponseError(_controller: unknown, error: Error): void {
-    this.#end({ kind: "lost", detail: error.message });
+    this.#reportEnd({ kind: "lost", detail: error.message });
   }
 
-  #connected(result: Connection | ConnectError): void {
-    if (this.#over) {
+  #onConnected(result: Connection | ConnectError): void {
+    if (this.#finished) {
       if (!(result instanceof ConnectError)) {
-        this.#tools.connections.giveBack(result, this.#tools.now());
+        this.#context.connections.release(result, this.#context.now());
       }
       return;
     }
     if (result instanceof ConnectError) {
       const { message: detail, refused } = result;
-      return this.#end({ kind: "unsent", detail, refused });
+      return this.#reportEnd({ kind: "unsent", detail, refused });
     }
     const { id } = this.#attempt;
-    const effects = this.#tools.tell({ kind: "commit", attempt: id });
+    const effects = this.#context.dispatch({ kind: "commit", attempt: id });
     const proceed = effects.find((effect) =>
       effect.kind === "proceed" && effect.attempt === id
     );
     if (proceed?.kind === "proceed") {
       this.#connection = result;
-      this.#write(result, proceed.timeLeft);
+      this.#sendRequest(result, proceed.timeLeft);
     } else {
-      this.#over = true;
-      this.#tools.connections.giveBack(result, this.#tools.now());
-      this.#tools.done(this.#attempt);
+      this.#finished = true;
+      this.#context.connections.release(result, this.#context.now());
+      this.#context.onDone(this.#attempt);
     }
   }
 
-  #write({ client }: Connection, timeLeft: Milliseconds): void {
+  #sendRequest({ client }: Connection, timeLeft: Milliseconds): void {
     const { target, customer, resumeAfter } = this.#attempt;
-    const { protocol, incarnation } = this.#tools;
+    const { protocol, incarnation } = this.#context;
     const headers = protocol.requestHeaders(this.#exchange.rawHeaders, {
       target,
       customer,
@@ -243,9 +251,9 @@
     });
     if (target.kind === "peer") {
       const { sentBefore } = target;
-      const facts = { from: incarnation, sentBefore, customer };
+      const relayInfo = { from: incarnation, sentBefore, customer };
       const { fingerprint } = this.#exchange.head;
-      headers.push(RELAY_HEADER, writeRelay(facts, fingerprint));
+      headers.push(RELAY_HEADER, formatRelayHeader(relayInfo, fingerprint));
     }
     client.dispatch({
       path: this.#exchange.head.target,
@@ -255,9 +263,9 @@
     }, this);
   }
 
-  /** Asks the gateway what becomes of the answer, to be passed on in the given way if at all. */
-  #takeHead(mode: "events" | "bytes"): "forward" | "goOn" | undefined {
-    const { protocol, tell } = this.#tools;
+  /** Asks the gateway whether to forward the answer; if not, discards it and returns `undefined`. */
+  #submitHead(mode: "events" | "bytes"): "forward" | "goOn" | undefined {
+    const { protocol, dispatch } = this.#context;
     const { id } = this.#attempt;
     const head = protocol.readHead(
       this.#status,
@@ -265,132 +273,138 @@
       this.#exchange.head,
     );
     if (!head.matches) {
-      // Bytes that belong to another request: nothing more on this connection can be trusted.
-      this.#end({ kind: "lost", detail: "Answer to another request" });
+      // The bytes belong to another request, so nothing more on this connection can be trusted.
+      this.#reportEnd({
+        kind: "lost",
+        detail: "Answer belongs to another request",
+      });
       return undefined;
     }
     const answer = { ...head, events: mode === "events" };
-    const effects = tell({ kind: "answered", attempt: id, answer });
-    const verdict = effects.find((effect) =>
+    const effects = dispatch({ kind: "answered", attempt: id, answer });
+    const decision = effects.find((effect) =>
       (effect.kind === "forward" || effect.kind === "goOn") &&
       effect.attempt === id
     );
-    if (verdict?.kind !== "forward" && verdict?.kind !== "goOn") {
+    if (decision?.kind !== "forward" && decision?.kind !== "goOn") {
       this.#discard();
       return undefined;
     }
     this.#mode = mode;
-    return verdict.kind;
+    return decision.kind;
   }
 
-  /** Passes an answer on from its head on, if it is wanted. */
-  #passOn(mode: "events" | "bytes"): void {
-    const verdict = this.#takeHead(mode);
-    if (verdict === undefined) {
+  /** Begins to forward the answer if the gateway wants it. */
+  #startForwarding(mode: "events" | "bytes"): void {
+    const decision = this.#submitHead(mode);
+    if (decision === undefined) {
       return;
     }
-    const goesOn = verdict === "goOn";
+    const resuming = decision === "goOn";
     if (mode === "events") {
-      this.#passage = new EventPassage(
-        goesOn ? this.#attempt.resumeAfter : undefined,
+      this.#eventReader = new EventStreamReader(
+        resuming ? this.#attempt.resumeAfter : undefined,
       );
     }
-    if (!goesOn) {
-      const headers = this.#tools.protocol.answerHeaders(this.#headers);
+    if (!resuming) {
+      const headers = this.#context.protocol.answerHeaders(this.#headers);
       this.#exchange.begin(this.#status, {
-        reason: this.#reason,
-        // Another endpoint may go on, whose part has another length: told this one, the caller would take
-        // an answer that ends inside an event for whole.
-        headers: mode === "events" ? withoutLength(headers) : headers,
+        reason: this.#reasonPhrase,
+        // Another endpoint may continue the stream, with a different length. Given the length of this answer,
+        // the caller could take a stream that ends inside an event for complete.
+        headers: mode === "events" ? withoutContentLength(headers) : headers,
       });
     }
     this.#writer = this.#exchange.openWriter(this);
   }
 
-  /** Reads the rest for the sake of the connection, unless that takes long. */
+  /** Reads and discards the rest to keep the connection reusable, unless that takes too long. */
   #discard(): void {
     this.#mode = "discarding";
-    if (!this.#over) {
-      this.#endDiscarding = afterPoll(MOST_DISCARDING_MS, () => this.abort());
+    if (!this.#finished) {
+      this.#cancelDiscardTimer = afterPoll(
+        DISCARD_TIMEOUT_MS,
+        () => this.abort(),
+      );
     }
   }
 
-  #passBytes(chunk: Buffer): void {
+  #forwardBytes(chunk: Buffer): void {
     this.#writer!.write(chunk);
-    // The bytes of a failure are no first event, by which an engine's reading is measured.
+    // The time to the first event measures the engine's prefill, and the bytes of a failure are no event.
     if (this.#status === OK) {
-      this.#tellProgress();
+      this.#reportProgress();
     }
   }
 
-  #passEvents(chunk: Buffer): void {
-    const { events, fault } = this.#passage!.take(chunk);
+  #forwardEvents(chunk: Buffer): void {
+    const { events, fault } = this.#eventReader!.push(chunk);
     if (events !== undefined) {
       this.#writer!.write(events.bytes);
     }
-    // Told after the write: an event that counts as passed on and never was would be missing.
-    this.#tellProgress(events);
+    // Reported after the write: an event reported as forwarded but never written would be lost to the caller.
+    this.#reportProgress(events);
     if (fault !== undefined) {
-      this.#end({ kind: "lost", detail: fault });
+      this.#reportEnd({ kind: "lost", detail: fault });
     }
   }
 
-  #tellProgress(passed?: WholeEvents): void {
-    this.#tools.tell({
+  #reportProgress(events?: CompleteEvents): void {
+    this.#context.dispatch({
       kind: "progress",
       attempt: this.#attempt.id,
-      lastEventId: passed?.lastId,
-      unnumbered: passed?.unnumbered ?? false,
-      unfinished: this.#passage?.unfinished ?? 0,
+      lastEventId: events?.lastId,
+      unnumbered: events?.unnumbered ?? false,
+      unfinished: this.#eventReader?.unfinishedBytes ?? 0,
     });
   }
 
-  #tellHeld(held: boolean): void {
-    this.#tools.tell({ kind: "held", attempt: this.#attempt.id, held });
+  #reportHeld(held: boolean): void {
+    this.#context.dispatch({ kind: "held", attempt: this.#attempt.id, held });
   }
 
-  #keep(chunk: Buffer): void {
-    this.#kept.push(chunk);
-    if (this.#bytes <= MAX_HELD_BYTES) {
-      // Untold, an endpoint whose bytes come would be left as silent, and the request run again.
-      return this.#tellProgress();
+  #holdChunk(chunk: Buffer): void {
+    this.#heldChunks.push(chunk);
+    if (this.#receivedBytes <= MAX_HELD_BYTES) {
+      // Without a report, the endpoint would be treated as silent and the request would be run again.
+      return this.#reportProgress();
     }
-    this.#passOn("bytes");
-    this.#kept.forEach((part) => this.#writer?.write(part));
-    this.#kept = [];
+    this.#startForwarding("bytes");
+    this.#heldChunks.forEach((chunk) => this.#writer?.write(chunk));
+    this.#heldChunks = [];
   }
 
-  /** A plain answer is whole. */
-  #takeWhole(): void {
-    const verdict = this.#takeHead("bytes");
-    if (this.#over) {
+  /** Forwards a held answer that is now complete. */
+  #completeHeld(): void {
+    const decision = this.#submitHead("bytes");
+    if (this.#finished) {
       return;
     }
-    if (verdict !== "forward") {
-      return this.#finish();
+    if (decision !== "forward") {
+      return this.#finishDiscarded();
     }
-    this.#exchange.answer(this.#status, {
-      reason: this.#reason,
-      headers: withoutLength(
-        this.#tools.protocol.answerHeaders(this.#headers),
+    this.#exchange.respond(this.#status, {
+      reason: this.#reasonPhrase,
+      headers: withoutContentLength(
+        this.#context.protocol.answerHeaders(this.#headers),
       ),
-      body: Buffer.concat(this.#kept),
+      body: Buffer.concat(this.#heldChunks),
     });
-    this.#end({ kind: "complete" });
+    this.#reportEnd({ kind: "complete" });
   }
 
   #endEvents(): void {
     const resumed = this.#attempt.resumeAfter !== undefined;
-    const end = this.#passage!.end({ framed: this.#framed, resumed });
+    const end = this.#eventReader!.end({ framed: this.#framed, resumed });
     if (end.kind === "torn") {
-      return this.#end({ kind: "lost", detail: end.fault });
+      return this.#reportEnd({ kind: "lost", detail: end.fault });
     }
     this.#writer!.write(end.rest);
-    this.#end({ kind: "complete" });
+    this.#reportEnd({ kind: "complete" });
   }
 
-  #end(end: CallEnd): void {
-    if (this.#over) {
+  #reportEnd(end: CallEnd): void {
+    if (this.#finished) {
       return;
     }
     this.#stop();
@@ -398,27 +412,27 @@
       this.#controller?.abort(new Error("Attempt was lost"));
       this.#connection?.close();
     }
-    this.#giveBack();
-    this.#tools.done(this.#attempt);
-    this.#tools.tell({ kind: "ended", attempt: this.#attempt.id, end });
+    this.#releaseConnection();
+    this.#context.onDone(this.#attempt);
+    this.#context.dispatch({ kind: "ended", attempt: this.#attempt.id, end });
   }
 
-  /** The answer was read and is not wanted. */
-  #finish(): void {
+  /** Finishes the attempt after an unwanted answer was read to its end. */
+  #finishDiscarded(): void {
     this.#stop();
-    this.#giveBack();
-    this.#tools.done(this.#attempt);
+    this.#releaseConnection();
+    this.#context.onDone(this.#attempt);
   }
 
   #stop(): void {
-    this.#over = true;
-    this.#endDiscarding?.();
+    this.#finished = true;
+    this.#cancelDiscardTimer?.();
     this.#writer?.close();
   }
 
-  #giveBack(): void {
+  #releaseConnection(): void {
     if (this.#connection !== undefined) {
-      this.#tools.connections.giveBack(this.#connection, this.#tools.now());
+      this.#context.connections.release(this.#connection, this.#context.now());
     }
   }
 }
--- a/packages/daemon/src/gateway/protocol.ts
+++ b/packages/daemon/src/gateway/protocol.ts
@@ -1,6 +1,6 @@
 /**
- * How requests and answers of a platform are framed. One class each for a platform; the gateway knows
- * no header of it.
+ * Interfaces that a platform implements to map its headers and its catalogue. The gateway itself knows none
+ * of the platform's headers.
  *
  * @module
  */
@@ -18,57 +18,58 @@
   Revision,
 } from "@sassafrasstep/core";
 
-/** Headers as they stand on the wire: names and values in turn. */
+/** Headers as sent on the wire: names and values alternate. */
 export type RawHeaders = string[];
 
-/** What a caller's request says, before its body. */
+/** What the headers of a caller's request state. */
 export type CallerHead = Omit<
   CallHead,
   "id" | "bodyBytes" | "fingerprint" | "relay"
 >;
 
-/** Requests of callers. */
+/** Maps requests from callers and answers to them. */
 export interface CallerProtocol {
-  /** `undefined` where the request lacks what the platform demands. */
+  /** Parses a request; returns `undefined` if it lacks what the platform requires. */
   readHead(message: IncomingMessage): CallerHead | undefined;
-  /** Headers of an answer that the entry gives itself. */
+  /** Returns the headers of a refusal by the entry itself. */
   refusalHeaders(refusal: CallRefusal): RawHeaders;
 }
 
-/** What an attempt adds to the caller's headers. */
+/** What an attempt adds to the headers of the caller. */
 export interface AttemptFacts {
   readonly target: CallTarget;
-  /** Whose request it is; endpoints get this name and no other. */
+  /** The customer that sent the request. Endpoints receive no other identification of the caller. */
   readonly customer: CustomerId | undefined;
   readonly timeLeft: Milliseconds;
   readonly resumeAfter: string | undefined;
 }
 
-/** The head of an endpoint's answer. */
+/** The status and the parsed headers of an endpoint's answer. */
 export interface EndpointHead extends AnswerHead {
-  /** Whether it belongs to the request that was sent. */
+  /** Whether the answer belongs to the request that was sent. */
   readonly matches: boolean;
 }
 
-/** Requests to endpoints. */
+/** Maps requests to endpoints and their answers. */
 export interface EndpointProtocol {
-  /** Headers for an endpoint, from those of the caller. */
+  /** Returns the request headers for an endpoint, derived from those of the caller. */
   requestHeaders(caller: RawHeaders, facts: AttemptFacts): RawHeaders;
+  /** Parses the status and headers of an endpoint's answer. */
   readHead(
     status: number,
     headers: RawHeaders,
     sent: Pick<CallHead, "call">,
   ): EndpointHead;
-  /** Headers for the caller, from those of the endpoint. */
+  /** Returns the answer headers for the caller, derived from those of the endpoint. */
   answerHeaders(endpoint: RawHeaders): RawHeaders;
 }
 
-/** Changes since a revision, or word that they are forgotten. */
+/** The changes after a revision, or the notice that they have been compacted. */
 export type ChangesAnswer =
   | {
     readonly kind: "changes";
     readonly changes: CatalogueChanges;
-    /** Whether each revision up to the answer's is among them. */
+    /** Whether the changes contain every revision up to that of the answer. */
     readonly complete: boolean;
   }
   | {
@@ -76,21 +77,22 @@
     readonly epoch?: CatalogueEpoch | undefined;
   };
 
-/** A place in the history of the published picture. */
+/** A position in the history of the catalogue. */
 export interface StatedPosition {
   readonly epoch?: CatalogueEpoch | undefined;
   readonly revision: Revision;
 }
 
-/** Where the published picture is read. */
+/** The platform's store, from which the catalogue is read. */
 export interface CatalogueSource {
+  /** Reads the entire catalogue. */
   snapshot(timeout: Milliseconds): Promise<CatalogueSnapshot>;
-  /** Waits for a change up to `wait`. */
+  /** Reads the changes after a revision, waiting up to `wait` for the first one. */
   changes(
     after: Revision,
     limits: { wait: Milliseconds; timeout: Milliseconds },
   ): Promise<ChangesAnswer>;
-  /** The newest position at present; unlike a wait for changes it cannot miss one. */
+  /** Reads the newest position. Unlike waiting for changes, this cannot miss a revision. */
   newest(timeout: Milliseconds): Promise<StatedPosition>;
   close(): Promise<void>;
 }
--- a/packages/daemon/src/gateway/raw_headers.ts
+++ b/packages/daemon/src/gateway/raw_headers.ts
@@ -1,34 +1,35 @@
 /**
- * Headers as they stand on the wire.
+ * Functions for headers as sent on the wire.
  *
  * @module
  */
 import type { RawHeaders } from "./protocol.ts";
 
-/** Headers as text. */
+/** Decodes header names and values to strings. */
 export function decodeHeaders(raw: readonly (Buffer | string)[]): RawHeaders {
   return raw.map((item) =>
     typeof item === "string" ? item : item.toString("latin1")
   );
 }
 
-/** Whether a body says where it ends. */
+/** Whether the headers mark the end of the body, by a length or by chunked encoding. */
 export function isFramed(headers: RawHeaders): boolean {
   return headers.some((name, index) =>
     index % 2 === 0 && /^(content-length|transfer-encoding)$/i.test(name)
   );
 }
 
-/** Whether a body consists of events: every one but what says that it is something else. */
+/** Whether the body is an event stream. It is unless the headers state another content type. */
 export function isEventStream(headers: RawHeaders): boolean {
-  const at = headers.findIndex((name, index) =>
+  const nameIndex = headers.findIndex((name, index) =>
     index % 2 === 0 && /^content-type$/i.test(name)
   );
-  return at < 0 || /^\s*text\/event-stream/i.test(headers[at + 1]!);
+  return nameIndex < 0 ||
+    /^\s*text\/event-stream/i.test(headers[nameIndex + 1]!);
 }
 
-/** For a body whose length is known anew. */
-export function withoutLength(headers: RawHeaders): RawHeaders {
+/** Removes the content length, for a body whose length is stated anew or not at all. */
+export function withoutContentLength(headers: RawHeaders): RawHeaders {
   return headers.filter((_, index) =>
     headers[index - index % 2]!.toLowerCase() !== "content-length"
   );
--- a/packages/daemon/src/gateway/relay_header.ts
+++ b/packages/daemon/src/gateway/relay_header.ts
@@ -1,5 +1,5 @@
 /**
- * What one entry tells another with a request that it passes on.
+ * Header that an entry adds to a request that it relays to another entry.
  *
  * @module
  */
@@ -12,18 +12,21 @@
   RequestFingerprint,
 } from "@sassafrasstep/core";
 
-/** Names the entry, how many endpoints may have got the request, what it is known by, and its customer. */
+/**
+ * Header with the relaying entry's incarnation, the number of endpoints that may have received the request,
+ * the request's fingerprint, and its customer.
+ */
 export const RELAY_HEADER = "sassafrasstep-relay";
 
-/** A relayed request's facts. */
-export interface RelayedFacts {
+/** What a relaying entry states about a request. */
+export interface RelayedRequest {
   readonly relay: RelayInfo;
-  /** As its first entry worked it out: only that one sees the caller. */
+  /** As computed by the first entry: only that one sees the caller. */
   readonly fingerprint: RequestFingerprint;
 }
 
-/** The header's text. */
-export function writeRelay(
+/** Formats the header's value. */
+export function formatRelayHeader(
   { from, sentBefore, customer }: RelayInfo,
   { content, caller }: RequestFingerprint,
 ): string {
@@ -32,12 +35,12 @@
   ).join(";");
 }
 
-/** Reads the header, `undefined` where it is none of an entry's. */
-export function readRelay(
+/** Parses the header's value; returns `undefined` if no entry could have written it. */
+export function parseRelayHeader(
   text: string | string[] | undefined,
-): RelayedFacts | undefined {
+): RelayedRequest | undefined {
   const [from, sent, content, caller, customer] = typeof text === "string"
-    ? text.split(";").map(decode)
+    ? text.split(";").map(decodeItem)
     : [];
   const sentBefore = Number(sent);
   if (!Number.isInteger(sentBefore) || !from || !content || !caller) {
@@ -56,8 +59,8 @@
   };
 }
 
-/** An item as it was before it was written; one that is malformed is missing. */
-function decode(item: string): string {
+/** Decodes an item; a malformed one counts as missing. */
+function decodeItem(item: string): string {
   try {
     return decodeURIComponent(item);
   } catch {
--- a/packages/daemon/src/gateway/servers.ts
+++ b/packages/daemon/src/gateway/servers.ts
@@ -1,5 +1,5 @@
 /**
- * Addresses beside the one for callers: for peers, for operators, for readiness and the directory.
+ * HTTP servers for peers, operators, readiness checks and the directory.
  *
  * @module
  */
@@ -14,17 +14,17 @@
 import { closeIdleAfterPoll } from "../timers/index.ts";
 import type { GatewayService } from "./gateway_router.ts";
 
-/** Path of the procedures. */
+/** Path prefix of the tRPC procedures. */
 export const TRPC_PATH = "/trpc";
 
-/** What the control address tells beside its procedures. */
-export interface ControlSources extends GatewayService {
+/** Operations that the control address serves, including those of the procedures. */
+export interface ControlService extends GatewayService {
   prometheus(): string;
   isReady(): boolean;
 }
 
-/** The control application, loaded when it is first asked. */
-export function lazyControlApp(service: ControlSources): RequestListener {
+/** Creates a listener that loads the control application on its first request. */
+export function lazyControlApp(service: ControlService): RequestListener {
   let loading: Promise<RequestListener> | undefined;
   return (message, reply): void => {
     loading ??= import("./control_app.ts").then(({ createControlApp }) =>
@@ -34,16 +34,19 @@
   };
 }
 
-/** A server for a listener. */
+/** Creates a server for a listener. */
 export function createAppServer(listener: RequestListener): Server {
   const server = createServer(listener);
   closeIdleAfterPoll(server);
   return server;
 }
 
-/** Lets procedures through to the application, and hands everything else to the other server. */
-export function shareServer(server: Server, handle: RequestListener): Server {
-  const [other] = server.listeners("request") as RequestListener[];
+/** Routes procedure calls to the control application and all other requests to the server's own listener. */
+export function routeProcedures(
+  server: Server,
+  controlApp: RequestListener,
+): Server {
+  const [originalListener] = server.listeners("request") as RequestListener[];
   server.removeAllListeners("request");
   server.on(
     "request",
@@ -51,14 +54,14 @@
       message: IncomingMessage,
       reply: ServerResponse & { req: IncomingMessage },
     ) => {
-      const procedure = message.url?.startsWith(`${TRPC_PATH}/`) === true;
-      (procedure ? handle : other!)(message, reply);
+      const isProcedure = message.url?.startsWith(`${TRPC_PATH}/`) === true;
+      (isProcedure ? controlApp : originalListener!)(message, reply);
     },
   );
   return server;
 }
 
-/** Listens; gives host and port. */
+/** Starts listening and returns the actual host and port. */
 export async function listenOn(
   server: Server,
   { host, port }: { host: string; port: number },
--- a/packages/daemon/src/gateway/status.ts
+++ b/packages/daemon/src/gateway/status.ts
@@ -1,5 +1,5 @@
 /**
- * What operators see of an entry.
+ * Status report of an entry for operators.
  *
  * @module
  */
@@ -10,7 +10,7 @@
   type Instant,
 } from "@sassafrasstep/core";
 
-/** State of one entry. */
+/** Status of an entry. */
 export interface GatewayStatus {
   readonly id: string;
   readonly incarnation: string;
@@ -19,40 +19,40 @@
   readonly state: string;
   readonly documentVersion: number;
   readonly catalogueRevision: number;
-  /** Of that revision: it rises each time the platform is restored from a copy. */
+  /** Epoch of `catalogueRevision`. Increases each time the platform is restored from a backup. */
   readonly catalogueEpoch: number;
-  /** Since the platform last answered. */
+  /** Time since the platform last answered. */
   readonly catalogueAgeMs?: number | undefined;
   readonly requests: number;
   readonly queued: number;
-  readonly members: readonly MemberLine[];
-  readonly endpoints: readonly EndpointLine[];
+  readonly members: readonly MemberStatus[];
+  readonly endpoints: readonly EndpointStatus[];
   readonly shares: readonly { region: string; share: number }[];
-  /** Requests that go to no endpoint, as they have ended some. */
-  readonly held: readonly HeldLine[];
+  /** Quarantined requests: they are sent to no endpoint because some endpoints crashed while running them. */
+  readonly held: readonly HeldRequestStatus[];
 }
 
-/** A request that is held back. */
-export interface HeldLine {
+/** A quarantined request. */
+export interface HeldRequestStatus {
   readonly digest: string;
-  /** Digest of its only caller, where it has one. */
+  /** Digest of the caller, if only one caller sent the request. */
   readonly caller?: string | undefined;
   readonly service: string;
-  /** Software of the endpoints that ended under it. */
+  /** Software versions of the endpoints that crashed while running it. */
   readonly versions: readonly string[];
   readonly term: number;
   readonly remainingMs: number;
 }
 
-/** Another entry. */
-export interface MemberLine {
+/** Another entry that is considered live. */
+export interface MemberStatus {
   readonly id: string;
   readonly region: string;
   readonly state: string;
 }
 
 /** An endpoint of the region. */
-export interface EndpointLine {
+export interface EndpointStatus {
   readonly id: string;
   readonly service: string;
   readonly state: string;
@@ -61,13 +61,13 @@
   readonly requests: number;
   readonly prefillTokens: number;
   readonly failureRate: number;
-  /** Whether it said itself that it leaves. */
+  /** Whether the endpoint announced that it is shutting down. */
   readonly leaving?: boolean | undefined;
-  /** Requests a second that it takes from all entries together. */
+  /** Requests per second that the endpoint accepts from all entries together. */
   readonly limitPerSecond?: number | undefined;
 }
 
-/** Collects the status. */
+/** Collects the status of an entry. */
 export function reportGateway(gateway: Gateway, now: Instant): GatewayStatus {
   const { self, fleet, catalogue, endpoints, calls, regions } = gateway;
   return {
@@ -100,13 +100,13 @@
       limitPerSecond: gateway.endpointTerms.limits.limitOf(state.record),
     })),
     shares: regions.shares.map(({ region, share }) => ({ region, share })),
-    held: gateway.quarantine.holds.list(now).map(heldLine),
+    held: gateway.quarantine.holds.list(now).map(heldRequestStatus),
   };
 }
 
-function heldLine(
+function heldRequestStatus(
   { content, caller, service, versions, term, remaining }: HoldNotice,
-): HeldLine {
+): HeldRequestStatus {
   return {
     digest: content,
     caller,
--- a/packages/daemon/src/gateway/terms_schema.ts
+++ b/packages/daemon/src/gateway/terms_schema.ts
@@ -1,5 +1,6 @@
 /**
- * Shape of datagrams about what endpoints state of themselves: lists whose items have fixed places.
+ * Format of the datagrams about the limits and departures that endpoints announce: arrays whose items are
+ * identified by position.
  *
  * @module
  */
@@ -7,29 +8,30 @@
 import { z } from "zod";
 import { life, list, number, text } from "../quarantine/index.ts";
 
-const rate = number.positive();
-const age = number.nonnegative();
-const notice = z.tuple([text, life, rate.nullable(), age]).transform(
-  ([endpoint, life, perSecond, age]) => ({
-    endpoint,
-    life,
-    perSecond: perSecond ?? undefined,
-    age,
-  }),
-);
+const rateSchema = number.positive();
+const ageSchema = number.nonnegative();
+const noticeSchema = z.tuple([text, life, rateSchema.nullable(), ageSchema])
+  .transform(
+    ([endpoint, life, perSecond, age]) => ({
+      endpoint,
+      life,
+      perSecond: perSecond ?? undefined,
+      age,
+    }),
+  );
 
-/** Notices, and questions for permits and their answers. */
-export const limitMessage = z.tuple([
+/** Schema of limit messages: notices of limits, requests for permits, and grants. */
+export const limitMessageSchema = z.tuple([
   z.enum(["notice", "ask", "grant"]),
   text,
-  list(notice),
+  list(noticeSchema),
 ]).transform(([kind, incarnation, notices]) => ({
   kind,
   incarnation,
   notices,
 }));
 
-/** The list that a message is sent as. */
+/** Encodes a limit message as an array. */
 export function encodeLimits(
   { kind, incarnation, notices }: LimitMessage,
 ): unknown[] {
@@ -45,16 +47,17 @@
   ];
 }
 
-const departure = z.tuple([text, life]).transform(
+const departureSchema = z.tuple([text, life]).transform(
   ([endpoint, life]) => ({ endpoint, life }),
 );
 
-/** Endpoints that leave. */
-export const departureMessage = z.tuple([text, list(departure)]).transform(
-  ([incarnation, departures]) => ({ incarnation, departures }),
-);
+/** Schema of the messages that name endpoints that are shutting down. */
+export const departureMessageSchema = z.tuple([text, list(departureSchema)])
+  .transform(
+    ([incarnation, departures]) => ({ incarnation, departures }),
+  );
 
-/** The list that a message is sent as. */
+/** Encodes a departure message as an array. */
 export function encodeDepartures(
   { incarnation, departures }: DepartureMessage,
 ): unknown[] {
--- a/playground/src/guards/route_guards.ts
+++ b/playground/src/guards/route_guards.ts
@@ -230,8 +230,8 @@
     point: "routes: whole answers",
     name: "a torn answer without a length is told from a whole one",
     file: `${SHELL}/connections.ts`,
-    find: "if (this.endsAnswer && isReset(socket)) {",
-    replace: "if (this.endsAnswer && socket.errored) {",
+    find: "if (this.closeDelimited && isReset(socket)) {",
+    replace: "if (this.closeDelimited && socket.errored) {",
   },
   {
     point: "routes: whole answers",
--- a/soak/src/guard_list.ts
+++ b/soak/src/guard_list.ts
@@ -64,7 +64,7 @@
     name: "an attempt that was left says nothing more",
     file: `${SHELL}/outbound_call.ts`,
     find: `  abort(): void {
-    if (this.#over) {`,
+    if (this.#finished) {`,
     replace: `  abort(): void {
     if (this.#attempt.id !== undefined) {`,
   },
@@ -87,8 +87,8 @@
     kinds: FAULTS,
     name: "a torn answer without a length is told from a whole one",
     file: `${SHELL}/connections.ts`,
-    find: "if (this.endsAnswer && isReset(socket)) {",
-    replace: "if (this.endsAnswer && socket.errored && isReset(socket)) {",
+    find: "if (this.closeDelimited && isReset(socket)) {",
+    replace: "if (this.closeDelimited && socket.errored && isReset(socket)) {",
   },
   {
     point: POINT,
@@ -97,7 +97,7 @@
     file: `${SHELL}/outbound_call.ts`,
     find: `    this.#controller?.abort(new Error("Attempt was given up"));
     this.#connection?.close();`,
-    replace: "    this.#giveBack();",
+    replace: "    this.#releaseConnection();",
   },
   {
     point: POINT,
