--- a/packages/daemon/src/gateway/__tests__/catalogue_copy.test.ts
+++ b/packages/daemon/src/gateway/__tests__/catalogue_copy.test.ts
@@ -2,7 +2,7 @@
 import type { AddressInfo } from "node:net";
 import { type GatewayEvent, milliseconds } from "@sassafrasstep/core";
 import { afterEach, describe, expect, it } from "vitest";
-import { CatalogueReader } from "../catalogue_runner.ts";
+import { CatalogueReader } from "../catalogue_reader.ts";
 import type { CatalogueSource } from "../protocol.ts";
 
 const CHUNK_INTERVAL_MS = 60;
--- a/packages/daemon/src/gateway/__tests__/connections.test.ts
+++ b/packages/daemon/src/gateway/__tests__/connection_pool.test.ts
@@ -4,7 +4,7 @@
   ConnectError,
   type Connection,
   ConnectionPool,
-} from "../connections.ts";
+} from "../connection_pool.ts";
 import { listenRaw, type RawEndpoint } from "./wire_fixture.ts";
 
 const NOW = instant(1_000);
--- a/packages/daemon/src/gateway/__tests__/event_cutter.test.ts
+++ b/packages/daemon/src/gateway/__tests__/event_splitter.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from "vitest";
-import { EventSplitter } from "../event_cutter.ts";
+import { EventSplitter } from "../event_splitter.ts";
 
 function feed(chunks: readonly string[]): { out: string; ids: unknown[] } {
   const cutter = new EventSplitter();
--- a/packages/daemon/src/gateway/__tests__/fingerprints.test.ts
+++ b/packages/daemon/src/gateway/__tests__/fingerprint_builder.test.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage } from "node:http";
 import type { Incarnation, RequestFingerprint } from "@sassafrasstep/core";
 import { describe, expect, it } from "vitest";
-import { FingerprintBuilder } from "../fingerprints.ts";
+import { FingerprintBuilder } from "../fingerprint_builder.ts";
 import { formatRelayHeader, parseRelayHeader } from "../relay_header.ts";
 
 function fingerprint(
--- a/packages/daemon/src/gateway/__tests__/outbound_call.test.ts
+++ b/packages/daemon/src/gateway/__tests__/outbound_call.test.ts
@@ -1,6 +1,6 @@
 import type { Socket } from "node:net";
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
-import { ConnectionPool } from "../connections.ts";
+import { ConnectionPool } from "../connection_pool.ts";
 import {
   attempt,
   endKindOf,
--- a/packages/daemon/src/gateway/__tests__/wire_fixture.ts
+++ b/packages/daemon/src/gateway/__tests__/wire_fixture.ts
@@ -23,7 +23,7 @@
   type RequestId,
 } from "@sassafrasstep/core";
 import type { AnswerSource } from "../answer_writer.ts";
-import { ConnectionPool } from "../connections.ts";
+import { ConnectionPool } from "../connection_pool.ts";
 import type { Exchange } from "../exchange.ts";
 import { OutboundCall } from "../outbound_call.ts";
 import type { EndpointProtocol } from "../protocol.ts";
--- a/packages/daemon/src/gateway/connections.ts
+++ b/packages/daemon/src/gateway/connection_pool.ts
@@ -6,7 +6,7 @@
 import { connect, type Socket } from "node:net";
 import { CONNECTION_LIMIT_REACHED, type Instant } from "@sassafrasstep/core";
 import { type buildConnector, Client } from "undici";
-import { PausableSocket } from "./endpoint_socket.ts";
+import { PausableSocket } from "./pausable_socket.ts";
 import { afterPoll } from "../timers/index.ts";
 import { isReset } from "../sockets/index.ts";
 
--- a/packages/daemon/src/gateway/event_passage.ts
+++ b/packages/daemon/src/gateway/event_stream_reader.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { type CompleteEvents, EventSplitter } from "./event_cutter.ts";
+import { type CompleteEvents, EventSplitter } from "./event_splitter.ts";
 
 /** An event is buffered until it is complete, so one that never ends would exhaust the memory. */
 const MAX_EVENT_BYTES = 1_048_576;
--- a/packages/daemon/src/gateway/exchange.ts
+++ b/packages/daemon/src/gateway/exchange.ts
@@ -12,7 +12,7 @@
 } from "@sassafrasstep/core";
 import { OFFERED_HEADER, VERDICT_HEADER } from "../callers/headers.ts";
 import { type AnswerSource, AnswerWriter } from "./answer_writer.ts";
-import { abortReply } from "./broken_reply.ts";
+import { abortReply } from "./abort_reply.ts";
 import type { CallerProtocol, RawHeaders } from "./protocol.ts";
 
 const NO_CONTENT_STATUSES: ReadonlySet<number> = new Set([204, 304]);
--- a/packages/daemon/src/gateway/gateway_entry.ts
+++ b/packages/daemon/src/gateway/gateway_entry.ts
@@ -23,9 +23,9 @@
 import type { Logger } from "../logs/index.ts";
 import type { GatewaySettings } from "../settings/index.ts";
 import { afterPoll, type Cancel, Suspensions } from "../timers/index.ts";
-import { CatalogueReader } from "./catalogue_runner.ts";
-import { ConnectionPool } from "./connections.ts";
-import { DatagramSocket } from "./datagrams.ts";
+import { CatalogueReader } from "./catalogue_reader.ts";
+import { ConnectionPool } from "./connection_pool.ts";
+import { DatagramSocket } from "./datagram_socket.ts";
 import type { Exchange } from "./exchange.ts";
 import { applyLimits, createIngress, type IngressOptions } from "./ingress.ts";
 import { readGauges } from "./gauges.ts";
@@ -50,7 +50,7 @@
 const SEED_LIMIT = 2 ** 32;
 
 /** Platform-specific parts of an entry. */
-export interface GatewayPlatform {
+export interface PlatformAdapter {
   readonly callers: CallerProtocol;
   readonly endpoints: EndpointProtocol;
   readonly source: CatalogueSource;
@@ -66,7 +66,7 @@
 /** A gateway entry: its servers, its calls and the loop that drives them. */
 export class GatewayEntry {
   readonly #settings: GatewaySettings;
-  readonly #platform: GatewayPlatform;
+  readonly #platform: PlatformAdapter;
   readonly #logger: Logger;
   readonly #gateway: Gateway;
   readonly #metrics = new GatewayMetrics();
@@ -92,7 +92,7 @@
 
   constructor(
     settings: GatewaySettings,
-    { platform, logger }: { platform: GatewayPlatform; logger: Logger },
+    { platform, logger }: { platform: PlatformAdapter; logger: Logger },
   ) {
     this.#settings = settings;
     this.#platform = platform;
--- a/packages/daemon/src/gateway/gauges.ts
+++ b/packages/daemon/src/gateway/gauges.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import { catalogueAge, type Gateway, type Instant } from "@sassafrasstep/core";
-import type { ConnectionPool } from "./connections.ts";
-import type { DatagramSocket } from "./datagrams.ts";
+import type { ConnectionPool } from "./connection_pool.ts";
+import type { DatagramSocket } from "./datagram_socket.ts";
 
 /** Reads all gauges, by metric name without the prefix. */
 export function readGauges(
--- a/packages/daemon/src/gateway/index.ts
+++ b/packages/daemon/src/gateway/index.ts
@@ -1,5 +1,8 @@
 export { encodeFleetMessage } from "./fleet_schema.ts";
-export { GatewayEntry, type GatewayPlatform } from "./gateway_entry.ts";
+export {
+  GatewayEntry,
+  type PlatformAdapter as PlatformAdapter,
+} from "./gateway_entry.ts";
 export { createGatewayClient } from "./gateway_router.ts";
 export * from "./protocol.ts";
 export type { GatewayStatus } from "./status.ts";
--- a/packages/daemon/src/gateway/ingress.ts
+++ b/packages/daemon/src/gateway/ingress.ts
@@ -20,7 +20,7 @@
 } from "@sassafrasstep/core";
 import { closeIdleAfterPoll } from "../timers/index.ts";
 import { Exchange } from "./exchange.ts";
-import { FingerprintBuilder } from "./fingerprints.ts";
+import { FingerprintBuilder } from "./fingerprint_builder.ts";
 import type { CallerProtocol } from "./protocol.ts";
 import { parseRelayHeader, RELAY_HEADER } from "./relay_header.ts";
 
--- a/packages/daemon/src/gateway/outbound_call.ts
+++ b/packages/daemon/src/gateway/outbound_call.ts
@@ -17,9 +17,9 @@
   ConnectError,
   type Connection,
   type ConnectionPool,
-} from "./connections.ts";
-import type { CompleteEvents } from "./event_cutter.ts";
-import { EventStreamReader } from "./event_passage.ts";
+} from "./connection_pool.ts";
+import type { CompleteEvents } from "./event_splitter.ts";
+import { EventStreamReader } from "./event_stream_reader.ts";
 import type { AnswerSource, AnswerWriter } from "./answer_writer.ts";
 import type { Exchange } from "./exchange.ts";
 import { afterPoll, type Cancel } from "../timers/index.ts";
--- a/packages/daemon/src/gateway/protocol.ts
+++ b/packages/daemon/src/gateway/protocol.ts
@@ -22,7 +22,7 @@
 export type RawHeaders = string[];
 
 /** What the headers of a caller's request state. */
-export type CallerHead = Omit<
+export type CallerRequestHead = Omit<
   CallHead,
   "id" | "bodyBytes" | "fingerprint" | "relay"
 >;
@@ -30,13 +30,13 @@
 /** Maps requests from callers and answers to them. */
 export interface CallerProtocol {
   /** Parses a request; returns `undefined` if it lacks what the platform requires. */
-  readHead(message: IncomingMessage): CallerHead | undefined;
+  readHead(message: IncomingMessage): CallerRequestHead | undefined;
   /** Returns the headers of a refusal by the entry itself. */
   refusalHeaders(refusal: CallRefusal): RawHeaders;
 }
 
 /** What an attempt adds to the headers of the caller. */
-export interface AttemptFacts {
+export interface AttemptDetails {
   readonly target: CallTarget;
   /** The customer that sent the request. Endpoints receive no other identification of the caller. */
   readonly customer: CustomerId | undefined;
@@ -45,7 +45,7 @@
 }
 
 /** The status and the parsed headers of an endpoint's answer. */
-export interface EndpointHead extends AnswerHead {
+export interface EndpointAnswerHead extends AnswerHead {
   /** Whether the answer belongs to the request that was sent. */
   readonly matches: boolean;
 }
@@ -53,19 +53,19 @@
 /** Maps requests to endpoints and their answers. */
 export interface EndpointProtocol {
   /** Returns the request headers for an endpoint, derived from those of the caller. */
-  requestHeaders(caller: RawHeaders, facts: AttemptFacts): RawHeaders;
+  requestHeaders(caller: RawHeaders, facts: AttemptDetails): RawHeaders;
   /** Parses the status and headers of an endpoint's answer. */
   readHead(
     status: number,
     headers: RawHeaders,
     sent: Pick<CallHead, "call">,
-  ): EndpointHead;
+  ): EndpointAnswerHead;
   /** Returns the answer headers for the caller, derived from those of the endpoint. */
   answerHeaders(endpoint: RawHeaders): RawHeaders;
 }
 
 /** The changes after a revision, or the notice that they have been compacted. */
-export type ChangesAnswer =
+export type ChangesResult =
   | {
     readonly kind: "changes";
     readonly changes: CatalogueChanges;
@@ -78,7 +78,7 @@
   };
 
 /** A position in the history of the catalogue. */
-export interface StatedPosition {
+export interface NewestPosition {
   readonly epoch?: CatalogueEpoch | undefined;
   readonly revision: Revision;
 }
@@ -91,8 +91,8 @@
   changes(
     after: Revision,
     limits: { wait: Milliseconds; timeout: Milliseconds },
-  ): Promise<ChangesAnswer>;
+  ): Promise<ChangesResult>;
   /** Reads the newest position. Unlike waiting for changes, this cannot miss a revision. */
-  newest(timeout: Milliseconds): Promise<StatedPosition>;
+  newest(timeout: Milliseconds): Promise<NewestPosition>;
   close(): Promise<void>;
 }
--- a/playground/src/guards/byte_guards.ts
+++ b/playground/src/guards/byte_guards.ts
@@ -22,14 +22,14 @@
   {
     point: POINT,
     name: "an answer that ends inside an event is not whole",
-    file: `${SHELL}/event_passage.ts`,
+    file: `${SHELL}/event_stream_reader.ts`,
     find: "if (this.#splitter.unfinishedBytes > 0) {",
     replace: "if (this.#splitter.unfinishedBytes < 0) {",
   },
   {
     point: POINT,
     name: "events whose lines end with carriage returns have an end",
-    file: `${SHELL}/event_cutter.ts`,
+    file: `${SHELL}/event_splitter.ts`,
     find:
       "const before = bytes[index - 1] === CARRIAGE_RETURN ? index - 2 : index - 1;",
     replace: "const before = index - 1;",
@@ -59,7 +59,7 @@
   {
     point: POINT,
     name: "an answer without a length that was reset is torn",
-    file: `${SHELL}/connections.ts`,
+    file: `${SHELL}/connection_pool.ts`,
     find: "if (this.closeDelimited && isReset(socket)) {",
     replace: "if (this.closeDelimited && socket.destroyed) {",
   },
@@ -74,14 +74,14 @@
   {
     point: POINT,
     name: "a stream does not go on with events that its caller has",
-    file: `${SHELL}/event_passage.ts`,
+    file: `${SHELL}/event_stream_reader.ts`,
     find: "if (this.#isRepeat(events?.firstId)) {",
     replace: "if (this.#isRepeat(undefined)) {",
   },
   {
     point: POINT,
     name: "an event has an end within bounds",
-    file: `${SHELL}/event_passage.ts`,
+    file: `${SHELL}/event_stream_reader.ts`,
     find: "this.#splitter.bufferedBytes > MAX_EVENT_BYTES",
     replace: "this.#splitter.bufferedBytes > Infinity",
   },
@@ -109,7 +109,7 @@
   {
     point: POINT,
     name: "an answer is broken off after what was written",
-    file: `${SHELL}/broken_reply.ts`,
+    file: `${SHELL}/abort_reply.ts`,
     find: "if (socket === null || !reply.headersSent) {",
     replace: "if (socket !== null || !reply.headersSent) {",
   },
--- a/playground/src/guards/route_guards.ts
+++ b/playground/src/guards/route_guards.ts
@@ -229,7 +229,7 @@
   {
     point: "routes: whole answers",
     name: "a torn answer without a length is told from a whole one",
-    file: `${SHELL}/connections.ts`,
+    file: `${SHELL}/connection_pool.ts`,
     find: "if (this.closeDelimited && isReset(socket)) {",
     replace: "if (this.closeDelimited && socket.errored) {",
   },
@@ -243,7 +243,7 @@
   {
     point: "routes: whole answers",
     name: "a torn event is kept back",
-    file: `${SHELL}/event_cutter.ts`,
+    file: `${SHELL}/event_splitter.ts`,
     find: "const end = lastBoundary(searched) - this.#tail.length;",
     replace: "const end = chunk.length;",
   },
