--- a/packages/daemon/src/entry/__tests__/entry_fixture.ts
+++ b/packages/daemon/src/entry/__tests__/entry_fixture.ts
@@ -1,5 +1,5 @@
 /**
- * A running entry whose endpoints say exactly the bytes that a test gives them.
+ * Runs entries whose endpoints answer with exactly the bytes that a test scripts.
  *
  * @module
  */
@@ -15,24 +15,27 @@
 import { Credentials, PEER_HEADER } from "../../peers/index.ts";
 import { parseSettings } from "../../settings/index.ts";
 import { Entry } from "../entry.ts";
-import { KeptLines, type Line } from "./kept_lines.ts";
+import { type LogLine, RecordingLogger } from "./kept_lines.ts";
 
-/** One attempt as an endpoint sees it. */
-export interface SeenAttempt {
-  /** Its id, which the frames of its answer carry. */
+/** An attempt as the endpoint receives it. */
+export interface ReceivedAttempt {
+  /** Attempt id, which every frame of the answer carries. */
   readonly id: string;
   /** 1 for the first attempt of its request. */
   readonly number: number;
-  /** First token that it asks for. */
+  /** Offset of the first token that the attempt requests. */
   readonly startAt: number;
 }
 
-/** Answers one attempt. */
-export type Script = (socket: Socket, attempt: SeenAttempt) => unknown;
+/** Writes an endpoint's answer to one attempt. */
+export type EndpointScript = (
+  socket: Socket,
+  attempt: ReceivedAttempt,
+) => unknown;
 
 const TOKEN = "fixture-token";
 const SECRET = "fixture-secret-0123456789";
-const REPORT = JSON.stringify({
+const LOAD_REPORT = JSON.stringify({
   running: 0,
   slots: 1_000,
   prefill_rate: 10_000,
@@ -40,8 +43,8 @@
   model: "small@v1",
 });
 const LOAD_ANSWER =
-  `HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: ${REPORT.length}\r\n\r\n${REPORT}`;
-const TEXT = `
+  `HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: ${LOAD_REPORT.length}\r\n\r\n${LOAD_REPORT}`;
+const CONFIGURATION = `
 [deployment]
 name = wire
 objective = tail
@@ -84,38 +87,38 @@
 requests_per_s = 100000
 `;
 
-/** Endpoints of each kind, and one entry or more before them. */
+/** Starts scripted endpoints, a stub platform and one or more entries, and sends them requests. */
 export class EntryFixture {
-  readonly #scripts = new Map<string, Script>();
+  readonly #scripts = new Map<string, EndpointScript>();
   readonly #endpoints: RawEndpoint[] = [];
-  readonly #logger = new KeptLines();
+  readonly #logger = new RecordingLogger();
   #platform!: Server;
   #platformUrl = "";
-  #cases = 0;
+  #scriptCount = 0;
   readonly #entries: Entry[] = [];
-  /** Callers' addresses of the entries. */
+  /** Caller URLs of the entries, in the order of their start. */
   readonly urls: string[] = [];
 
-  /** What the entry has logged. */
-  get lines(): readonly Line[] {
+  /** Info lines that the entries have logged. */
+  get lines(): readonly LogLine[] {
     return this.#logger.lines;
   }
 
-  /** Metrics of the first entry. */
+  /** Metrics of the first entry, in the Prometheus text format. */
   get metrics(): string {
     return this.#entries[0]!.prometheus();
   }
 
-  /** Starts the platform, so many endpoints of each pool, and entries that know all their loads. */
+  /** Starts the platform, the given number of endpoints per pool, and entries, and waits until all are ready. */
   async start(
     pools: Readonly<Record<string, number>>,
-    { entries = 1, farUrl }: {
+    { entries = 1, remoteUrl }: {
       entries?: number;
-      /** Puts all endpoints behind another entry, in another region, that tells this as its address. */
-      farUrl?: string;
+      /** Places all endpoints in another region, behind an extra entry that advertises this URL. */
+      remoteUrl?: string;
     } = {},
   ): Promise<void> {
-    const region = farUrl === undefined ? "north" : "south";
+    const region = remoteUrl === undefined ? "north" : "south";
     const vms: { id: string }[] = [];
     for (const [pool, count] of Object.entries(pools)) {
       for (let index = 0; index < count; index++) {
@@ -125,8 +128,15 @@
         this.#endpoints.push(endpoint);
         const url = `http://${endpoint.address}`;
         const id = `${pool}-${index}`;
-        const place = { zone: `${region}-a`, region };
-        const vm = { id, role: "endpoint", pool, url, state: "live", ...place };
+        const location = { zone: `${region}-a`, region };
+        const vm = {
+          id,
+          role: "endpoint",
+          pool,
+          url,
+          state: "live",
+          ...location,
+        };
         vms.push(vm);
       }
     }
@@ -134,15 +144,15 @@
     for (let number = 1; number <= entries; number++) {
       await this.#startEntry({ number });
     }
-    if (farUrl !== undefined) {
-      await this.#startEntry({ number: entries + 1, farUrl });
+    if (remoteUrl !== undefined) {
+      await this.#startEntry({ number: entries + 1, remoteUrl });
     }
     await waitUntil(() =>
       this.#entries.every((entry, index) => {
         const { endpoints, phase, members } = entry.status();
         const known = endpoints.filter(({ state }) => state === "live").length;
-        const isFar = index >= entries;
-        const knowsAll = farUrl === undefined || isFar
+        const isRemote = index >= entries;
+        const knowsAll = remoteUrl === undefined || isRemote
           ? known === vms.length
           : members.some(({ health }) => health === "live");
         return phase === "ready" && knowsAll;
@@ -158,45 +168,45 @@
     this.#platform.close();
   }
 
-  /** Sets how endpoints answer a request, and names it: the name goes into its body. */
-  script(script: Script): string {
-    this.#cases++;
-    const name = `case-${this.#cases}-`;
+  /** Registers a script and returns its name; a request whose body contains the name is answered by it. */
+  script(script: EndpointScript): string {
+    this.#scriptCount++;
+    const name = `case-${this.#scriptCount}-`;
     this.#scripts.set(name, script);
     return name;
   }
 
-  /** Asks for a chat completion, and reads the answer to its end or break. */
+  /** Sends a chat completion request and reads the answer until it ends or breaks. */
   async chat(
-    script: Script,
-    { stream = true, headers = {}, entry = 0, named }: {
-      /** Is told the name that stands in the body, before it is sent. */
-      named?: (name: string) => void;
+    script: EndpointScript,
+    { stream = true, headers = {}, entry = 0, onName }: {
+      /** Receives the script's name before the request is sent. */
+      onName?: (name: string) => void;
       stream?: boolean;
       headers?: Record<string, string>;
-      /** Which one is asked. */
+      /** Index of the entry that receives the request. */
       entry?: number;
     } = {},
   ): Promise<CallerAnswer> {
     const content = this.script(script);
-    named?.(content);
+    onName?.(content);
     return await this.#send(`${this.urls[entry]}/v1/chat/completions`, {
       headers,
       body: JSON.stringify({ stream, messages: [{ role: "user", content }] }),
     });
   }
 
-  /** Calls a plain service. */
+  /** Calls a plain service and answers it by the script. */
   async plain(
     service: "notes" | "badges",
-    script: Script,
+    script: EndpointScript,
     headers: Record<string, string> = {},
   ): Promise<CallerAnswer> {
-    return await this.plainAgain(service, this.script(script), headers);
+    return await this.plainWithBody(service, this.script(script), headers);
   }
 
-  /** Calls a plain service with a body that a script was set for. */
-  async plainAgain(
+  /** Calls a plain service with a body that names an already registered script. */
+  async plainWithBody(
     service: "notes" | "badges",
     body: string,
     headers: Record<string, string>,
@@ -207,7 +217,7 @@
     });
   }
 
-  /** An idempotency key that this entry owns. */
+  /** Returns an idempotency key that the first entry owns. */
   async newKey(name: string): Promise<string> {
     const { body } = await request(`${this.urls[0]}/v1/entries`, {
       headers: { authorization: `Bearer ${TOKEN}` },
@@ -218,7 +228,7 @@
     return `${entries[0]!.owner_token}.${name.padEnd(8, "x")}`;
   }
 
-  /** Headers by which an entry passes a request on. */
+  /** Returns the headers with which a peer forwards a request. */
   peerHeaders(id: string, startAt: number): Record<string, string> {
     return {
       [PEER_HEADER]: new Credentials(SECRET, "wire").prove(),
@@ -258,7 +268,7 @@
   }
 
   #answer(socket: Socket, text: string): void {
-    // What a test writes is on its way when the test goes on.
+    // Sends each write at once, so that its bytes have left when the script continues.
     socket.setNoDelay(true);
     if (text.startsWith("GET /v1/load")) {
       socket.write(LOAD_ANSWER);
@@ -289,7 +299,7 @@
         reply.end(vms);
       } else if (!url.searchParams.has("wait_ms")) {
         reply.setHeader("x-revision", "1");
-        reply.end(TEXT);
+        reply.end(CONFIGURATION);
       }
     });
     await new Promise<void>((resolve) =>
@@ -300,9 +310,9 @@
   }
 
   async #startEntry(
-    { number, farUrl }: { number: number; farUrl?: string },
+    { number, remoteUrl }: { number: number; remoteUrl?: string },
   ): Promise<void> {
-    const region = farUrl === undefined ? "north" : "south";
+    const region = remoteUrl === undefined ? "north" : "south";
     const seeds = this.lines.filter(({ text }) => text.endsWith("Listening."))
       .map(({ fields }) => fields["localControlUrl"]);
     const parsed = parseSettings(`
@@ -314,13 +324,13 @@
 listen = 127.0.0.1:0
 control = 127.0.0.1:0
 secret = ${SECRET}
-${farUrl === undefined ? "" : `advertised_url = ${farUrl}`}
+${remoteUrl === undefined ? "" : `advertised_url = ${remoteUrl}`}
 
 [platform]
 configuration_url = ${this.#platformUrl}
 vm_list_url = ${this.#platformUrl}
 ${
-      farUrl === undefined ? "" : `
+      remoteUrl === undefined ? "" : `
 [peers]
 seeds = ${seeds.join(", ")}
 `
@@ -341,16 +351,16 @@
   }
 }
 
-/** What a caller got. */
+/** The answer that a caller received. */
 export interface CallerAnswer {
   readonly status: number;
   readonly header: (name: string) => string;
   readonly text: string;
-  /** Whether the connection broke before the answer's end. */
+  /** Whether the connection broke before the answer was complete. */
   readonly broken: boolean;
 }
 
-/** Waits for a condition, looking often. */
+/** Polls a condition until it holds, and throws after the timeout. */
 export async function waitUntil(
   condition: () => boolean,
   timeoutMs = 20_000,
@@ -358,7 +368,7 @@
   const until = performance.now() + timeoutMs;
   while (!condition()) {
     if (performance.now() > until) {
-      throw new Error("The condition did not come about");
+      throw new Error(`The condition did not hold within ${timeoutMs} ms`);
     }
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
--- a/packages/daemon/src/entry/__tests__/kept_lines.ts
+++ b/packages/daemon/src/entry/__tests__/kept_lines.ts
@@ -1,19 +1,19 @@
 /**
- * Log lines that a test keeps.
+ * A logger that records lines for tests.
  *
  * @module
  */
 import { Logger } from "../../logs/index.ts";
 
-/** A log line of the entry. */
-export interface Line {
+/** A recorded log line. */
+export interface LogLine {
   readonly text: string;
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** Keeps the lines that an entry logs. */
-export class KeptLines extends Logger {
-  readonly lines: Line[] = [];
+/** Records info lines instead of writing them. */
+export class RecordingLogger extends Logger {
+  readonly lines: LogLine[] = [];
 
   constructor() {
     super("silent", {});
--- a/packages/daemon/src/entry/__tests__/large_answers.test.ts
+++ b/packages/daemon/src/entry/__tests__/large_answers.test.ts
@@ -1,31 +1,32 @@
 import { afterAll, beforeAll, describe, expect, it } from "vitest";
-import { EntryFixture, type Script } from "./entry_fixture.ts";
+import { type EndpointScript, EntryFixture } from "./entry_fixture.ts";
 
-/** More than an entry holds of one answer. */
-const BYTES = 5_000_000;
-const TOKEN = "x".repeat(50_000);
+/** Exceeds the largest answer that an entry buffers. */
+const ANSWER_BYTES = 5_000_000;
+const LARGE_TOKEN = "x".repeat(50_000);
 
-describe("an answer that is larger than an entry holds", () => {
+describe("an answer that is too large to be buffered", () => {
   const fixture = new EntryFixture();
   let runs = 0;
 
-  // Such an answer was taken for one that its endpoint had broken off: it was asked for again at other
-  // endpoints, each became suspect for it, and a call that had run was told as one that may have.
-  const large: Script = (socket) => {
+  // Guards against treating such an answer as one that the endpoint broke off: the request was retried at
+  // other endpoints, each of them became suspect, and the caller was told "may_have_run" for a call that
+  // had run.
+  const writeLargeAnswer: EndpointScript = (socket) => {
     runs++;
     socket.end(
-      `HTTP/1.1 200 OK\r\ncontent-length: ${BYTES}\r\nconnection: close\r\n\r\n${
-        "x".repeat(BYTES)
+      `HTTP/1.1 200 OK\r\ncontent-length: ${ANSWER_BYTES}\r\nconnection: close\r\n\r\n${
+        "x".repeat(ANSWER_BYTES)
       }`,
     );
   };
-  const longStream: Script = (socket, { id }) => {
+  const writeLargeStream: EndpointScript = (socket, { id }) => {
     runs++;
-    const tokens = BYTES / TOKEN.length;
+    const tokens = ANSWER_BYTES / LARGE_TOKEN.length;
     const frames = Array.from({ length: tokens }, (_, offset) => ({
       id,
       offset,
-      token: TOKEN,
+      token: LARGE_TOKEN,
     }));
     const end = { id, offset: tokens, done: true };
     socket.end(
@@ -43,25 +44,27 @@
     await fixture.stop();
   });
 
-  it("is told so again to a later send of its key", async () => {
+  it("gets the verdict ran again when its key is sent again", async () => {
     const headers = { "idempotency-key": await fixture.newKey("again") };
-    const call = fixture.script(large);
+    const call = fixture.script(writeLargeAnswer);
     const answers = [
-      await fixture.plainAgain("badges", call, headers),
-      await fixture.plainAgain("badges", call, headers),
+      await fixture.plainWithBody("badges", call, headers),
+      await fixture.plainWithBody("badges", call, headers),
     ];
     expect(answers.map(({ header }) => header("sassafrasstep-verdict")))
       .toEqual(["ran", "ran"]);
   });
 
-  async function ask(what: string): Promise<{ verdict: string; body: string }> {
-    const key = await fixture.newKey(`key${what}`);
+  async function sendRequest(
+    kind: string,
+  ): Promise<{ verdict: string; body: string }> {
+    const key = await fixture.newKey(`key${kind}`);
     const headers = { "idempotency-key": key };
-    const answer = what === "chat"
-      ? await fixture.chat(longStream, { stream: false })
-      : what === "notes"
-      ? await fixture.plain("notes", large)
-      : await fixture.plain("badges", large, headers);
+    const answer = kind === "chat"
+      ? await fixture.chat(writeLargeStream, { stream: false })
+      : kind === "notes"
+      ? await fixture.plain("notes", writeLargeAnswer)
+      : await fixture.plain("badges", writeLargeAnswer, headers);
     return {
       verdict: answer.header("sassafrasstep-verdict"),
       body: answer.text,
@@ -69,10 +72,10 @@
   }
 
   it.each(["chat", "notes", "badges"])(
-    "ran once, and nobody is blamed: %s",
-    async (what) => {
+    "has run once, and no endpoint becomes suspect: %s",
+    async (kind) => {
       runs = 0;
-      const { verdict, body } = await ask(what);
+      const { verdict, body } = await sendRequest(kind);
       expect(JSON.parse(body)).toMatchObject({ reason: "answer_not_kept" });
       expect(verdict).toBe("ran");
       expect(runs).toBe(1);
--- a/packages/daemon/src/entry/__tests__/plain_answers.test.ts
+++ b/packages/daemon/src/entry/__tests__/plain_answers.test.ts
@@ -1,26 +1,26 @@
 import type { Socket } from "node:net";
 import { afterAll, beforeAll, describe, expect, it } from "vitest";
-import { EntryFixture, type Script } from "./entry_fixture.ts";
+import { type EndpointScript, EntryFixture } from "./entry_fixture.ts";
 
-const WHOLE = '{"ticket":4711}';
+const BODY = '{"ticket":4711}';
 const HEAD = "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n";
 const FRAMINGS: Readonly<Record<string, string>> = {
-  "with a length": `${HEAD}content-length: ${WHOLE.length}\r\n\r\n${WHOLE}`,
+  "with a length": `${HEAD}content-length: ${BODY.length}\r\n\r\n${BODY}`,
   "with a length, closing":
-    `${HEAD}connection: close\r\ncontent-length: ${WHOLE.length}\r\n\r\n${WHOLE}`,
+    `${HEAD}connection: close\r\ncontent-length: ${BODY.length}\r\n\r\n${BODY}`,
   chunked: `${HEAD}transfer-encoding: chunked\r\n\r\n7\r\n${
-    WHOLE.slice(0, 7)
-  }\r\n8\r\n${WHOLE.slice(7)}\r\n0\r\n\r\n`,
+    BODY.slice(0, 7)
+  }\r\n8\r\n${BODY.slice(7)}\r\n0\r\n\r\n`,
   "chunked, closing":
     `${HEAD}connection: close\r\ntransfer-encoding: chunked\r\n\r\n7\r\n${
-      WHOLE.slice(0, 7)
-    }\r\n8\r\n${WHOLE.slice(7)}\r\n0\r\n\r\n`,
-  "without a length": `${HEAD}\r\n${WHOLE}`,
-  "without a length, closing": `${HEAD}connection: close\r\n\r\n${WHOLE}`,
+      BODY.slice(0, 7)
+    }\r\n8\r\n${BODY.slice(7)}\r\n0\r\n\r\n`,
+  "without a length": `${HEAD}\r\n${BODY}`,
+  "without a length, closing": `${HEAD}connection: close\r\n\r\n${BODY}`,
 };
-/** Ways in which a connection stops. */
-const STOPS: Readonly<Record<string, (socket: Socket) => void>> = {
-  "closed in order": (socket) => socket.end(),
+/** Ways in which a connection ends. */
+const CONNECTION_ENDS: Readonly<Record<string, (socket: Socket) => void>> = {
+  "closed normally": (socket) => socket.end(),
   "reset at once": (socket) => socket.resetAndDestroy(),
   "reset later": (socket) => setTimeout(() => socket.resetAndDestroy(), 5),
 };
@@ -29,7 +29,7 @@
   return !framing.startsWith("without");
 }
 
-describe("plain answers that stop", () => {
+describe("plain answers that are cut off", () => {
   const fixture = new EntryFixture();
 
   beforeAll(async () => {
@@ -39,72 +39,80 @@
     await fixture.stop();
   });
 
-  // A plain answer without a length was torn by a reset of its connection, and the caller got the part
-  // as a whole answer with "ran". The client library takes ECONNRESET for the end of such an answer.
-  // Here each answer is cut at each of its bytes; the call may not be repeated, so that there is only
-  // the whole answer or a refusal that says "may_have_run".
+  // Guards against a truncated answer that counts as complete. When a reset cut off a plain answer without a
+  // length, the caller got the part with the verdict "ran", since the client library takes ECONNRESET for
+  // the end of such an answer. These tests cut each answer at each byte. The call must not be repeated, so
+  // the caller gets either the complete answer or a refusal with "may_have_run".
   for (const [framing, bytes] of Object.entries(FRAMINGS)) {
     describe(framing, () => {
-      it.each(Object.keys(STOPS))("%s, at each byte", async (stop) => {
-        const key = await fixture.newKey(
-          `${framing}${stop}`.replace(/\W/g, ""),
-        );
-        const bad: string[] = [];
-        await Promise.all(
-          Array.from({ length: bytes.length + 1 }, async (_, cut) => {
-            const script: Script = (socket) =>
-              socket.write(bytes.slice(0, cut), () => STOPS[stop]!(socket));
-            const answer = await fixture.plain("badges", script, {
-              "idempotency-key": `${key}${cut}`,
-            });
-            const closesInOrder = stop === "closed in order";
-            const mayEndHere = !isFramed(framing) && closesInOrder &&
-              cut >= bytes.length - WHOLE.length;
-            const mustBeWhole = isFramed(framing) && cut === bytes.length;
-            const verdict = answer.header("sassafrasstep-verdict");
-            const whole = answer.status === 200 && answer.text === WHOLE;
-            const refused = answer.status >= 500 &&
-              verdict.startsWith("may_have_run");
-            const part = mayEndHere && answer.status === 200;
-            if (!(whole || part || (refused && !mustBeWhole))) {
-              bad.push(`${cut}: ${answer.status} ${verdict} ${answer.text}`);
-            }
-          }),
-        );
-        expect(bad).toEqual([]);
-      });
+      it.each(Object.keys(CONNECTION_ENDS))(
+        "%s, cut at each byte",
+        async (stop) => {
+          const key = await fixture.newKey(
+            `${framing}${stop}`.replace(/\W/g, ""),
+          );
+          const violations: string[] = [];
+          await Promise.all(
+            Array.from({ length: bytes.length + 1 }, async (_, cut) => {
+              const script: EndpointScript = (socket) =>
+                socket.write(
+                  bytes.slice(0, cut),
+                  () => CONNECTION_ENDS[stop]!(socket),
+                );
+              const answer = await fixture.plain("badges", script, {
+                "idempotency-key": `${key}${cut}`,
+              });
+              const closesNormally = stop === "closed normally";
+              const mayBePartial = !isFramed(framing) && closesNormally &&
+                cut >= bytes.length - BODY.length;
+              const mustBeWhole = isFramed(framing) && cut === bytes.length;
+              const verdict = answer.header("sassafrasstep-verdict");
+              const whole = answer.status === 200 && answer.text === BODY;
+              const refused = answer.status >= 500 &&
+                verdict.startsWith("may_have_run");
+              const part = mayBePartial && answer.status === 200;
+              if (!(whole || part || (refused && !mustBeWhole))) {
+                violations.push(
+                  `${cut}: ${answer.status} ${verdict} ${answer.text}`,
+                );
+              }
+            }),
+          );
+          expect(violations).toEqual([]);
+        },
+      );
     });
   }
 
-  describe("on a kept connection", () => {
+  describe("on a kept-alive connection", () => {
     const own = `${HEAD}content-length: 3\r\n\r\nown`;
-    let said: Promise<void> | undefined;
+    let written: Promise<void> | undefined;
     const later = async (say: () => unknown): Promise<void> => {
       await new Promise((resolve) => setTimeout(resolve, 5));
       say();
     };
-    const stray = `${HEAD}content-length: 5\r\n\r\nstray`;
+    const strayAnswer = `${HEAD}content-length: 5\r\n\r\nstray`;
 
-    // Bytes that nobody asked for lie on the connection that the next call takes. A plain answer names no
-    // request, so that they would be its answer. (Those that come once the next call is written can't be
-    // told from its answer by anybody.)
-    const befores: [string, Script][] = [
-      ["two answers at once", (socket) => socket.write(own + stray)],
+    // Unsolicited bytes are waiting on the connection that the next call uses. A plain answer does not name
+    // its request, so the call would take them for its own answer. (Bytes that arrive after the next call
+    // was written cannot be told from its answer.)
+    const precedingScripts: [string, EndpointScript][] = [
+      ["two answers at once", (socket) => socket.write(own + strayAnswer)],
       ["another answer a moment later", (socket) => {
         socket.write(own);
-        said = later(() => socket.write(stray));
+        written = later(() => socket.write(strayAnswer));
       }],
       ["another answer and an end", (socket) => {
         socket.write(own);
-        said = later(() => socket.end(stray));
+        written = later(() => socket.end(strayAnswer));
       }],
       [
         "half an answer more",
-        (socket) => socket.write(own + stray.slice(0, 40)),
+        (socket) => socket.write(own + strayAnswer.slice(0, 40)),
       ],
       ["a timeout of its own", (socket) => {
         socket.write(own);
-        said = later(() =>
+        written = later(() =>
           socket.end(
             "HTTP/1.1 408 Request Timeout\r\nconnection: close\r\n\r\n",
           )
@@ -120,24 +128,27 @@
         )],
     ];
 
-    it.each(befores)("is its own call's: %s before it", async (_, before) => {
-      const body = "its own";
-      const whole = `${HEAD}content-length: ${body.length}\r\n\r\n${body}`;
-      for (let round = 0; round < 8; round++) {
-        const first = await fixture.plain("notes", before);
-        expect(first).toMatchObject({ status: 200, text: "own" });
-        await said;
-        const next = await fixture.plain(
-          "notes",
-          (socket) => socket.write(whole),
-        );
-        expect(next).toMatchObject({ status: 200, text: body });
-      }
-    });
+    it.each(precedingScripts)(
+      "belongs to its own call after %s",
+      async (_, before) => {
+        const body = "its own";
+        const whole = `${HEAD}content-length: ${body.length}\r\n\r\n${body}`;
+        for (let round = 0; round < 8; round++) {
+          const first = await fixture.plain("notes", before);
+          expect(first).toMatchObject({ status: 200, text: "own" });
+          await written;
+          const next = await fixture.plain(
+            "notes",
+            (socket) => socket.write(whole),
+          );
+          expect(next).toMatchObject({ status: 200, text: body });
+        }
+      },
+    );
 
-    it("is its own call's after one whose time ran out", async () => {
-      const late: Script = (socket) =>
-        setTimeout(() => socket.write(stray), 150);
+    it("belongs to its own call after a call that timed out", async () => {
+      const late: EndpointScript = (socket) =>
+        setTimeout(() => socket.write(strayAnswer), 150);
       const first = await fixture.plain("notes", late, {
         "sassafrasstep-deadline-ms": "100",
       });
--- a/packages/daemon/src/entry/__tests__/relayed_streams.test.ts
+++ b/packages/daemon/src/entry/__tests__/relayed_streams.test.ts
@@ -1,29 +1,29 @@
 import { connect, createServer, type Server, type Socket } from "node:net";
 import type { AddressInfo } from "node:net";
 import { afterAll, beforeAll, describe, expect, it } from "vitest";
-import { EntryFixture, type Script } from "./entry_fixture.ts";
+import { type EndpointScript, EntryFixture } from "./entry_fixture.ts";
 import {
+  classifyAnswer,
+  classifyWholeAnswer,
   framesOf,
-  judge,
-  judgeHeld,
   responseOf,
-  WRITINGS,
+  STREAM_ENCODINGS,
 } from "./stream_fixture.ts";
 
-/** Every which byte is tried; 1 by hand. */
-const STRIDE = Number(process.env["WIRE_STRIDE"] ?? 13);
-/** More than an answer has. */
-const LONGEST = 1_100;
-const AT_ONCE = 20;
+/** Distance between the bytes at which the answer is cut; 1 tries every byte. */
+const STRIDE_BYTES = Number(process.env["WIRE_STRIDE"] ?? 13);
+/** Upper bound of an answer's length, in bytes. */
+const MAX_ANSWER_BYTES = 1_100;
+const CONCURRENCY = 20;
 
-/** A link to another entry that is cut after so many bytes of an answer. */
-class CutLink {
+/** A TCP proxy to another entry that cuts answers after a given number of bytes. */
+class CuttingProxy {
   readonly #cuts = new Map<string, { after: number; reset: boolean }>();
   readonly #server: Server;
   target = "";
 
   constructor() {
-    this.#server = createServer((near) => this.#join(near));
+    this.#server = createServer((client) => this.#pipe(client));
   }
 
   async listen(): Promise<string> {
@@ -37,97 +37,108 @@
     this.#server.close();
   }
 
-  /** Cuts the answer to the request that has this name in its body. */
+  /** Cuts the answer to the request whose body contains this script name. */
   cut(name: string, how: { after: number; reset: boolean }): void {
     this.#cuts.set(name, how);
   }
 
-  #join(near: Socket): void {
-    const far = connect(Number(new URL(this.target).port), "127.0.0.1");
+  #pipe(client: Socket): void {
+    const upstream = connect(Number(new URL(this.target).port), "127.0.0.1");
     let cut: { after: number; reset: boolean } | undefined;
-    let passed = 0;
-    near.on("data", (bytes) => {
+    let forwardedBytes = 0;
+    client.on("data", (bytes) => {
       const name = /case-\d+-/.exec(bytes.toString("latin1"))?.[0];
       if (name !== undefined) {
         cut = this.#cuts.get(name);
-        passed = 0;
+        forwardedBytes = 0;
       }
-      far.write(bytes);
+      upstream.write(bytes);
     });
-    far.on("data", (bytes) => {
-      const rest = (cut?.after ?? Infinity) - passed;
-      passed += bytes.length;
-      near.write(bytes.subarray(0, Math.max(0, rest)));
-      if (passed >= (cut?.after ?? Infinity)) {
-        far.destroy();
-        cut!.reset ? near.resetAndDestroy() : near.end();
+    upstream.on("data", (bytes) => {
+      const remainingBytes = (cut?.after ?? Infinity) - forwardedBytes;
+      forwardedBytes += bytes.length;
+      client.write(bytes.subarray(0, Math.max(0, remainingBytes)));
+      if (forwardedBytes >= (cut?.after ?? Infinity)) {
+        upstream.destroy();
+        cut!.reset ? client.resetAndDestroy() : client.end();
       }
     });
-    for (const [one, other] of [[near, far], [far, near]] as const) {
-      one.on("error", () => other.destroy());
-      one.on("close", () => other.end());
+    for (
+      const [source, destination] of [[client, upstream], [
+        upstream,
+        client,
+      ]] as const
+    ) {
+      source.on("error", () => destination.destroy());
+      source.on("close", () => destination.end());
     }
   }
 }
 
-describe("a stream by way of another entry", () => {
+describe("a stream that is relayed by another entry", () => {
   const fixture = new EntryFixture();
-  const link = new CutLink();
+  const proxy = new CuttingProxy();
 
   beforeAll(async () => {
-    const farUrl = await link.listen();
-    await fixture.start({ pool: 2 }, { farUrl });
-    link.target = fixture.urls[1]!;
-    // The other region's capacity is known with its next heartbeats.
+    const remoteUrl = await proxy.listen();
+    await fixture.start({ pool: 2 }, { remoteUrl });
+    proxy.target = fixture.urls[1]!;
+    // The first entry learns the other region's capacity from heartbeats.
     let status = 0;
     while (status !== 200) {
-      ({ status } = await fixture.chat(whole));
+      ({ status } = await fixture.chat(writeWhole));
     }
   });
   afterAll(async () => {
-    link.close();
+    proxy.close();
     await fixture.stop();
   });
 
-  const whole: Script = (socket, attempt) =>
-    socket.write(responseOf(framesOf(attempt), WRITINGS[0]!).bytes);
+  const writeWhole: EndpointScript = (socket, attempt) =>
+    socket.write(responseOf(framesOf(attempt), STREAM_ENCODINGS[0]!).bytes);
 
-  // The link between two entries is cut at each byte of an answer, streamed or held until whole; there is
-  // no engine in the caller's region to go on at. The caller gets all, or a part that ends in sight.
+  // The link between two entries is cut at bytes all over an answer, streamed or buffered. The caller's
+  // region has no engine to resume at. The caller gets the complete answer or a part with a visible error.
   it.each([
     [true, true],
     [true, false],
     [false, true],
     [false, false],
   ])(
-    "is whole or ends in sight, stream %s, reset %s",
+    "is complete or ends with a visible error, stream %s, reset %s",
     async (stream, reset) => {
-      const bad: string[] = [];
-      const seen = new Set<string>();
+      const violations: string[] = [];
+      const outcomes = new Set<string>();
       const tryCut = async (after: number): Promise<void> => {
-        let named = false;
-        const answer = await fixture.chat(whole, {
+        let hasName = false;
+        const answer = await fixture.chat(writeWhole, {
           stream,
-          named: (name) => {
-            named = true;
-            link.cut(name, { after, reset });
+          onName: (name) => {
+            hasName = true;
+            proxy.cut(name, { after, reset });
           },
         });
-        const verdict = stream ? judge(answer) : judgeHeld(answer);
-        seen.add(verdict);
-        if (!named || verdict.startsWith("bad")) {
-          bad.push(`${after}: ${verdict}`);
+        const outcome = stream
+          ? classifyAnswer(answer)
+          : classifyWholeAnswer(answer);
+        outcomes.add(outcome);
+        if (!hasName || outcome.startsWith("bad")) {
+          violations.push(`${after}: ${outcome}`);
         }
       };
-      for (let after = 1; after < LONGEST; after += STRIDE * AT_ONCE) {
+      for (
+        let after = 1;
+        after < MAX_ANSWER_BYTES;
+        after += STRIDE_BYTES * CONCURRENCY
+      ) {
         const cuts = Array.from(
-          { length: AT_ONCE },
-          (_, index) => after + index * STRIDE,
+          { length: CONCURRENCY },
+          (_, index) => after + index * STRIDE_BYTES,
         );
         await Promise.all(cuts.map(tryCut));
       }
-      expect(bad).toEqual([]);
-      expect([...seen].sort()).toEqual(
+      expect(violations).toEqual([]);
+      expect([...outcomes].sort()).toEqual(
         stream ? ["broken", "refused", "whole"] : ["refused", "whole"],
       );
     },
--- a/packages/daemon/src/entry/__tests__/stream_breaks.test.ts
+++ b/packages/daemon/src/entry/__tests__/stream_breaks.test.ts
@@ -1,19 +1,19 @@
 import { afterAll, beforeAll, describe, expect, it } from "vitest";
-import { EntryFixture, type Script } from "./entry_fixture.ts";
+import { type EndpointScript, EntryFixture } from "./entry_fixture.ts";
 import {
+  classifyAnswer,
+  CONNECTION_ENDS,
   framesOf,
-  judge,
   responseOf,
-  STOPS,
+  STREAM_ENCODINGS,
   writePieces,
-  WRITINGS,
 } from "./stream_fixture.ts";
 
-/** Of the bytes of a stream, every which one is tried; 1 by hand. */
-const STRIDE = Number(process.env["WIRE_STRIDE"] ?? 53);
-const AT_ONCE = 40;
+/** Distance between the bytes at which a stream is cut; 1 tries every byte. */
+const STRIDE_BYTES = Number(process.env["WIRE_STRIDE"] ?? 53);
+const CONCURRENCY = 40;
 
-describe("a stream that stops", () => {
+describe("a stream that is cut off", () => {
   const fixture = new EntryFixture();
 
   beforeAll(async () => {
@@ -23,47 +23,57 @@
     await fixture.stop();
   });
 
-  // Callers of the other interface got events that were joined out of two runs, where the first stopped in
-  // the middle of one. Here a stream stops at each of its bytes, twice in one answer, and goes on; the
-  // caller gets what one run makes, byte by byte, or is told.
-  describe.each(WRITINGS)(
-    "written $framing, $newline, chatty $chatty",
-    (writing) => {
-      it.each(Object.keys(STOPS))("%s, at each byte", async (stop) => {
-        const { bytes, firstEventEnds } = responseOf(
-          framesOf({ id: "n1-0000-00.1", number: 1, startAt: 0 }),
-          writing,
-        );
-        const bad: string[] = [];
-        const tryCut = async (cut: number): Promise<void> => {
-          const size = [1, 3, 50, Infinity][cut % 4]!;
-          const script: Script = async (socket, attempt) => {
-            const whole = responseOf(framesOf(attempt), writing).bytes;
-            const upTo = [cut, (cut * 31) % whole.length][attempt.number - 1];
-            await writePieces(socket, whole.subarray(0, upTo), size);
-            if (upTo !== undefined || writing.framing === "closing") {
-              STOPS[upTo === undefined ? "closed" : stop]!(socket);
+  // Guards against events that are joined from two runs. It happened on the gateway's interface where the
+  // first run stopped in the middle of an event. These tests cut a stream at bytes all over it, twice in one
+  // answer, and resume it; the caller gets exactly the bytes of one run, or an error.
+  describe.each(STREAM_ENCODINGS)(
+    "encoded $framing, $newline, extra fields $extras",
+    (encoding) => {
+      it.each(Object.keys(CONNECTION_ENDS))(
+        "%s, cut at each byte",
+        async (stop) => {
+          const { bytes, firstEventEnd } = responseOf(
+            framesOf({ id: "n1-0000-00.1", number: 1, startAt: 0 }),
+            encoding,
+          );
+          const violations: string[] = [];
+          const tryCut = async (cut: number): Promise<void> => {
+            const size = [1, 3, 50, Infinity][cut % 4]!;
+            const script: EndpointScript = async (socket, attempt) => {
+              const whole = responseOf(framesOf(attempt), encoding).bytes;
+              const cutAt =
+                [cut, (cut * 31) % whole.length][attempt.number - 1];
+              await writePieces(socket, whole.subarray(0, cutAt), size);
+              if (cutAt !== undefined || encoding.framing === "closing") {
+                CONNECTION_ENDS[cutAt === undefined ? "closed" : stop]!(socket);
+              }
+            };
+            const outcome = classifyAnswer(await fixture.chat(script));
+            // A reset may overtake the first event. The margin covers ids that are longer than the measured one.
+            const mustResume = stop === "closed" && cut > firstEventEnd + 20;
+            if (
+              outcome.startsWith("bad") || (mustResume && outcome !== "whole")
+            ) {
+              violations.push(`${cut} by ${size}: ${outcome}`);
             }
           };
-          const seen = judge(await fixture.chat(script));
-          // A reset may overtake the first event. The margin is for ids longer than the counted one.
-          const goesOn = stop === "closed" && cut > firstEventEnds + 20;
-          if (seen.startsWith("bad") || (goesOn && seen !== "whole")) {
-            bad.push(`${cut} by ${size}: ${seen}`);
-          }
-        };
-        for (
-          let cut = (bytes.length + stop.length) % STRIDE;
-          cut < bytes.length;
-        ) {
-          const some: Promise<void>[] = [];
-          for (; some.length < AT_ONCE && cut < bytes.length; cut += STRIDE) {
-            some.push(tryCut(cut));
+          for (
+            let cut = (bytes.length + stop.length) % STRIDE_BYTES;
+            cut < bytes.length;
+          ) {
+            const batch: Promise<void>[] = [];
+            for (
+              ;
+              batch.length < CONCURRENCY && cut < bytes.length;
+              cut += STRIDE_BYTES
+            ) {
+              batch.push(tryCut(cut));
+            }
+            await Promise.all(batch);
           }
-          await Promise.all(some);
-        }
-        expect(bad).toEqual([]);
-      });
+          expect(violations).toEqual([]);
+        },
+      );
     },
   );
 });
--- a/packages/daemon/src/entry/__tests__/stream_crossings.test.ts
+++ b/packages/daemon/src/entry/__tests__/stream_crossings.test.ts
@@ -3,33 +3,33 @@
 import { afterAll, beforeAll, describe, expect, it } from "vitest";
 import {
   type CallerAnswer,
+  type EndpointScript,
   EntryFixture,
-  type Script,
-  type SeenAttempt,
+  type ReceivedAttempt,
 } from "./entry_fixture.ts";
 import {
+  classifyAnswer,
+  classifyWholeAnswer,
+  CONNECTION_ENDS,
   framesOf,
-  judge,
-  judgeHeld,
   responseOf,
-  STOPS,
+  STREAM_ENCODINGS,
   writePieces,
-  WRITINGS,
 } from "./stream_fixture.ts";
 
-/** Streams that are drawn; more by hand. */
+/** Number of random streams. */
 const CASES = Number(process.env["WIRE_CASES"] ?? 150);
 const SEED = Number(process.env["WIRE_SEED"] ?? 1);
-const AT_ONCE = 75;
+const CONCURRENCY = 75;
 const DEADLINE_MS = 800;
 
 type Draw = <Item>(items: readonly Item[]) => Item;
 
-/** Ways in which an engine disturbs its frames. */
-const DISTURBANCES: Readonly<
+/** Faults that an engine introduces into its frames, by name. */
+const FRAME_FAULTS: Readonly<
   Record<
     string,
-    (frames: string[], place: number, attempt: SeenAttempt) => string[]
+    (frames: string[], position: number, attempt: ReceivedAttempt) => string[]
   >
 > = {
   none: (frames) => frames,
@@ -50,64 +50,65 @@
       }),
       frame,
     ]),
-  "one is missing": (frames, place) =>
-    frames.toSpliced(Math.floor(place * frames.length), 1),
-  "one is no frame": (frames, place) =>
-    frames.with(Math.floor(place * frames.length), "nonsense"),
+  "one is missing": (frames, position) =>
+    frames.toSpliced(Math.floor(position * frames.length), 1),
+  "one is no frame": (frames, position) =>
+    frames.with(Math.floor(position * frames.length), "nonsense"),
   "two end marks": (frames) => [
     ...frames.slice(0, -1),
     JSON.stringify({ ...JSON.parse(frames.at(-1)!), offset: 0 }),
     frames.at(-1)!,
   ],
 };
-const PASSED_ON = 404;
-const OTHER_ANSWERS = [
+const FORWARDED_STATUS = 404;
+const NON_STREAM_ANSWERS = [
   "HTTP/1.1 500 Oops\r\ncontent-length: 4\r\n\r\noops",
   "HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n",
-  `HTTP/1.1 ${PASSED_ON} Not Found\r\ncontent-length: 0\r\n\r\n`,
+  `HTTP/1.1 ${FORWARDED_STATUS} Not Found\r\ncontent-length: 0\r\n\r\n`,
   "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ncontent-length: 0\r\n\r\n",
   "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\nevent: error\ndata: {}\n\n",
   "nonsense\r\n\r\n",
 ];
 
-/** How one attempt is answered. */
-function drawScript(draw: Draw): Script {
-  const writing = draw(WRITINGS);
-  const disturbance = draw(["none", "none", ...Object.keys(DISTURBANCES)]);
+/** Draws how one attempt is answered. */
+function drawScript(draw: Draw): EndpointScript {
+  const encoding = draw(STREAM_ENCODINGS);
+  const fault = draw(["none", "none", ...Object.keys(FRAME_FAULTS)]);
   const size = draw([1, 2, 7, 100, Infinity]);
-  const way = draw(["whole", "cut", "cut", "cut", "silent", "other"]);
-  const place = draw(Array.from({ length: 100 }, (_, index) => index / 100));
-  const stop = draw(Object.values(STOPS));
-  const other = draw(OTHER_ANSWERS);
+  const mode = draw(["whole", "cut", "cut", "cut", "silent", "other"]);
+  const position = draw(Array.from({ length: 100 }, (_, index) => index / 100));
+  const stop = draw(Object.values(CONNECTION_ENDS));
+  const other = draw(NON_STREAM_ANSWERS);
   return async (socket, attempt) => {
-    if (way === "other") {
+    if (mode === "other") {
       socket.write(other);
       return;
     }
-    const frames = DISTURBANCES[disturbance]!(
+    const frames = FRAME_FAULTS[fault]!(
       framesOf(attempt),
-      place,
+      position,
       attempt,
     );
-    const { bytes } = responseOf(frames, writing);
-    const upTo = way === "whole"
+    const { bytes } = responseOf(frames, encoding);
+    const cutAt = mode === "whole"
       ? bytes.length
-      : Math.floor(place * bytes.length);
-    await writePieces(socket, bytes.subarray(0, upTo), size);
-    if (way === "cut") {
+      : Math.floor(position * bytes.length);
+    await writePieces(socket, bytes.subarray(0, cutAt), size);
+    if (mode === "cut") {
       stop(socket);
-    } else if (way === "whole" && writing.framing === "closing") {
+    } else if (mode === "whole" && encoding.framing === "closing") {
       socket.end();
     }
   };
 }
 
-/** An engine's own refusal is passed on, where it came in place of a stream and not of its rest. */
-function isPassedOn({ status, header }: CallerAnswer): boolean {
-  return status === PASSED_ON && header("sassafrasstep-verdict") === "ran";
+/** Whether the answer is an engine's own refusal, which is forwarded only for an attempt from the first token. */
+function isForwardedRefusal({ status, header }: CallerAnswer): boolean {
+  return status === FORWARDED_STATUS &&
+    header("sassafrasstep-verdict") === "ran";
 }
 
-describe("streams at any crossing", () => {
+describe("streams with random faults", () => {
   const fixture = new EntryFixture();
 
   beforeAll(async () => {
@@ -117,24 +118,25 @@
     await fixture.stop();
   });
 
-  // Engines write, disturb and stop their streams in drawn ways, up to six attempts of one answer, each
-  // left wherever it is. A caller gets what one run makes, or a part that ends in sight after an event.
-  it(`are one run's, seed ${SEED}`, async () => {
+  // Engines write, corrupt and cut their streams in random ways, in up to six attempts per answer that may
+  // break at any point. A caller gets the output of one run, or a part with a visible error after a complete
+  // event.
+  it(`carry the output of one run, seed ${SEED}`, async () => {
     const random = new SeededRandomness(SEED);
     const draw: Draw = (items) =>
       items[Math.floor(random.next() * items.length)]!;
-    const bad: string[] = [];
-    const seen = new Map<string, number>();
+    const violations: string[] = [];
+    const outcomeCounts = new Map<string, number>();
     const sockets: Socket[] = [];
-    const tryOne = async (number: number): Promise<void> => {
+    const runCase = async (number: number): Promise<void> => {
       const scripts = Array.from({ length: 5 }, () => drawScript(draw));
-      const last: Script = (socket, attempt) =>
-        socket.write(responseOf(framesOf(attempt), WRITINGS[0]!).bytes);
+      const last: EndpointScript = (socket, attempt) =>
+        socket.write(responseOf(framesOf(attempt), STREAM_ENCODINGS[0]!).bytes);
       const stream = draw([true, true, true, false]);
-      let begun = false;
+      let resumed = false;
       const answer = await fixture.chat((socket, attempt) => {
         sockets.push(socket);
-        begun ||= attempt.startAt > 0;
+        resumed ||= attempt.startAt > 0;
         return ([...scripts, last][attempt.number - 1] ?? last)(
           socket,
           attempt,
@@ -143,24 +145,27 @@
         stream,
         headers: { "sassafrasstep-deadline-ms": `${DEADLINE_MS}` },
       });
-      const verdict = isPassedOn(answer) && !begun
+      const outcome = isForwardedRefusal(answer) && !resumed
         ? "passed on"
         : stream
-        ? judge(answer)
-        : judgeHeld(answer);
-      const kind = verdict.startsWith("bad") ? "bad" : verdict;
-      seen.set(kind, (seen.get(kind) ?? 0) + 1);
-      if (kind === "bad") {
-        bad.push(`${number}: ${verdict}`);
+        ? classifyAnswer(answer)
+        : classifyWholeAnswer(answer);
+      const category = outcome.startsWith("bad") ? "bad" : outcome;
+      outcomeCounts.set(category, (outcomeCounts.get(category) ?? 0) + 1);
+      if (category === "bad") {
+        violations.push(`${number}: ${outcome}`);
       }
     };
-    for (let number = 0; number < CASES; number += AT_ONCE) {
+    for (let number = 0; number < CASES; number += CONCURRENCY) {
       await Promise.all(
-        Array.from({ length: AT_ONCE }, (_, index) => tryOne(number + index)),
+        Array.from(
+          { length: CONCURRENCY },
+          (_, index) => runCase(number + index),
+        ),
       );
     }
     sockets.forEach((socket) => socket.destroy());
-    expect(bad).toEqual([]);
-    expect(seen.get("whole")).toBeGreaterThan(0);
+    expect(violations).toEqual([]);
+    expect(outcomeCounts.get("whole")).toBeGreaterThan(0);
   });
 });
--- a/packages/daemon/src/entry/__tests__/stream_fixture.ts
+++ b/packages/daemon/src/entry/__tests__/stream_fixture.ts
@@ -1,13 +1,13 @@
 /**
- * Streams of frames as engines write them, byte by byte, and what a caller may get of them.
+ * Writes frame streams byte by byte as engines do, and classifies what a caller received of them.
  *
  * @module
  */
 import type { Socket } from "node:net";
 import { CompletionFormat } from "../../callers/chat_format.ts";
-import type { CallerAnswer, SeenAttempt } from "./entry_fixture.ts";
+import type { CallerAnswer, ReceivedAttempt } from "./entry_fixture.ts";
 
-/** The tokens of each answer: of several bytes, of several lines, with signs of JSON and of events. */
+/** Tokens of each answer: multi-byte, multi-line, and with characters of JSON and of SSE. */
 export const TOKENS: readonly string[] = [
   "grüß",
   " 😀",
@@ -18,58 +18,60 @@
   "end",
 ];
 
-/** How an engine writes its stream. */
-export interface Writing {
+/** Encoding that an engine uses for its stream. */
+export interface StreamEncoding {
   readonly framing: "chunked" | "length" | "closing";
   readonly newline: "\n" | "\r\n";
-  /** Whether comments and other fields stand between and in events. */
-  readonly chatty: boolean;
+  /** Whether comments and extra fields stand between and inside events. */
+  readonly extras: boolean;
 }
 
-/** All ways of writing. */
-export const WRITINGS: readonly Writing[] =
+/** All combinations of framing, newline and extra fields. */
+export const STREAM_ENCODINGS: readonly StreamEncoding[] =
   (["chunked", "length", "closing"] as const)
     .flatMap((framing) =>
       (["\n", "\r\n"] as const).flatMap((newline) =>
-        [false, true].map((chatty) => ({ framing, newline, chatty }))
+        [false, true].map((extras) => ({ framing, newline, extras }))
       )
     );
 
-/** Ways in which a connection stops. */
-export const STOPS: Readonly<Record<string, (socket: Socket) => void>> = {
+/** Ways in which a connection ends. */
+export const CONNECTION_ENDS: Readonly<
+  Record<string, (socket: Socket) => void>
+> = {
   closed: (socket) => socket.end(),
   reset: (socket) => socket.resetAndDestroy(),
   "reset later": (socket) => setTimeout(() => socket.resetAndDestroy(), 3),
 };
 
-/** The frames of an attempt from the token that it asks for, the end mark as the last. */
-export function framesOf({ id, startAt }: SeenAttempt): string[] {
+/** Returns an attempt's frames from its first requested token, followed by the end mark. */
+export function framesOf({ id, startAt }: ReceivedAttempt): string[] {
   const frames = TOKENS.map((token, offset) => ({ id, offset, token }))
     .slice(startAt);
   const end = { id, offset: TOKENS.length, done: true };
   return [...frames, end].map((frame) => JSON.stringify(frame));
 }
 
-/** Events of frames. */
+/** Encodes each frame as an SSE event. */
 export function eventsOf(
   frames: readonly string[],
-  { newline, chatty }: Writing,
+  { newline, extras }: StreamEncoding,
 ): string[] {
   return frames.map((frame, index) => {
-    const lines = chatty
+    const lines = extras
       ? [": still here", `id: ${index}`, `data: ${frame}`, ": 😀", "", ""]
       : [`data: ${frame}`, "", ""];
     return lines.join(newline);
   });
 }
 
-/** A whole response. */
+/** Encodes a complete HTTP response with the frames as its body. */
 export function responseOf(
   frames: readonly string[],
-  writing: Writing,
-): { bytes: Buffer; firstEventEnds: number } {
-  const { framing } = writing;
-  const events = eventsOf(frames, writing).map((event) => Buffer.from(event));
+  encoding: StreamEncoding,
+): { bytes: Buffer; firstEventEnd: number } {
+  const { framing } = encoding;
+  const events = eventsOf(frames, encoding).map((event) => Buffer.from(event));
   const body = Buffer.concat(events);
   const lines = {
     chunked: "transfer-encoding: chunked",
@@ -85,10 +87,10 @@
     ? [...events.map(toChunk), Buffer.from("0\r\n\r\n")]
     : events;
   const bytes = Buffer.concat([head, ...parts]);
-  return { bytes, firstEventEnds: head.length + (parts[0]?.length ?? 0) };
+  return { bytes, firstEventEnd: head.length + (parts[0]?.length ?? 0) };
 }
 
-/** Writes bytes in pieces of `size`. */
+/** Writes bytes in pieces of at most `size` bytes. */
 export async function writePieces(
   socket: Socket,
   bytes: Buffer,
@@ -103,10 +105,10 @@
 }
 
 /**
- * What a caller got: `whole`, `broken` in sight after a whole event, `refused`, or, for everything that no
- * caller may get, `bad` with the text.
+ * Classifies a caller's answer: `whole`, `broken` (with a visible error after a complete event), `refused`, or
+ * `bad` with the text for anything that no caller may receive.
  */
-export function judge(answer: CallerAnswer, startAt = 0): string {
+export function classifyAnswer(answer: CallerAnswer, startAt = 0): string {
   const { status, text, broken, header } = answer;
   if (status !== 200) {
     const isProblem = header("content-type") === "application/problem+json";
@@ -131,10 +133,10 @@
   return isError || (rest === "" && broken) ? "broken" : `bad: ${text}`;
 }
 
-/** The same for a completion that was held until whole. */
-export function judgeHeld(answer: CallerAnswer): string {
+/** Classifies the answer to a request without streaming. */
+export function classifyWholeAnswer(answer: CallerAnswer): string {
   if (answer.status !== 200) {
-    return judge(answer);
+    return classifyAnswer(answer);
   }
   const { choices } = JSON.parse(answer.text) as {
     choices: { message: { content: string } }[];
--- a/packages/daemon/src/entry/__tests__/stream_recovery.test.ts
+++ b/packages/daemon/src/entry/__tests__/stream_recovery.test.ts
@@ -1,51 +1,56 @@
 import { afterAll, beforeAll, describe, expect, it } from "vitest";
 import type { Socket } from "node:net";
-import { EntryFixture, type Script } from "./entry_fixture.ts";
+import { type EndpointScript, EntryFixture } from "./entry_fixture.ts";
 import {
+  classifyAnswer,
   eventsOf,
   framesOf,
-  judge,
   responseOf,
+  type StreamEncoding,
   TOKENS,
-  type Writing,
 } from "./stream_fixture.ts";
 
-const WRITING: Writing = { framing: "chunked", newline: "\n", chatty: false };
-/** Whole tokens of a part; the event after them is cut in its middle. */
-const PART = 3;
+const ENCODING: StreamEncoding = {
+  framing: "chunked",
+  newline: "\n",
+  extras: false,
+};
+/** Complete tokens of a partial stream; the event after them is cut in the middle. */
+const PARTIAL_TOKENS = 3;
 
-/** An answer with a length. */
-function plain(status: number, type: string, body: string): string {
+/** Returns an answer with a content length. */
+function plainAnswer(status: number, type: string, body: string): string {
   return `HTTP/1.1 ${status} Said\r\ncontent-type: ${type}\r\ncontent-length: ${body.length}\r\n\r\n${body}`;
 }
 
-/** Writes some events and a part of the next. */
-const writePart: Script = (socket, attempt) => {
-  const events = eventsOf(framesOf(attempt), WRITING);
-  const cut = events.slice(0, PART).join("").length + events[PART]!.length / 2;
+/** Writes some complete events and half of the next one. */
+const writePart: EndpointScript = (socket, attempt) => {
+  const events = eventsOf(framesOf(attempt), ENCODING);
+  const cut = events.slice(0, PARTIAL_TOKENS).join("").length +
+    events[PARTIAL_TOKENS]!.length / 2;
   const { bytes } = responseOf(framesOf(attempt), {
-    ...WRITING,
+    ...ENCODING,
     framing: "closing",
   });
   const body = bytes.indexOf("\r\n\r\n") + 4;
   socket.write(bytes.subarray(0, body + Math.floor(cut)));
 };
-const writeWhole: Script = (socket, attempt) =>
-  socket.write(responseOf(framesOf(attempt), WRITING).bytes);
+const writeWhole: EndpointScript = (socket, attempt) =>
+  socket.write(responseOf(framesOf(attempt), ENCODING).bytes);
 
-/** Breaks in the middle of an event, after a moment for what came before. */
-const breakOff: Script = (socket, attempt) => {
+/** Closes the connection in the middle of an event, after a delay in which the bytes before it arrive. */
+const breakOff: EndpointScript = (socket, attempt) => {
   writePart(socket, attempt);
   setTimeout(() => socket.destroy(), 10);
 };
 
-/** Answers the first attempt by the first script, and so on; the last one stays. */
-function inTurn(...scripts: Script[]): Script {
+/** Answers the nth attempt by the nth script, and all later attempts by the last script. */
+function inSequence(...scripts: EndpointScript[]): EndpointScript {
   return (socket, attempt) =>
     scripts[Math.min(attempt.number, scripts.length) - 1]!(socket, attempt);
 }
 
-describe("an answer that goes on", () => {
+describe("an answer that is resumed at another engine", () => {
   const fixture = new EntryFixture();
 
   beforeAll(async () => {
@@ -55,65 +60,71 @@
     await fixture.stop();
   });
 
-  // An engine breaks in the middle of an event, and the one that is asked for the rest says something else
-  // than a stream. Such an answer was taken as the answer to the whole request: the stream ended in order,
-  // without a word that it was broken, and was counted as served.
-  describe("where the next engine says something else than a stream", () => {
+  // Guards against a broken stream that ends without an error. An engine breaks in the middle of an event,
+  // and the engine that is asked for the rest answers with something other than a stream. That answer was
+  // taken for the answer to the whole request: the stream ended normally and was counted as served.
+  describe("where the next engine does not answer with a stream", () => {
     const others: [string, string][] = [
-      ["a failure", plain(500, "text/plain", "oops")],
-      ["busy", plain(503, "text/plain", "busy")],
-      ["too many", plain(429, "text/plain", "slow down")],
-      ["not found", plain(404, "text/plain", "nothing here")],
-      ["a bad request", plain(400, "application/json", '{"error":"offset"}')],
-      ["another kind of answer", plain(200, "application/json", "{}")],
+      ["a failure", plainAnswer(500, "text/plain", "oops")],
+      ["busy", plainAnswer(503, "text/plain", "busy")],
+      ["too many", plainAnswer(429, "text/plain", "slow down")],
+      ["not found", plainAnswer(404, "text/plain", "nothing here")],
+      [
+        "a bad request",
+        plainAnswer(400, "application/json", '{"error":"offset"}'),
+      ],
+      ["another kind of answer", plainAnswer(200, "application/json", "{}")],
       ["nothing", "HTTP/1.1 204 No Content\r\n\r\n"],
     ];
 
-    it.each(others)("goes on at a third: %s", async (_, other) => {
-      const script = inTurn(
+    it.each(others)("is resumed at a third engine: %s", async (_, other) => {
+      const script = inSequence(
         breakOff,
         (socket) => socket.write(other),
         writeWhole,
       );
-      expect(judge(await fixture.chat(script))).toBe("whole");
+      expect(classifyAnswer(await fixture.chat(script))).toBe("whole");
     });
 
-    it.each(others)("ends in sight if all say so: %s", async (_, other) => {
-      const script = inTurn(breakOff, (socket) => socket.write(other));
-      expect(judge(await fixture.chat(script))).toBe("broken");
-    });
+    it.each(others)(
+      "ends with a visible error if all do: %s",
+      async (_, other) => {
+        const script = inSequence(breakOff, (socket) => socket.write(other));
+        expect(classifyAnswer(await fixture.chat(script))).toBe("broken");
+      },
+    );
 
     it.each(others)(
-      "is refused where it is held until whole: %s",
+      "is refused if it is not streamed to the caller: %s",
       async (_, other) => {
-        const script = inTurn(breakOff, (socket) => socket.write(other));
+        const script = inSequence(breakOff, (socket) => socket.write(other));
         const answer = await fixture.chat(script, { stream: false });
-        expect(judge(answer)).toBe("refused");
+        expect(classifyAnswer(answer)).toBe("refused");
       },
     );
   });
 
-  it("leaves a line and a count for each time", async () => {
-    // Callers got streams that were put together out of two runs, and no line told that a stream had gone
-    // on elsewhere, after which token, or that a part of an event had come from the engine before.
-    const counted = (): number =>
+  it("is logged and counted for each resumption", async () => {
+    // Guards against silent resumptions: callers got streams that were joined from two runs, and no log line
+    // said that a stream had been resumed, after which token, or that a partial event had been dropped.
+    const resumedCount = (): number =>
       Number(
         /^sassafrasstep_streams_resumed_total (\d+)$/m.exec(fixture.metrics)
           ?.[1] ?? 0,
       );
-    const before = counted();
+    const before = resumedCount();
     const other = (socket: Socket): unknown =>
-      socket.write(plain(404, "text/plain", "nothing here"));
-    const ahead: Script = (socket, attempt) => {
-      const [first, second, third] = eventsOf(framesOf(attempt), WRITING);
+      socket.write(plainAnswer(404, "text/plain", "nothing here"));
+    const skipToken: EndpointScript = (socket, attempt) => {
+      const [first, second, third] = eventsOf(framesOf(attempt), ENCODING);
       socket.end(
         `HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n${first}${third}${
           second!.slice(0, 9)
         }`,
       );
     };
-    const answer = await fixture.chat(inTurn(ahead, other, writeWhole));
-    expect(judge(answer)).toBe("whole");
+    const answer = await fixture.chat(inSequence(skipToken, other, writeWhole));
+    expect(classifyAnswer(answer)).toBe("whole");
     const request = answer.header("sassafrasstep-request");
     const lines = fixture.lines.filter(({ text, fields }) =>
       text === "route: Stream goes on elsewhere." &&
@@ -134,11 +145,11 @@
       },
     ]);
     expect(lines[1]!["from"]).toBe(lines[0]!["endpoint"]);
-    expect(counted() - before).toBe(2);
+    expect(resumedCount() - before).toBe(2);
   });
 
-  describe("that is held until it is whole", () => {
-    const breaks: [string, Script][] = [
+  describe("that is buffered for a caller without streaming", () => {
+    const breaks: [string, EndpointScript][] = [
       ["breaks", breakOff],
       ["closes in order", (socket, attempt) => {
         writePart(socket, attempt);
@@ -151,11 +162,14 @@
     ];
 
     it.each(breaks)(
-      "is one run's where an engine %s twice",
+      "carries the output of one run if an engine %s twice",
       async (_, script) => {
-        const answer = await fixture.chat(inTurn(script, script, writeWhole), {
-          stream: false,
-        });
+        const answer = await fixture.chat(
+          inSequence(script, script, writeWhole),
+          {
+            stream: false,
+          },
+        );
         const { choices, usage } = JSON.parse(answer.text) as {
           choices: { message: { content: string } }[];
           usage: { completion_tokens: number };
@@ -165,21 +179,22 @@
       },
     );
 
-    it.each(breaks)("is refused where each engine %s", async (_, script) => {
-      const never: Script = (socket, { startAt, ...attempt }) =>
+    it.each(breaks)("is refused if every engine %s", async (_, script) => {
+      const alwaysBreak: EndpointScript = (socket, { startAt, ...attempt }) =>
         script(socket, { ...attempt, startAt: 0 * startAt });
-      expect(judge(await fixture.chat(never, { stream: false }))).toBe(
-        "refused",
-      );
+      expect(classifyAnswer(await fixture.chat(alwaysBreak, { stream: false })))
+        .toBe(
+          "refused",
+        );
     });
   });
 
   describe("whose engine falls silent in the middle of an event", () => {
     it.each([true, false])(
-      "ends in sight at its deadline, stream %s",
+      "ends with a visible error at its deadline, stream %s",
       async (stream) => {
         let engine: Socket | undefined;
-        const script: Script = (socket, attempt) => {
+        const script: EndpointScript = (socket, attempt) => {
           engine = socket;
           writePart(socket, attempt);
         };
@@ -187,7 +202,7 @@
           stream,
           headers: { "sassafrasstep-deadline-ms": "300" },
         });
-        expect(judge(answer)).toBe(stream ? "broken" : "refused");
+        expect(classifyAnswer(answer)).toBe(stream ? "broken" : "refused");
         expect(answer.text).toContain("deadline");
         await expect.poll(() => engine!.destroyed).toBe(true);
       },
--- a/packages/daemon/src/entry/effect_runner.ts
+++ b/packages/daemon/src/entry/effect_runner.ts
@@ -1,5 +1,5 @@
 /**
- * Effects that talk to the platform, to peers and to endpoints beside the requests.
+ * Runs effects that call the platform, peers and endpoints outside callers' requests.
  *
  * @module
  */
@@ -14,30 +14,30 @@
 import type { PlatformClient } from "../platform/index.ts";
 import { encodeQuarantineNews } from "../quarantine/index.ts";
 
-/** What effects are run with. */
-export interface EffectTools {
+/** Dependencies of an `EffectRunner`. */
+export interface EffectRunnerOptions {
   readonly region: RegionId;
   readonly peers: PeerClients;
   readonly platform: PlatformClient;
   readonly endpoints: EndpointClient;
   readonly logger: Logger;
-  readonly tell: (event: CoreEvent) => void;
+  readonly emit: (event: CoreEvent) => void;
 }
 
 type EffectOf<Kind extends Effect["kind"]> = Extract<Effect, { kind: Kind }>;
 
-/** Runs effects; each failure becomes an event or, where nothing hangs on it, a debug line. */
+/** Runs effects. Failures are reported to the core as events, or only logged where the core ignores them. */
 export class EffectRunner {
-  readonly #tools: EffectTools;
+  readonly #options: EffectRunnerOptions;
 
-  constructor(tools: EffectTools) {
-    this.#tools = tools;
+  constructor(tools: EffectRunnerOptions) {
+    this.#options = tools;
   }
 
   run(effect: Effect): void {
     switch (effect.kind) {
       case "log":
-        this.#tools.logger.info(effect.part, effect.text, effect.fields);
+        this.#options.logger.info(effect.part, effect.text, effect.fields);
         return;
       case "sendHeartbeat":
         void this.#sendHeartbeat(effect);
@@ -71,14 +71,14 @@
   async #sendHeartbeat(
     { url, heartbeat }: EffectOf<"sendHeartbeat">,
   ): Promise<void> {
-    const { peers, tell } = this.#tools;
+    const { peers, emit } = this.#options;
     try {
       const reply = await sendHeartbeat(peers.at(url), heartbeat);
-      tell({ kind: "heartbeatReply", reply });
+      emit({ kind: "heartbeatReply", reply });
     } catch (error) {
-      this.#note("peer", "Heartbeat was not answered.", { url, error });
+      this.#logDebug("peer", "Heartbeat was not answered.", { url, error });
       if (isConnectionRefused(error)) {
-        tell({ kind: "peerRefused", url });
+        emit({ kind: "peerRefused", url });
       }
     }
   }
@@ -86,18 +86,18 @@
   async #copyConfiguration(
     { from, url, have }: EffectOf<"copyConfiguration">,
   ): Promise<void> {
-    const { peers, tell } = this.#tools;
+    const { peers, emit } = this.#options;
     try {
       const copy = await copyConfiguration(peers.at(url), have);
-      tell({
+      emit({
         kind: "configurationCopied",
         from,
         copy,
         answered: true,
       });
     } catch (error) {
-      this.#note("peer", "Configuration was not copied.", { url, error });
-      tell({
+      this.#logDebug("peer", "Configuration was not copied.", { url, error });
+      emit({
         kind: "configurationCopied",
         from,
         copy: undefined,
@@ -109,47 +109,47 @@
   async #readConfiguration(
     { after, wait }: EffectOf<"readConfiguration">,
   ): Promise<void> {
-    const { platform, tell } = this.#tools;
+    const { platform, emit } = this.#options;
     try {
       const published = await platform.readText(after, { wait });
-      tell(
+      emit(
         published === undefined
           ? { kind: "configurationUnchanged" }
           : { kind: "configurationRead", ...published },
       );
     } catch (error) {
-      this.#note("platform", "Configuration was not read.", { error });
-      tell({ kind: "configurationFailed" });
+      this.#logDebug("platform", "Configuration was not read.", { error });
+      emit({ kind: "configurationFailed" });
     }
   }
 
   async #listVms(): Promise<void> {
-    const { platform, tell } = this.#tools;
+    const { platform, emit } = this.#options;
     try {
-      const vms = await platform.listVms(this.#tools.region);
-      tell(
+      const vms = await platform.listVms(this.#options.region);
+      emit(
         vms === undefined
           ? { kind: "vmsUnchanged" }
           : { kind: "vmsListed", vms },
       );
     } catch (error) {
-      this.#note("platform", "VM list was not read.", { error });
-      tell({ kind: "vmListFailed" });
+      this.#logDebug("platform", "VM list was not read.", { error });
+      emit({ kind: "vmListFailed" });
     }
   }
 
   async #sendOutcome({ url, copy }: EffectOf<"sendOutcome">): Promise<void> {
     try {
-      await this.#tools.peers.at(url).outcome.mutate(copy);
+      await this.#options.peers.at(url).outcome.mutate(copy);
     } catch (error) {
-      this.#note("peer", "Outcome was not copied.", { url, error });
+      this.#logDebug("peer", "Outcome was not copied.", { url, error });
     }
   }
 
   async #sendHandOver(
     { url, handOver }: EffectOf<"sendHandOver">,
   ): Promise<void> {
-    const { peers, logger, tell } = this.#tools;
+    const { peers, logger, emit } = this.#options;
     try {
       const accepted = await peers.at(url).handOver.mutate(handOver);
       logger.info("action", "Handed keys over.", {
@@ -163,7 +163,7 @@
         error: (error as Error).message,
       });
     }
-    tell({ kind: "handOverDone" });
+    emit({ kind: "handOverDone" });
   }
 
   async #sendQuarantine(
@@ -171,48 +171,51 @@
   ): Promise<void> {
     try {
       const message = JSON.stringify(encodeQuarantineNews(news));
-      await this.#tools.peers.at(url).quarantine.mutate(message);
+      await this.#options.peers.at(url).quarantine.mutate(message);
     } catch (error) {
-      this.#note("peer", "Ends of endpoints were not told.", { url, error });
+      this.#logDebug("peer", "Ends of endpoints were not told.", {
+        url,
+        error,
+      });
     }
   }
 
   async #pollLoad({ endpoint, url }: EffectOf<"pollLoad">): Promise<void> {
-    const { endpoints, tell } = this.#tools;
+    const { endpoints, emit } = this.#options;
     try {
-      tell({ kind: "load", endpoint, report: await endpoints.pollLoad(url) });
+      emit({ kind: "load", endpoint, report: await endpoints.pollLoad(url) });
     } catch {
-      tell({ kind: "loadFailed", endpoint });
+      emit({ kind: "loadFailed", endpoint });
     }
   }
 
   async #order({ order }: EffectOf<"order">): Promise<void> {
-    const { endpoints, tell } = this.#tools;
+    const { endpoints, emit } = this.#options;
     let accepted = false;
     try {
       accepted = await endpoints.order(order);
     } catch (error) {
-      this.#note("order", "Order was not answered.", {
+      this.#logDebug("order", "Order was not answered.", {
         endpoint: order.endpoint,
         error,
       });
     }
-    tell({ kind: "orderDone", endpoint: order.endpoint, accepted });
+    emit({ kind: "orderDone", endpoint: order.endpoint, accepted });
   }
 
-  #note(
+  #logDebug(
     part: "peer" | "platform" | "order",
     text: string,
     { error, ...fields }: { error: unknown; [name: string]: unknown },
   ): void {
-    this.#tools.logger.debug(part, text, {
+    this.#options.logger.debug(part, text, {
       ...fields,
       error: (error as Error).message,
     });
   }
 }
 
-/** Looks through wrapped errors: the client libraries wrap the system's. */
+/** Searches the chain of causes, since the client libraries wrap the system's error. */
 function isConnectionRefused(error: unknown): boolean {
   for (let cause = error; cause instanceof Error; cause = cause.cause) {
     if ((cause as NodeJS.ErrnoException).code === "ECONNREFUSED") {
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -1,5 +1,5 @@
 /**
- * One entry: the core with its sockets, clock and timer.
+ * A gateway process: connects the core to its servers, clients, clock and timer.
  *
  * @module
  */
@@ -50,12 +50,12 @@
 import type { Address, Settings } from "../settings/index.ts";
 import { EffectRunner } from "./effect_runner.ts";
 
-/** Between ticks of the core: the grain of deadlines and queues. */
-export const TICK_MS = 25;
+/** Interval between ticks of the core, which is the resolution of deadlines and queue timeouts. */
+export const TICK_INTERVAL_MS = 25;
 const INCARNATION_BYTES = 6;
-const SEED_LIMIT = 2 ** 32;
+const SEED_RANGE = 2 ** 32;
 
-/** A running entry. */
+/** Runs the core's effects, passes it events, and serves callers, peers and operators. */
 export class Entry implements CallerService, ControlService {
   readonly credentials: Credentials;
   readonly deployment: string;
@@ -70,15 +70,15 @@
   readonly #peers: PeerClients;
   readonly #platform: PlatformClient;
   readonly #endpointClient = new EndpointClient();
-  readonly #runner: AttemptRunner;
-  readonly #effects: EffectRunner;
+  readonly #attemptRunner: AttemptRunner;
+  readonly #effectRunner: EffectRunner;
   #core!: Core;
   #cancelTick: Cancel = () => {};
-  #requests = 0;
-  #exited!: () => void;
-  /** Resolves when a planned stop is complete. */
+  #requestCount = 0;
+  #resolveStopped!: () => void;
+  /** Resolves when a graceful stop is complete. */
   readonly stopped: Promise<void> = new Promise((resolve) => {
-    this.#exited = resolve;
+    this.#resolveStopped = resolve;
   });
 
   constructor(settings: Settings, logger: Logger) {
@@ -90,23 +90,23 @@
     this.#platform = new PlatformClient(settings);
     this.#callerServer = createCallerServer(this);
     this.#controlServer = createControlServer(this, this.credentials);
-    this.#runner = new AttemptRunner({
+    this.#attemptRunner = new AttemptRunner({
       incarnation: this.#incarnation,
       credentials: this.credentials,
       commit: (attempt) => this.#commit(attempt),
-      tell: (event) => this.tell(event),
+      emit: (event) => this.handleEvent(event),
     });
-    this.#effects = new EffectRunner({
+    this.#effectRunner = new EffectRunner({
       region: settings.region,
       peers: this.#peers,
       platform: this.#platform,
       endpoints: this.#endpointClient,
       logger,
-      tell: (event) => this.tell(event),
+      emit: (event) => this.handleEvent(event),
     });
   }
 
-  /** Listens and starts the loop. */
+  /** Starts listening, creates the core and starts its ticks. */
   async start(): Promise<void> {
     const { advertisedUrl, advertisedControlUrl } = this.#settings;
     const localUrl = await listen(this.#callerServer, this.#settings.listen);
@@ -138,9 +138,9 @@
       heartbeatPeriod,
       epochLength,
     };
-    const random = new SeededRandomness(randomInt(SEED_LIMIT));
+    const random = new SeededRandomness(randomInt(SEED_RANGE));
     this.#core = new Core({ self, random, balancer }, this.#now());
-    this.#setTick();
+    this.#scheduleTick();
     this.#logger.info("stop", "Listening.", {
       url,
       controlUrl,
@@ -150,27 +150,27 @@
     });
   }
 
-  /** Begins a planned stop; `stopped` tells of its end. */
+  /** Begins a graceful stop; `stopped` resolves when it is complete. */
   stop(): void {
-    this.tell({ kind: "stop" });
+    this.handleEvent({ kind: "stop" });
   }
 
-  /** Requests whose answer has not left yet. */
-  get unanswered(): number {
+  /** Number of requests whose answer has not been sent completely. */
+  get unansweredRequests(): number {
     return this.#callers.size;
   }
 
-  /** Tells the core what happened and does what it says. */
-  tell(event: CoreEvent): void {
-    this.#run(this.#core.handle(event, this.#now()));
+  /** Passes an event to the core and runs the effects that it returns. */
+  handleEvent(event: CoreEvent): void {
+    this.#runEffects(this.#core.handle(event, this.#now()));
   }
 
-  // For callers.
+  // Methods of CallerService.
 
   newRequestId(): RequestId {
-    this.#requests++;
+    this.#requestCount++;
     return `${this.#settings.id}-${this.#incarnation.slice(0, 4)}-${
-      this.#requests.toString(36)
+      this.#requestCount.toString(36)
     }` as RequestId;
   }
 
@@ -182,19 +182,19 @@
 
   open(caller: Caller): void {
     this.#callers.set(caller.id, caller);
-    this.tell({ kind: "request", head: caller.request.head });
+    this.handleEvent({ kind: "request", head: caller.request.head });
   }
 
   bodyRead(caller: Caller, facts: BodyFacts): void {
-    this.tell({ kind: "body", request: caller.id, facts });
+    this.handleEvent({ kind: "body", request: caller.id, facts });
   }
 
   bodyFailed(caller: Caller, detail: string): void {
-    this.tell({ kind: "bodyFailed", request: caller.id, detail });
+    this.handleEvent({ kind: "bodyFailed", request: caller.id, detail });
   }
 
   gone(caller: Caller): void {
-    this.tell({ kind: "callerGone", request: caller.id });
+    this.handleEvent({ kind: "callerGone", request: caller.id });
   }
 
   closed(caller: Caller): void {
@@ -219,7 +219,7 @@
     return listEntries(board, { customer, service: found }, this.#now());
   }
 
-  // For peers and operators.
+  // Methods of ControlService.
 
   heartbeat(heartbeat: Heartbeat): HeartbeatReply {
     return this.#core.answerHeartbeat(heartbeat, this.#now());
@@ -230,7 +230,7 @@
   }
 
   outcome(copy: OutcomeCopy): void {
-    this.tell({ kind: "outcomeCopy", copy });
+    this.handleEvent({ kind: "outcomeCopy", copy });
   }
 
   handOver(handOver: KeyHandOver): boolean {
@@ -238,7 +238,7 @@
   }
 
   quarantine(news: QuarantineUpdate): void {
-    this.tell({ kind: "quarantineNews", news });
+    this.handleEvent({ kind: "quarantineNews", news });
   }
 
   status(): Status {
@@ -261,11 +261,11 @@
     return this.#core.board.lifecycle.phase === "ready";
   }
 
-  /** Ticks end what is over time: what was received comes first. */
-  #setTick(): void {
-    this.#cancelTick = afterPoll(TICK_MS, () => {
-      this.#setTick();
-      this.tell({ kind: "tick" });
+  /** Schedules the next tick. A tick ends overdue requests, so data that has already arrived is handled first. */
+  #scheduleTick(): void {
+    this.#cancelTick = afterPoll(TICK_INTERVAL_MS, () => {
+      this.#scheduleTick();
+      this.handleEvent({ kind: "tick" });
     });
   }
 
@@ -275,17 +275,17 @@
 
   #commit(attempt: AttemptId): boolean {
     const effects = this.#core.handle({ kind: "commit", attempt }, this.#now());
-    this.#run(effects);
+    this.#runEffects(effects);
     return effects.some((effect) => effect.kind === "proceed");
   }
 
-  #run(effects: readonly Effect[]): void {
+  #runEffects(effects: readonly Effect[]): void {
     for (const effect of effects) {
-      this.#runOne(effect);
+      this.#runEffect(effect);
     }
   }
 
-  #runOne(effect: Effect): void {
+  #runEffect(effect: Effect): void {
     switch (effect.kind) {
       case "readBody":
         void this.#callers.get(effect.request)?.readBody();
@@ -294,7 +294,7 @@
         this.#dispatch(effect);
         return;
       case "abort":
-        this.#runner.abort(effect.attempt);
+        this.#attemptRunner.abort(effect.attempt);
         return;
       case "finish":
         this.#callers.get(effect.request)?.finish(effect.answer);
@@ -303,21 +303,21 @@
         void this.#close();
         return;
       default:
-        this.#effects.run(effect);
+        this.#effectRunner.run(effect);
     }
   }
 
   #dispatch({ attempt }: Extract<Effect, { kind: "dispatch" }>): void {
     const caller = this.#callers.get(attempt.request);
     if (caller === undefined) {
-      this.tell({
+      this.handleEvent({
         kind: "attemptEnded",
         attempt: attempt.id,
-        end: { kind: "unsent", detail: "The caller has gone" },
+        end: { kind: "unsent", detail: "The caller has disconnected" },
       });
       return;
     }
-    void this.#runner.run(attempt, caller);
+    void this.#attemptRunner.run(attempt, caller);
   }
 
   async #close(): Promise<void> {
@@ -328,11 +328,11 @@
       closeServer(this.#controlServer),
     ]);
     await Promise.all([
-      this.#runner.close(),
+      this.#attemptRunner.close(),
       this.#endpointClient.close(),
       this.#peers.close(),
     ]);
-    this.#exited();
+    this.#resolveStopped();
   }
 }
 
@@ -344,11 +344,11 @@
     server.once("error", reject);
     server.listen(port, host, resolve);
   });
-  const { address, port: actual, family } = server.address() as AddressInfo;
-  return `http://${family === "IPv6" ? `[${address}]` : address}:${actual}`;
+  const { address, port: actualPort, family } = server.address() as AddressInfo;
+  return `http://${family === "IPv6" ? `[${address}]` : address}:${actualPort}`;
 }
 
-/** Ends kept connections at once, and the others when their last answer has left. */
+/** Closes idle connections at once, and the others when their last answer has been sent. */
 async function closeServer(server: Server): Promise<void> {
   await new Promise<void>((resolve) => {
     server.close(() => resolve());
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -92,7 +92,7 @@
   const onSignal = (): void => {
     if (asked) {
       logger.warn("stop", "Cut off by a second signal.", {
-        requests: entry.unanswered,
+        requests: entry.unansweredRequests,
       });
       process.exit(EXIT_CUT);
     }
--- a/packages/daemon/src/outbound/__tests__/slow_callers.test.ts
+++ b/packages/daemon/src/outbound/__tests__/slow_callers.test.ts
@@ -82,7 +82,7 @@
       incarnation: "n1" as Incarnation,
       credentials,
       commit: () => true,
-      tell: (event) => events.push(event),
+      emit: (event) => events.push(event),
     });
     const service: CallerService = {
       credentials,
--- a/packages/daemon/src/outbound/attempt_runner.ts
+++ b/packages/daemon/src/outbound/attempt_runner.ts
@@ -44,7 +44,7 @@
   readonly credentials: Credentials;
   /** Asks the core whether to write now. */
   commit(attempt: AttemptId): boolean;
-  tell(event: CoreEvent): void;
+  emit(event: CoreEvent): void;
 }
 
 /** Runs attempts and tells how they end. */
@@ -135,14 +135,14 @@
       return await relayFrames(response.body, {
         attempt,
         caller,
-        tell: (event) => this.#host.tell(event),
+        tell: (event) => this.#host.emit(event),
       });
     }
     return await readAnswer(response, { fromPeer: toPeer });
   }
 
   #end(attempt: Attempt, end: AttemptEnd): void {
-    this.#host.tell({ kind: "attemptEnded", attempt: attempt.id, end });
+    this.#host.emit({ kind: "attemptEnded", attempt: attempt.id, end });
   }
 
   #tellLoad(endpoint: EndpointId, header: string | string[] | undefined): void {
@@ -150,7 +150,7 @@
       ? parseLoadReport(header)
       : undefined;
     if (report !== undefined) {
-      this.#host.tell({ kind: "load", endpoint, report });
+      this.#host.emit({ kind: "load", endpoint, report });
     }
   }
 
