--- a/packages/daemon/src/callers/__tests__/chat.test.ts
+++ b/packages/daemon/src/callers/__tests__/chat.test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import { parseChatBody, prefixBlocks } from "../chat_body.ts";
-import { CompletionFormat, wholeCompletion } from "../chat_format.ts";
+import { CompletionFormat, formatCompletion } from "../chat_format.ts";
 
 const COMPLETION = {
   request: "r1",
@@ -15,7 +15,7 @@
 
 describe("chat completions", () => {
   describe("bodies", () => {
-    it("takes text and parts", () => {
+    it("accept content as text and as parts", () => {
       const content = [{ type: "text", text: "hello" }];
       expect(
         parseChatBody(
@@ -40,13 +40,13 @@
       ],
     ];
 
-    it.each(faulty)("says what is wrong: %s", (_, body, expected) => {
+    it.each(faulty)("report the fault: %s", (_, body, expected) => {
       expect(parseChatBody(body)).toMatchObject({
         fault: expect.stringContaining(expected),
       });
     });
 
-    it("never throws", () => {
+    it("never make the parser throw", () => {
       const any = fc.oneof(
         fc.uint8Array(),
         fc.json().map((text) => Buffer.from(text)),
@@ -58,7 +58,7 @@
   });
 
   describe("prefix blocks", () => {
-    it("are equal as far as prompts are equal", () => {
+    it("are equal for the common prefix of two prompts", () => {
       const common = "policy ".repeat(200);
       const [first, second] = [
         prefixBlocks(`${common}a`.repeat(2)),
@@ -70,12 +70,12 @@
     });
   });
 
-  describe("the stream on the wire", () => {
+  describe("the encoded stream", () => {
     const format = new CompletionFormat(COMPLETION);
     const wire = format.tokens({ offset: 0, tokens: [" he", ' "llo"'] }) +
       format.end();
 
-    it("is chunks of the common shape, ended by [DONE]", () => {
+    it("consists of chunks in the common format, ended by [DONE]", () => {
       const events = wire.trim().split("\n\n").map((event) =>
         event.split("\n").at(-1)!.slice("data: ".length)
       );
@@ -108,11 +108,11 @@
       ]);
     });
 
-    it("numbers events so that a caller can go on after any of them", () => {
+    it("numbers events so that a caller can resume after any of them", () => {
       expect(wire.match(/^id: .*$/gm)).toEqual(["id: r1:1", "id: r1:2"]);
     });
 
-    it("fails by an event that common clients take for an error, without [DONE]", () => {
+    it("ends a failure with an event that common clients treat as an error, without [DONE]", () => {
       const problem = {
         type: "t",
         title: "x",
@@ -130,9 +130,9 @@
     });
   });
 
-  it("answers whole in the common shape", () => {
+  it("formats a complete answer in the common format", () => {
     const whole = JSON.parse(
-      wholeCompletion(COMPLETION, {
+      formatCompletion(COMPLETION, {
         text: "hello",
         promptTokens: 3,
         tokens: 1,
--- a/packages/daemon/src/callers/__tests__/request_head.test.ts
+++ b/packages/daemon/src/callers/__tests__/request_head.test.ts
@@ -45,15 +45,15 @@
     });
   });
 
-  describe("marks of peers", () => {
-    const marks = {
+  describe("headers set by peers", () => {
+    const peerHeaders = {
       "sassafrasstep-request": "r9",
       "sassafrasstep-offset": "7",
     };
 
-    it("are taken from a proved peer", () => {
+    it("are accepted with a valid proof", () => {
       const { head } = read("/v1/chat/completions", {
-        ...marks,
+        ...peerHeaders,
         [PEER_HEADER]: credentials.prove(),
       })!;
       expect(head).toMatchObject({
@@ -67,7 +67,7 @@
       "are ignored with the proof %j",
       (proof) => {
         const { head } = read("/v1/chat/completions", {
-          ...marks,
+          ...peerHeaders,
           ...(proof === undefined ? {} : { [PEER_HEADER]: proof }),
         })!;
         expect(head).toMatchObject({
@@ -79,9 +79,9 @@
     );
   });
 
-  describe("odd values", () => {
+  describe("unexpected values", () => {
     it.each([["5", 5], ["abc", NaN], ["-1", -1]])(
-      "hands the deadline %j on for admission to judge",
+      "passes the deadline %j through to admission",
       (text, expected) => {
         expect(
           read("/v1/chat/completions", { "sassafrasstep-deadline-ms": text })
@@ -90,7 +90,7 @@
       },
     );
 
-    it("never throws, and bounds what it takes", () => {
+    it("never throws, and limits the number of hops", () => {
       const header = fc.string({ maxLength: 5_000 });
       fc.assert(
         fc.property(fc.webPath(), header, header, (path, hop, event) => {
--- a/packages/daemon/src/callers/__tests__/response_stream.test.ts
+++ b/packages/daemon/src/callers/__tests__/response_stream.test.ts
@@ -2,10 +2,9 @@
 import { ResponseStream } from "../response_stream.ts";
 
 describe("a response stream", () => {
-  it("holds a writer back while its reader is slow", async () => {
-    // Symptom: memory grows with every slow screen.
-    // Sequence: the engine writes on while the caller reads nothing.
-    // Cause: whatever comes is kept until it can be sent.
+  it("blocks the writer while its reader is slow", async () => {
+    // Guards against memory that grows with every slow reader: the engine keeps writing while the caller
+    // reads nothing, and everything that arrives is buffered until it can be sent.
     const stream = new ResponseStream();
     let written = 0;
     const writing = (async (): Promise<void> => {
@@ -22,9 +21,9 @@
   });
 
   describe("with two writers waiting", () => {
-    // A slow caller's time ran out while an attempt waited for it to read: the error event was written
-    // beside, and only the later of the two writers was woken. The attempt waited for ever, and kept its
-    // caller and all that it held.
+    // Guards against an attempt that waits forever and leaks its caller. A slow caller's deadline passed
+    // while an attempt was waiting for it to read; the error event was a second waiting write, and only the
+    // later of the two writers was woken.
     const ends: [string, (stream: ResponseStream) => unknown][] = [
       ["ends", (stream) => stream.end()],
       ["is cancelled", (stream) => stream.body.cancel()],
@@ -34,7 +33,7 @@
       }],
     ];
 
-    it.each(ends)("lets go of both when it %s", async (_, end) => {
+    it.each(ends)("releases both when it %s", async (_, end) => {
       const stream = new ResponseStream();
       for (let index = 0; index < 15; index++) {
         await stream.write("token");
@@ -45,7 +44,7 @@
     }, 1_000);
   });
 
-  it("lets go of a writer whose reader has gone", async () => {
+  it("releases a writer whose reader has cancelled", async () => {
     const stream = new ResponseStream();
     const writing = (async (): Promise<void> => {
       for (let index = 0; index < 100; index++) {
--- a/packages/daemon/src/callers/caller.ts
+++ b/packages/daemon/src/callers/caller.ts
@@ -1,5 +1,5 @@
 /**
- * The caller's side of one request: its body, and the one answer that it gets.
+ * The caller's side of one request: reads its body and sends its single answer.
  *
  * @module
  */
@@ -17,9 +17,9 @@
 import {
   type Completion,
   CompletionFormat,
+  formatCompletion,
   FrameFormat,
   type TokenFormat,
-  wholeCompletion,
 } from "./chat_format.ts";
 import { REPLAYED_HEADER } from "./headers.ts";
 import {
@@ -30,18 +30,18 @@
 } from "./problem.ts";
 import { ResponseStream } from "./response_stream.ts";
 
-/** Largest body of a request. */
+/** Maximum size of a request body. */
 export const MAX_BODY_BYTES = 1_048_576;
-/** Largest whole completion. */
-const MAX_WHOLE_CHARACTERS = 4_194_304;
+/** Maximum length of a completion that is buffered for a caller without streaming. */
+const MAX_BUFFERED_CHARACTERS = 4_194_304;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What a caller asked for, for the attempts that are made for it. */
+/** A caller's request, as its attempts need it. */
 export interface CallerRequest {
   readonly head: RequestHead;
   readonly kind: "chat" | "plain";
   readonly method: string;
-  /** Path and query at an entry. */
+  /** Path and query at this entry or a peer. */
   readonly path: string;
   /** Path and query at an endpoint. */
   readonly endpointPath: string;
@@ -49,16 +49,17 @@
   readonly contentType: string;
 }
 
-/** What a caller tells of itself. */
+/** Events of a caller. */
 export interface CallerEvents {
   bodyRead(caller: Caller, facts: BodyFacts): void;
   bodyFailed(caller: Caller, detail: string): void;
-  gone(caller: Caller): void;
-  /** The whole answer has left. */
+  /** The connection closed before the answer was sent completely. */
+  disconnected(caller: Caller): void;
+  /** The connection closed or the answer was sent completely. */
   closed(caller: Caller): void;
 }
 
-/** A completion is too large to be held until it is whole; its engine did nothing wrong. */
+/** Signals that a completion is too large to be buffered, which is no fault of its engine. */
 export class AnswerTooLargeError extends Error {
   override readonly name = "AnswerTooLargeError";
 
@@ -67,41 +68,41 @@
   }
 }
 
-/** One request of one caller. */
+/** One request and its answer. Ignores further answers after the first one. */
 export class Caller {
   readonly request: CallerRequest;
   readonly tokens: TokenStream;
-  /** Resolves once, with the response. */
+  /** Resolves with the response; a stream's body is still being written then. */
   readonly response: Promise<Response>;
   body: Uint8Array = new Uint8Array();
   readonly #message: IncomingMessage;
   readonly #events: CallerEvents;
-  readonly #askForBody: () => void;
+  readonly #requestBody: () => void;
   readonly #createdAt: number;
   #respond!: (response: Response) => void;
   #stream: ResponseStream | undefined;
   #format: TokenFormat | undefined;
-  #streamed = false;
+  #streaming = false;
   #model = "";
   #promptTokens = 0;
-  #whole = "";
+  #bufferedText = "";
   #answered = false;
 
   constructor(
     request: CallerRequest,
-    { message, reply, events, askForBody, wallClockMs }: {
+    { message, reply, events, requestBody, wallClockMs }: {
       message: IncomingMessage;
       reply: ServerResponse;
       events: CallerEvents;
-      /** Called right before the body is read. */
-      askForBody: () => void;
+      /** Called directly before the body is read. */
+      requestBody: () => void;
       wallClockMs: number;
     },
   ) {
     this.request = request;
     this.#message = message;
     this.#events = events;
-    this.#askForBody = askForBody;
+    this.#requestBody = requestBody;
     this.#createdAt = Math.floor(wallClockMs / MILLISECONDS_PER_SECOND);
     this.tokens = new TokenStream(request.head.resumeOffset);
     this.response = new Promise((resolve) => {
@@ -114,10 +115,10 @@
     return this.request.head.id;
   }
 
-  /** Reads the body, bounded, and tells its facts. */
+  /** Reads the body up to `MAX_BODY_BYTES` and reports what the core needs of it, or why that failed. */
   async readBody(): Promise<void> {
     try {
-      this.#askForBody();
+      this.#requestBody();
       const bytes = await readLimited(this.#message);
       if (bytes === undefined) {
         this.#events.bodyFailed(
@@ -127,20 +128,20 @@
         return;
       }
       this.body = bytes;
-      this.#tellBody(bytes);
+      this.#reportBody(bytes);
     } catch {
       this.#events.bodyFailed(this, "The body did not come whole");
     }
   }
 
-  /** Hands tokens on, in order. Waits while the caller is slow. */
+  /** Writes or buffers tokens, which must come in order. Waits while the caller reads slowly. */
   async writeTokens(offset: number, tokens: readonly string[]): Promise<void> {
     if (this.#answered || tokens.length === 0) {
       return;
     }
-    if (!this.#streamed) {
-      this.#whole += tokens.join("");
-      if (this.#whole.length > MAX_WHOLE_CHARACTERS) {
+    if (!this.#streaming) {
+      this.#bufferedText += tokens.join("");
+      if (this.#bufferedText.length > MAX_BUFFERED_CHARACTERS) {
         throw new AnswerTooLargeError();
       }
       return;
@@ -148,14 +149,14 @@
     await this.#openStream().write(this.#format!.tokens({ offset, tokens }));
   }
 
-  /** Ends an answer whose every token was handed on. */
+  /** Ends the answer after its last token. */
   endTokens(): void {
     if (this.#answered) {
       return;
     }
     this.#answered = true;
-    if (!this.#streamed) {
-      this.#respondWhole();
+    if (!this.#streaming) {
+      this.#respondCompletion();
       return;
     }
     const stream = this.#openStream();
@@ -163,7 +164,7 @@
     stream.end();
   }
 
-  /** The final answer. A second one is impossible: the first wins. */
+  /** Sends the final answer, unless one was sent before. */
   finish(answer: FinalAnswer): void {
     if (this.#answered) {
       return;
@@ -181,7 +182,7 @@
   #failStream(answer: FinalAnswer): void {
     const stream = this.#stream!;
     if (answer.kind === "refused") {
-      // No end mark follows, so that the broken stream cannot be taken for a whole one.
+      // No end mark follows, so the caller cannot mistake the broken stream for a complete one.
       void stream.write(
         this.#format!.failure(toProblem(answer.refusal, this.id)),
       );
@@ -204,7 +205,7 @@
     return toResponse(answer, headers);
   }
 
-  #tellBody(bytes: Uint8Array): void {
+  #reportBody(bytes: Uint8Array): void {
     if (this.request.kind === "plain") {
       const digest = sha256(
         `${this.request.method} ${this.request.endpointPath}\n${sha256(bytes)}`,
@@ -217,7 +218,7 @@
       this.#events.bodyFailed(this, body.fault);
       return;
     }
-    this.#streamed = body.stream || this.request.head.forwarded;
+    this.#streaming = body.stream || this.request.head.forwarded;
     this.#model = body.model;
     this.#promptTokens = body.facts.promptTokens;
     this.#events.bodyRead(this, body.facts);
@@ -238,16 +239,18 @@
     return this.#stream;
   }
 
-  #respondWhole(): void {
+  #respondCompletion(): void {
     const headers = verdictHeaders(RAN, this.id);
     headers.set("content-type", "application/json");
-    const whole = {
-      text: this.#whole,
+    const completion = {
+      text: this.#bufferedText,
       promptTokens: this.#promptTokens,
       tokens: this.tokens.offset,
     };
     this.#respond(
-      new Response(wholeCompletion(this.#completion(), whole), { headers }),
+      new Response(formatCompletion(this.#completion(), completion), {
+        headers,
+      }),
     );
   }
 
@@ -258,7 +261,7 @@
   #onClose(finished: boolean): void {
     if (!finished) {
       this.#answered = true;
-      this.#events.gone(this);
+      this.#events.disconnected(this);
     }
     this.#events.closed(this);
   }
@@ -286,7 +289,7 @@
     chunks.push(chunk);
   }
   if (!message.complete) {
-    throw new Error("The body did not come whole");
+    throw new Error("The request ended before its body was complete");
   }
   return Buffer.concat(chunks);
 }
--- a/packages/daemon/src/callers/caller_server.ts
+++ b/packages/daemon/src/callers/caller_server.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' address.
+ * The HTTP server for callers.
  *
  * @module
  */
@@ -18,26 +18,27 @@
 import { readCallerRequest, tokenDigest } from "./request_head.ts";
 
 const MAX_HEADER_BYTES = 16_384;
-/** A sender that is slower than this with its head or body is cut off. */
+/** Callers that send their headers more slowly are disconnected. */
 const HEAD_TIMEOUT_MS = 10_000;
+/** Callers that send their whole request more slowly are disconnected. */
 const REQUEST_TIMEOUT_MS = 60_000;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What the callers' address serves. */
+/** Operations of an entry that the caller server needs. */
 export interface CallerService extends CallerEvents {
   readonly credentials: Credentials;
   defaultChatService(): string;
   newRequestId(): RequestId;
-  /** Takes a request; its answer comes through the caller. */
+  /** Starts to process a request; its answer is sent through `caller`. */
   open(caller: Caller): void;
-  /** Entries for the customer of a token, `undefined` for an unknown one. */
+  /** Returns the entries for the customer of a token, or `undefined` if no customer has it. */
   listEntries(
     tokenDigest: string | undefined,
     service: ServiceId | undefined,
   ): EntryList | undefined;
 }
 
-/** Makes the server; the caller lets it listen. */
+/** Creates the server, which does not listen yet. */
 export function createCallerServer(service: CallerService): Server {
   const app = new H3();
   app.get("/v1/entries", ({ req, url }) => {
@@ -55,7 +56,7 @@
   server.headersTimeout = HEAD_TIMEOUT_MS;
   server.requestTimeout = REQUEST_TIMEOUT_MS;
   closeIdleAfterPoll(server);
-  // With "Expect: 100-continue" the body is asked for only once the head was admitted.
+  // With "Expect: 100-continue" the body is requested only after the head was admitted.
   server.on(
     "checkContinue",
     (message: IncomingMessage, reply: ServerResponse) => {
@@ -86,7 +87,7 @@
       headers: { connection: "close" },
     });
   }
-  const askForBody = (): void => {
+  const requestBody = (): void => {
     if (expectingContinue.has(message)) {
       reply.writeContinue();
     }
@@ -95,7 +96,7 @@
     message,
     reply,
     events: service,
-    askForBody,
+    requestBody,
     wallClockMs: Date.now(),
   });
   service.open(caller);
--- a/packages/daemon/src/callers/chat_body.ts
+++ b/packages/daemon/src/callers/chat_body.ts
@@ -1,5 +1,5 @@
 /**
- * Bodies of chat completions.
+ * Parses the bodies of chat completion requests.
  *
  * @module
  */
@@ -12,29 +12,29 @@
 } from "@sassafrasstep/core";
 import { z } from "zod";
 
-/** A common estimate; only relative sizes matter to routing. */
+/** A common estimate; routing depends only on relative sizes. */
 const CHARACTERS_PER_TOKEN = 4;
-/** Leading blocks that routing looks at. */
+/** Number of leading blocks that routing considers. */
 const MAX_BLOCKS = 64;
 
-const part = z.object({ type: z.literal("text"), text: z.string() });
+const textPart = z.object({ type: z.literal("text"), text: z.string() });
 const chatSchema = z.object({
   model: z.string().optional(),
   stream: z.boolean().default(false),
   messages: z.array(z.object({
     role: z.string(),
-    content: z.union([z.string(), z.array(part)]),
+    content: z.union([z.string(), z.array(textPart)]),
   })).min(1),
 });
 
-/** A checked body. */
+/** A validated request body. */
 export interface ChatBody {
   readonly stream: boolean;
   readonly model: string;
   readonly facts: BodyFacts;
 }
 
-/** Reads a body, or says what is wrong with it. */
+/** Parses a body, or returns a description of its first fault. */
 export function parseChatBody(
   bytes: Uint8Array,
 ): ChatBody | { readonly fault: string } {
@@ -70,7 +70,7 @@
   };
 }
 
-/** Chained hashes of the prompt's whole leading blocks: equal prefixes give equal chains. */
+/** Hashes the prompt's complete leading blocks in a chain, so that equal prefixes give equal hashes. */
 export function prefixBlocks(prompt: string): number[] {
   const length = TOKENS_PER_BLOCK * CHARACTERS_PER_TOKEN;
   const blocks: number[] = [];
--- a/packages/daemon/src/callers/chat_format.ts
+++ b/packages/daemon/src/callers/chat_format.ts
@@ -1,41 +1,41 @@
 /**
- * Chat completions on the wire: the common chunk format with one SSE event a token, and raw frames
- * between entries.
+ * Encodes chat completions: for callers in the common chunk format with one SSE event per token, for
+ * peers as raw frames.
  *
  * @module
  */
 import type { Problem } from "./problem.ts";
 
-/** What identifies one completion. */
+/** Metadata of a completion. */
 export interface Completion {
   readonly request: string;
   readonly model: string;
   readonly createdAt: number;
 }
 
-/** Tokens to write, the first with number `offset`. */
+/** Consecutive tokens, the first at index `offset` of the stream. */
 export interface Tokens {
   readonly offset: number;
   readonly tokens: readonly string[];
 }
 
-/** Writes a stream of tokens as SSE. */
+/** Encodes a stream of tokens as SSE. */
 export interface TokenFormat {
   tokens(tokens: Tokens): string;
   end(offset: number): string;
   failure(problem: Problem): string;
 }
 
-/** For callers. Each event's id is what `Last-Event-ID` brings back to go on after it. */
+/** Encodes for callers. A caller resumes after an event by sending its id as `Last-Event-ID`. */
 export class CompletionFormat implements TokenFormat {
-  readonly #head: string;
+  readonly #chunkPrefix: string;
   readonly #request: string;
 
   constructor({ request, model, createdAt }: Completion) {
     this.#request = request;
     const id = JSON.stringify(`chatcmpl-${request}`);
     const name = JSON.stringify(model);
-    this.#head =
+    this.#chunkPrefix =
       `{"id":${id},"object":"chat.completion.chunk","created":${createdAt},"model":${name},"choices":[{"index":0,`;
   }
 
@@ -48,12 +48,12 @@
       }},"finish_reason":null}]}`;
       return `id: ${this.#request}:${
         number + 1
-      }\ndata: ${this.#head}${delta}\n\n`;
+      }\ndata: ${this.#chunkPrefix}${delta}\n\n`;
     }).join("");
   }
 
   end(): string {
-    return `data: ${this.#head}"delta":{},"finish_reason":"stop"}]}\n\ndata: [DONE]\n\n`;
+    return `data: ${this.#chunkPrefix}"delta":{},"finish_reason":"stop"}]}\n\ndata: [DONE]\n\n`;
   }
 
   failure(problem: Problem): string {
@@ -66,7 +66,7 @@
   }
 }
 
-/** For a peer that forwarded the request. */
+/** Encodes for a peer that forwarded the request. */
 export class FrameFormat implements TokenFormat {
   readonly #id: string;
 
@@ -91,8 +91,8 @@
   }
 }
 
-/** A whole completion. */
-export function wholeCompletion(
+/** Encodes the answer to a request without streaming. */
+export function formatCompletion(
   { request, model, createdAt }: Completion,
   { text, promptTokens, tokens }: {
     text: string;
--- a/packages/daemon/src/callers/headers.ts
+++ b/packages/daemon/src/callers/headers.ts
@@ -4,25 +4,25 @@
  * @module
  */
 
-/** Class of a request: `screen` or `summary`. */
+/** Request class: `screen` or `summary`. */
 export const CLASS_HEADER = "sassafrasstep-class";
-/** Milliseconds until the caller gives up. */
+/** Milliseconds that the caller waits for an answer. */
 export const DEADLINE_HEADER = "sassafrasstep-deadline-ms";
-/** Service of a chat completion, where the path does not name it. */
+/** Service of a chat completion request whose path does not name one. */
 export const SERVICE_HEADER = "sassafrasstep-service";
-/** Incarnations of entries that a request went through. */
+/** Incarnations of the entries that a request has passed through. */
 export const HOP_HEADER = "sassafrasstep-hop";
-/** Id of the request or attempt. */
+/** Id of the request, or of the attempt between entries. */
 export const REQUEST_HEADER = "sassafrasstep-request";
-/** First token wanted by a peer that goes on with a stream. */
+/** Offset of the first token that a forwarding peer requests, which is above 0 for a resumed stream. */
 export const OFFSET_HEADER = "sassafrasstep-offset";
-/** Whether the request may have run. */
+/** Verdict on whether the request has run or may have run. */
 export const VERDICT_HEADER = "sassafrasstep-verdict";
-/** The same for this send alone, where a key's earlier sends make a difference. */
+/** Verdict on this send alone, if earlier sends of its key have another verdict. */
 export const THIS_SEND_HEADER = "sassafrasstep-this-send";
-/** Endpoints that the entry, or one behind it, offered a refused request to. */
+/** Endpoints to which the entry, or a peer that it forwarded to, offered a refused request. */
 export const OFFERED_HEADER = "sassafrasstep-offered";
-/** Set on an answer that an earlier send of the key got. */
+/** Set on an answer that is repeated from an earlier send of the key. */
 export const REPLAYED_HEADER = "sassafrasstep-replayed";
-/** When to come back, in milliseconds; `Retry-After` says it in whole seconds. */
+/** Milliseconds to wait before a retry; `Retry-After` has them rounded to seconds. */
 export const RETRY_AFTER_MS_HEADER = "sassafrasstep-retry-after-ms";
--- a/packages/daemon/src/callers/index.ts
+++ b/packages/daemon/src/callers/index.ts
@@ -9,8 +9,8 @@
 export { type ChatBody, parseChatBody, prefixBlocks } from "./chat_body.ts";
 export {
   CompletionFormat,
+  formatCompletion,
   FrameFormat,
-  wholeCompletion,
 } from "./chat_format.ts";
 export * from "./headers.ts";
 export { toProblem } from "./problem.ts";
--- a/packages/daemon/src/callers/problem.ts
+++ b/packages/daemon/src/callers/problem.ts
@@ -15,7 +15,7 @@
   VERDICT_HEADER,
 } from "./headers.ts";
 
-const LEAST_RETRY_AFTER_S = 1;
+const MIN_RETRY_AFTER_S = 1;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** The body of a refusal. */
@@ -32,7 +32,7 @@
   readonly go_to?: readonly string[];
 }
 
-/** Describes a refusal. */
+/** Converts a refusal to its body. */
 export function toProblem(refusal: Refusal, request: string): Problem {
   const { reason, status, detail, verdict, thisSend, retryAfter, goTo } =
     refusal;
@@ -54,7 +54,7 @@
   };
 }
 
-/** A refusal as a response. */
+/** Converts a refusal to a response. */
 export function problemResponse(refusal: Refusal, request: string): Response {
   const problem = toProblem(refusal, request);
   const headers = verdictHeaders(refusal.verdict, request);
@@ -63,7 +63,7 @@
     headers.set(THIS_SEND_HEADER, problem.this_send);
   }
   setRetryAfter(headers, problem.retry_after_ms);
-  // The rest of an unread body would otherwise be taken for the next request.
+  // Otherwise the rest of an unread body would be parsed as the next request.
   headers.set("connection", "close");
   return new Response(JSON.stringify(problem), {
     status: refusal.status,
@@ -71,7 +71,7 @@
   });
 }
 
-/** Headers that every answer carries. */
+/** Returns the headers that every answer has. */
 export function verdictHeaders(verdict: Verdict, request: string): Headers {
   return new Headers({
     [REQUEST_HEADER]: request,
@@ -79,7 +79,7 @@
   });
 }
 
-/** Says when to come back, for people's clients and for ours. */
+/** Sets `Retry-After` for generic clients, in seconds, and the exact header for our own, in milliseconds. */
 export function setRetryAfter(
   headers: Headers,
   retryAfterMs: number | undefined,
@@ -88,7 +88,7 @@
     return;
   }
   const seconds = Math.max(
-    LEAST_RETRY_AFTER_S,
+    MIN_RETRY_AFTER_S,
     Math.ceil(retryAfterMs / MILLISECONDS_PER_SECOND),
   );
   headers.set("retry-after", String(seconds));
--- a/packages/daemon/src/callers/request_head.ts
+++ b/packages/daemon/src/callers/request_head.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the request line and headers of a caller.
+ * Parses the request line and headers of a caller's request.
  *
  * @module
  */
@@ -22,42 +22,43 @@
 } from "./headers.ts";
 
 const MAX_HOPS = 8;
-const MAX_TEXT = 200;
-const BEARER = /^Bearer ([\x21-\x7e]{1,512})$/i;
-const LAST_EVENT = /^[^:]{1,200}:(\d{1,9})$/;
-const REQUEST_ID = /^[A-Za-z0-9._-]{1,128}$/;
-const CHAT_PATH = /^\/v1\/(?:models\/([^/?]+)\/)?chat\/completions$/;
-const PLAIN_PATH = /^\/v1\/services\/([^/?]+)(\/[^?]*)?$/;
+const MAX_HEADER_CHARACTERS = 200;
+const BEARER_PATTERN = /^Bearer ([\x21-\x7e]{1,512})$/i;
+const LAST_EVENT_PATTERN = /^[^:]{1,200}:(\d{1,9})$/;
+const REQUEST_ID_PATTERN = /^[A-Za-z0-9._-]{1,128}$/;
+const CHAT_PATH_PATTERN = /^\/v1\/(?:models\/([^/?]+)\/)?chat\/completions$/;
+const PLAIN_PATH_PATTERN = /^\/v1\/services\/([^/?]+)(\/[^?]*)?$/;
 
-/** What reading a head needs besides the message. */
-export interface HeadReading {
+/** Everything that parsing a head needs besides the message. */
+export interface HeadContext {
   readonly credentials: Credentials;
-  /** Service of a chat completion that names none. */
+  /** Service of chat completion requests that name none. */
   readonly defaultService: string;
   readonly newId: () => RequestId;
 }
 
-/** The request of a caller, or `undefined` where the path is none of ours. */
+/** Parses a caller's request; returns `undefined` for an unknown path. */
 export function readCallerRequest(
   message: IncomingMessage,
-  reading: HeadReading,
+  context: HeadContext,
 ): CallerRequest | undefined {
-  // Put together as text: resolved against a base, a path like "//host/x" would name another host.
+  // Concatenated, because a path like "//host/x" resolved against a base URL would name another host.
   const target = `http://entry${message.url ?? "/"}`;
   if (!URL.canParse(target)) {
     return undefined;
   }
   const { pathname, search } = new URL(target);
-  const chat = CHAT_PATH.exec(pathname);
-  const plain = PLAIN_PATH.exec(pathname);
+  const chat = CHAT_PATH_PATTERN.exec(pathname);
+  const plain = PLAIN_PATH_PATTERN.exec(pathname);
   if (chat === null && plain === null) {
     return undefined;
   }
   const { headers, method = "GET" } = message;
-  const service = plain?.[1] ?? chat?.[1] ?? text(headers, SERVICE_HEADER) ??
-    reading.defaultService;
+  const service = plain?.[1] ?? chat?.[1] ??
+    headerText(headers, SERVICE_HEADER) ??
+    context.defaultService;
   return {
-    head: readHead(headers, { ...reading, service }),
+    head: readHead(headers, { ...context, service }),
     kind: chat === null ? "plain" : "chat",
     method,
     path: `${pathname}${search}`,
@@ -69,51 +70,62 @@
   };
 }
 
-/** SHA-256 of the bearer token, the only form in which it is compared. */
+/** Returns the SHA-256 of the bearer token, which is only compared in this form. */
 export function tokenDigest(headers: IncomingHttpHeaders): string | undefined {
-  const match = BEARER.exec(headers.authorization ?? "");
+  const match = BEARER_PATTERN.exec(headers.authorization ?? "");
   return match === null ? undefined : sha256(match[1]!);
 }
 
 function readHead(
   headers: IncomingHttpHeaders,
-  { credentials, newId, service }: HeadReading & { service: string },
+  { credentials, newId, service }: HeadContext & { service: string },
 ): RequestHead {
-  const forwarded = credentials.accepts(text(headers, PEER_HEADER));
-  const deadline = text(headers, DEADLINE_HEADER);
+  const forwarded = credentials.accepts(headerText(headers, PEER_HEADER));
+  const deadline = headerText(headers, DEADLINE_HEADER);
   return {
     id: forwarded ? peerRequestId(headers) ?? newId() : newId(),
     tokenDigest: tokenDigest(headers),
     service,
-    requestClass: text(headers, CLASS_HEADER),
+    requestClass: headerText(headers, CLASS_HEADER),
     deadline: deadline === undefined
       ? undefined
       : milliseconds(Number(deadline)),
-    key: text(headers, "idempotency-key"),
-    hops: (text(headers, HOP_HEADER) ?? "").split(",").map((hop) => hop.trim())
+    key: headerText(headers, "idempotency-key"),
+    hops: (headerText(headers, HOP_HEADER) ?? "").split(",").map((hop) =>
+      hop.trim()
+    )
       .filter(Boolean).slice(0, MAX_HOPS),
     forwarded,
     resumeOffset: forwarded
-      ? toOffset(text(headers, OFFSET_HEADER))
+      ? toOffset(headerText(headers, OFFSET_HEADER))
       : lastEventOffset(headers),
   };
 }
 
-/** A peer names its attempt; anybody else's choice of an id is ignored. */
+/** Returns the attempt id that a peer set. Must only be used for proved peers: callers must not choose ids. */
 function peerRequestId(headers: IncomingHttpHeaders): RequestId | undefined {
-  const id = text(headers, REQUEST_HEADER);
-  return id !== undefined && REQUEST_ID.test(id) ? id as RequestId : undefined;
+  const id = headerText(headers, REQUEST_HEADER);
+  return id !== undefined && REQUEST_ID_PATTERN.test(id)
+    ? id as RequestId
+    : undefined;
 }
 
 function lastEventOffset(headers: IncomingHttpHeaders): number {
-  return toOffset(LAST_EVENT.exec(text(headers, "last-event-id") ?? "")?.[1]);
+  return toOffset(
+    LAST_EVENT_PATTERN.exec(headerText(headers, "last-event-id") ?? "")?.[1],
+  );
 }
 
 function toOffset(value: string | undefined): number {
   return /^\d{1,9}$/.test(value ?? "") ? Number(value) : 0;
 }
 
-function text(headers: IncomingHttpHeaders, name: string): string | undefined {
+function headerText(
+  headers: IncomingHttpHeaders,
+  name: string,
+): string | undefined {
   const value = headers[name];
-  return typeof value === "string" ? value.slice(0, MAX_TEXT) : undefined;
+  return typeof value === "string"
+    ? value.slice(0, MAX_HEADER_CHARACTERS)
+    : undefined;
 }
--- a/packages/daemon/src/callers/response_stream.ts
+++ b/packages/daemon/src/callers/response_stream.ts
@@ -1,22 +1,22 @@
 /**
- * A response body that is written as tokens come, no faster than the caller reads.
+ * A streamed response body with backpressure.
  *
  * @module
  */
 
-/** Writes that may wait for the caller. */
-const MAX_WAITING_WRITES = 16;
+/** Number of buffered writes from which `write` waits for the caller. */
+const MAX_BUFFERED_WRITES = 16;
 
 /**
- * A reader that is slower than the engine would have its whole answer pile up here; one would notice
- * by memory that grows with slow screens. `write` waits until the caller has taken what is there, so
- * that the engine's connection is read no faster.
+ * Writes a response body no faster than the caller reads it. `write` waits until the caller has read what
+ * is buffered, so that the engine's connection is read at the same pace. Without this, the whole answer
+ * of a slow caller would be buffered, and memory would grow with slow callers.
  */
 export class ResponseStream {
   readonly body: ReadableStream<Uint8Array>;
   readonly #encoder = new TextEncoder();
   #controller!: ReadableStreamDefaultController<Uint8Array>;
-  /** All that wait: one that was forgotten here would keep its attempt and its caller for ever. */
+  /** Resolves the waiting writes. A write that is lost here would leak its attempt and its caller. */
   readonly #waiting = new Set<() => void>();
   #closed = false;
 
@@ -27,10 +27,10 @@
       },
       pull: (): void => this.#wake(),
       cancel: (): void => this.#close(),
-    }, { highWaterMark: MAX_WAITING_WRITES });
+    }, { highWaterMark: MAX_BUFFERED_WRITES });
   }
 
-  /** Writes, and resolves when more may be written. After the caller has gone it does nothing. */
+  /** Writes text and resolves when more may be written. Does nothing after the body was ended or cancelled. */
   async write(text: string): Promise<void> {
     if (this.#closed) {
       return;
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Ends the body. */
+  /** Ends the body and releases waiting writes. */
   end(): void {
     if (!this.#closed) {
       this.#close();
--- a/packages/daemon/src/entry/__tests__/entry_fixture.ts
+++ b/packages/daemon/src/entry/__tests__/entry_fixture.ts
@@ -368,7 +368,7 @@
   const until = performance.now() + timeoutMs;
   while (!condition()) {
     if (performance.now() > until) {
-      throw new Error(`The condition did not hold within ${timeoutMs} ms`);
+      throw new Error("The condition did not hold before the timeout");
     }
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
--- a/packages/daemon/src/entry/effect_runner.ts
+++ b/packages/daemon/src/entry/effect_runner.ts
@@ -193,7 +193,7 @@
     const { endpoints, emit } = this.#options;
     let accepted = false;
     try {
-      accepted = await endpoints.order(order);
+      accepted = await endpoints.sendOrder(order);
     } catch (error) {
       this.#logDebug("order", "Order was not answered.", {
         endpoint: order.endpoint,
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -193,7 +193,7 @@
     this.handleEvent({ kind: "bodyFailed", request: caller.id, detail });
   }
 
-  gone(caller: Caller): void {
+  disconnected(caller: Caller): void {
     this.handleEvent({ kind: "callerGone", request: caller.id });
   }
 
--- a/packages/daemon/src/outbound/__tests__/connections.test.ts
+++ b/packages/daemon/src/outbound/__tests__/connections.test.ts
@@ -6,8 +6,8 @@
 } from "node:net";
 import { afterEach, describe, expect, it } from "vitest";
 import {
-  createOneConnection,
-  createSharedConnections,
+  createSharedAgent,
+  createSingleUseClient,
   isConnectError,
 } from "../connections.ts";
 
@@ -16,21 +16,21 @@
 
 let server: Server;
 
-/** Counts connections and whole requests; `answerBytes` of the answer leave before the connection dies. */
-async function startDyingServer(
+/** Counts connections and complete requests, and closes each connection after `answerBytes` of the answer. */
+async function startBreakingServer(
   answerBytes: number,
 ): Promise<
   { origin: string; seen: { connections: number; requests: number } }
 > {
-  const seen = { connections: 0, requests: 0 };
+  const counts = { connections: 0, requests: 0 };
   server = createServer((socket: Socket) => {
-    seen.connections++;
+    counts.connections++;
     socket.on("error", () => {});
     let received = "";
     socket.on("data", (chunk) => {
       received += chunk.toString();
       if (received.endsWith(BODY)) {
-        seen.requests++;
+        counts.requests++;
         socket.write(ANSWER.slice(0, answerBytes), () => socket.destroy());
       }
     });
@@ -38,7 +38,7 @@
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   return {
     origin: `http://127.0.0.1:${(server.address() as AddressInfo).port}`,
-    seen,
+    seen: counts,
   };
 }
 
@@ -46,7 +46,7 @@
   origin: string,
   mayWrite: () => boolean,
 ): Promise<{ kind: "answered" } | { kind: "failed"; error: unknown }> {
-  const client = createOneConnection(origin, mayWrite);
+  const client = createSingleUseClient(origin, mayWrite);
   try {
     const response = await client.request({
       path: "/",
@@ -66,17 +66,17 @@
   server?.close();
 });
 
-describe("a connection of its own", () => {
-  describe("that dies under its request", () => {
-    // Symptom: one attempt in the log, two runs at the endpoint.
-    // Sequence: the endpoint runs the call and the connection dies at some byte of the answer.
-    // Cause: a client that reconnects by itself sends the request again.
+describe("a single-use connection", () => {
+  describe("that breaks during its request", () => {
+    // Guards against two runs at the endpoint for one attempt in the log. The endpoint runs the call and the
+    // connection breaks at some byte of the answer; a client that reconnects by itself would send the
+    // request again.
     const bytes = Array.from({ length: ANSWER.length }, (_, index) => index);
 
     it.each(bytes)(
-      "never sends it again after %i bytes of the answer",
+      "never sends the request again after %i bytes of the answer",
       async (answerBytes) => {
-        const { origin, seen } = await startDyingServer(answerBytes);
+        const { origin, seen } = await startBreakingServer(answerBytes);
         const result = await send(origin, () => true);
         expect(result.kind).toBe("failed");
         expect(isConnectError((result as { error: unknown }).error)).toBe(
@@ -86,22 +86,22 @@
       },
     );
 
-    it("takes a whole answer although the connection then dies", async () => {
-      const { origin } = await startDyingServer(ANSWER.length);
+    it("accepts a complete answer after which the connection breaks", async () => {
+      const { origin } = await startBreakingServer(ANSWER.length);
       expect((await send(origin, () => true)).kind).toBe("answered");
     });
   });
 
   describe("before the first byte", () => {
     it("writes nothing when the attempt is withdrawn", async () => {
-      const { origin, seen } = await startDyingServer(ANSWER.length);
+      const { origin, seen } = await startBreakingServer(ANSWER.length);
       const result = await send(origin, () => false);
       expect(isConnectError((result as { error: unknown }).error)).toBe(true);
       expect(seen.requests).toBe(0);
     });
 
-    it("tells a refused connection from a lost request", async () => {
-      const { origin } = await startDyingServer(0);
+    it("distinguishes a refused connection from a lost request", async () => {
+      const { origin } = await startBreakingServer(0);
       await new Promise<void>((resolve) => server.close(() => resolve()));
       const result = await send(origin, () => true);
       expect(isConnectError((result as { error: unknown }).error)).toBe(true);
@@ -109,13 +109,13 @@
   });
 });
 
-describe("kept connections", () => {
-  it("tell a refused connection from a lost request", async () => {
-    // A look at each new connection took one that never came about for one that stands, and threw where
-    // nobody caught it: one endpoint that refused connections ended the entry.
-    const { origin } = await startDyingServer(0);
+describe("shared connections", () => {
+  it("distinguish a refused connection from a lost request", async () => {
+    // Guards against an entry that crashes when an endpoint refuses connections. The callback that watches
+    // new connections treated a failed one as established and threw an uncaught error.
+    const { origin } = await startBreakingServer(0);
     await new Promise<void>((resolve) => server.close(() => resolve()));
-    const shared = createSharedConnections();
+    const shared = createSharedAgent();
     const failed = await shared.request({ origin, path: "/", method: "GET" })
       .catch((error: unknown) => error);
     expect(isConnectError(failed)).toBe(true);
--- a/packages/daemon/src/outbound/__tests__/endpoint_client.test.ts
+++ b/packages/daemon/src/outbound/__tests__/endpoint_client.test.ts
@@ -9,18 +9,18 @@
 const REPORT = '{"running":1,"slots":4}';
 const ANSWER =
   `HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: ${REPORT.length}\r\n\r\n${REPORT}`;
-/** Longer than a poll and an order may take. */
+/** Durations that exceed the timeouts of a poll and of an order. */
 const STALLS_MS = { poll: 1_100, order: 3_100 };
 
-/** Blocks the loop, as a machine that is busy or a process that is stopped does. */
-function stall(forMs: number): void {
+/** Blocks the event loop, as a busy machine or a stopped process does. */
+function blockEventLoop(forMs: number): void {
   const until = performance.now() + forMs;
   while (performance.now() < until) {
-    // Nothing else runs.
+    // Keep the event loop busy.
   }
 }
 
-describe("calls to endpoints beside the requests", () => {
+describe("control calls to endpoints", () => {
   let endpoint: RawEndpoint;
   let answer: RawAnswer;
   let client: EndpointClient;
@@ -34,31 +34,32 @@
     await endpoint.close();
   });
 
-  // After a pause of the entry each load poll under way had failed, with its answer in the socket: timers
-  // are served before sockets. Endpoints that had answered became suspect for two seconds.
-  describe("while the entry stands still", () => {
+  // Guards against polls that fail although their answer has arrived. The event loop runs timers before it
+  // reads sockets, so after a pause of the entry every pending load poll timed out, and endpoints that had
+  // answered became suspect for two seconds.
+  describe("while the entry is paused", () => {
     function answerAndStall(forMs: number): RawAnswer {
       return (socket) => {
         socket.write(ANSWER);
-        stall(forMs);
+        blockEventLoop(forMs);
       };
     }
 
-    it("takes a load report that came meanwhile", async () => {
+    it("accept a load report that arrived in the meantime", async () => {
       answer = answerAndStall(STALLS_MS.poll);
       const report = await client.pollLoad(`http://${endpoint.address}`);
       expect(report.running).toBe(1);
     });
 
-    it("takes the answer to an order that came meanwhile", async () => {
+    it("accept the answer to an order that arrived in the meantime", async () => {
       answer = answerAndStall(STALLS_MS.order);
       const order = { model: "m", fence: 1, expected: "", endpoint: "e1" };
       const url = `http://${endpoint.address}`;
-      expect(await client.order({ ...order, url } as never)).toBe(true);
+      expect(await client.sendOrder({ ...order, url } as never)).toBe(true);
     });
   });
 
-  it("gives up on an endpoint that says nothing", async () => {
+  it("time out if the endpoint does not answer", async () => {
     answer = () => {};
     await expect(client.pollLoad(`http://${endpoint.address}`)).rejects
       .toThrow();
--- a/packages/daemon/src/outbound/__tests__/load_report.test.ts
+++ b/packages/daemon/src/outbound/__tests__/load_report.test.ts
@@ -3,7 +3,7 @@
 import { parseLoadReport } from "../load_report.ts";
 
 describe("load reports", () => {
-  it("reads what an endpoint must say and fills in the rest", () => {
+  it("need only the required fields and have defaults for the others", () => {
     expect(parseLoadReport('{"running":1,"slots":4}')).toMatchObject({
       running: 1,
       slots: 4,
@@ -21,11 +21,11 @@
     '{"running":1}',
     '{"running":1,"slots":1e999}',
   ])(
-    "refuses %j",
+    "are rejected if malformed: %j",
     (text) => expect(parseLoadReport(text)).toBeUndefined(),
   );
 
-  it("never throws", () => {
+  it("never make the parser throw", () => {
     fc.assert(fc.property(fc.oneof(fc.string(), fc.json()), (text) => {
       parseLoadReport(text);
     }));
--- a/packages/daemon/src/outbound/__tests__/relay_frames.test.ts
+++ b/packages/daemon/src/outbound/__tests__/relay_frames.test.ts
@@ -19,8 +19,8 @@
   return `data: ${JSON.stringify({ id: "r.1", offset, done: true })}\n\n`;
 }
 
-/** Cuts bytes after each of the given numbers of bytes, in turn. */
-function cut(text: string, sizes: readonly number[]): Buffer[] {
+/** Splits a text's bytes into pieces of the given sizes, which are used in turn. */
+function splitBytes(text: string, sizes: readonly number[]): Buffer[] {
   const bytes = Buffer.from(text);
   const pieces: Buffer[] = [];
   for (let at = 0, turn = 0; at < bytes.length; turn++) {
@@ -31,7 +31,7 @@
   return pieces;
 }
 
-/** What became of an attempt whose answer came in these pieces. */
+/** Relays an answer in the given pieces, and returns what the caller got and how the attempt ended. */
 async function relay(
   pieces: readonly Buffer[],
 ): Promise<{ text: string; ended: boolean; end: AttemptEnd }> {
@@ -48,27 +48,27 @@
   async function* body(): AsyncGenerator<Buffer> {
     yield* pieces;
   }
-  const made = await relayFrames(body(), {
+  const attemptEnd = await relayFrames(body(), {
     attempt: ATTEMPT,
     caller,
-    tell: () => {},
+    emit: () => {},
   });
-  return { text, ended, end: made };
+  return { text, ended, end: attemptEnd };
 }
 
-/** What was read after a break, and dropped, depends on the reads. */
+/** Removes the dropped counts, since how much was read after a break depends on the pieces. */
 function withoutDropped(
-  { end: made, ...rest }: Awaited<ReturnType<typeof relay>>,
+  { end: attemptEnd, ...rest }: Awaited<ReturnType<typeof relay>>,
 ): object {
-  const detail = made.kind === "lost" ? made.detail : undefined;
-  return { ...rest, kind: made.kind, detail };
+  const detail = attemptEnd.kind === "lost" ? attemptEnd.detail : undefined;
+  return { ...rest, kind: attemptEnd.kind, detail };
 }
 
 describe("a relayed stream", () => {
   describe("that contradicts itself", () => {
-    // An end mark that the tokens before it contradict, or a word of the engine that it broke off, was
-    // overlooked where a good end mark came in the same read: the same bytes were a broken stream or a
-    // whole one, by how the network had cut them.
+    // Guards against a result that depends on how the network splits the bytes. An end mark with a wrong
+    // offset or an error event was overlooked if a valid end mark came in the same read, so the same bytes
+    // were either a broken or a complete stream.
     const cases: [string, string][] = [
       ["two end marks", token(0) + token(1) + end(1) + end(2)],
       [
@@ -77,37 +77,40 @@
       ],
       ["no frame before the end mark", `${token(0)}data: what\n\n${end(1)}`],
       [
-        "a token with no sensible offset",
+        "a token with an invalid offset",
         token(0) + token(-1) + token(1) + end(2),
       ],
     ];
 
-    it.each(cases)("is lost however it comes: %s", async (_, text) => {
-      const sizes = [1, 2, 7, 40, Infinity];
-      const seen = await Promise.all(
-        sizes.map((size) => relay(cut(text, [size]))),
-      );
-      expect(seen.map(({ end: { kind }, ended }) => ({ kind, ended })))
-        .toEqual(sizes.map(() => ({ kind: "lost", ended: false })));
-      expect(new Set(seen.map(({ text: tokens }) => tokens)).size).toBe(1);
-    });
+    it.each(cases)(
+      "is lost however its bytes are split: %s",
+      async (_, text) => {
+        const sizes = [1, 2, 7, 40, Infinity];
+        const seen = await Promise.all(
+          sizes.map((size) => relay(splitBytes(text, [size]))),
+        );
+        expect(seen.map(({ end: { kind }, ended }) => ({ kind, ended })))
+          .toEqual(sizes.map(() => ({ kind: "lost", ended: false })));
+        expect(new Set(seen.map(({ text: tokens }) => tokens)).size).toBe(1);
+      },
+    );
   });
 
-  it("tells what it dropped of an event that is not whole", async () => {
+  it("reports what it dropped of an incomplete event", async () => {
     for (const newline of ["\n", "\r\n"]) {
       const text = `${token(0)}${token(2)}: not whole`.replaceAll(
         "\n",
         newline,
       );
       for (const size of [1, 2, 3, 50, Infinity]) {
-        expect((await relay(cut(text, [size]))).end).toMatchObject({
+        expect((await relay(splitBytes(text, [size]))).end).toMatchObject({
           dropped: { frames: 1, characters: ": not whole".length },
         });
       }
     }
   });
 
-  it("comes to the same however its bytes are cut", async () => {
+  it("has the same result however its bytes are split", async () => {
     const offset = fc.integer({ min: 0, max: 4 });
     const event = fc.oneof(
       { weight: 6, arbitrary: offset.map((number) => token(number)) },
@@ -135,8 +138,8 @@
     await fc.assert(
       fc.asyncProperty(stream, sizes, async (text, pieces) => {
         const [byBytes, byPieces] = await Promise.all([
-          relay(cut(text, [1])),
-          relay(cut(text, pieces)),
+          relay(splitBytes(text, [1])),
+          relay(splitBytes(text, pieces)),
         ]);
         expect(withoutDropped(byPieces)).toEqual(withoutDropped(byBytes));
       }),
--- a/packages/daemon/src/outbound/__tests__/slow_callers.test.ts
+++ b/packages/daemon/src/outbound/__tests__/slow_callers.test.ts
@@ -25,7 +25,7 @@
 import { Credentials } from "../../peers/index.ts";
 import { AttemptRunner } from "../attempt_runner.ts";
 
-/** More than the sockets between an engine and its caller hold. */
+/** Together with the token's size, exceeds what the sockets between an engine and its caller buffer. */
 const TOKENS = 1_200;
 const TOKEN = "x".repeat(32_000);
 
@@ -94,30 +94,30 @@
       },
       bodyRead: () => start(1),
       bodyFailed: (_, detail) => expect.unreachable(detail),
-      gone: () => runner.abort("r.1" as AttemptId),
+      disconnected: () => runner.abort("r.1" as AttemptId),
       closed: () => {},
       listEntries: () => undefined,
     };
     server = createCallerServer(service).listen(0, "127.0.0.1");
     await once(server, "listening");
     const { port } = server.address() as AddressInfo;
-    const asked = request({
+    const clientRequest = request({
       port,
       host: "127.0.0.1",
       method: "POST",
       path: "/v1/chat/completions",
       agent: false,
     });
-    asked.on("error", () => {});
-    asked.end(
+    clientRequest.on("error", () => {});
+    clientRequest.end(
       JSON.stringify({
         stream: true,
         messages: [{ role: "user", content: "x" }],
       }),
     );
-    [response] = await once(asked, "response") as [IncomingMessage];
+    [response] = await once(clientRequest, "response") as [IncomingMessage];
     response.on("error", () => {});
-    await untilStopped();
+    await untilBlocked();
   });
   afterEach(async () => {
     response.destroy();
@@ -133,8 +133,8 @@
     runs.push(runner.run(attempt, caller));
   }
 
-  /** Waits until no more of the engine's tokens are taken. */
-  async function untilStopped(): Promise<void> {
+  /** Waits until backpressure stops the relay of tokens. */
+  async function untilBlocked(): Promise<void> {
     for (let before = -1, same = 0; same < 5;) {
       await new Promise((resolve) => setTimeout(resolve, 20));
       const { offset } = caller.tokens;
@@ -144,7 +144,7 @@
     expect(caller.tokens.offset).toBeLessThan(TOKENS);
   }
 
-  /** Attempt and number of each token that the caller reads, and the rest of the text. */
+  /** Reads to the end and returns the attempt and offset of each token, and the remaining text. */
   async function readAll(): Promise<{ tokens: string[]; rest: string }> {
     const chunks: Buffer[] = [];
     for await (const chunk of response) {
@@ -164,7 +164,7 @@
     return { tokens, rest };
   }
 
-  function numbered(attempt: string, from: number, to: number): string[] {
+  function tokenIds(attempt: string, from: number, to: number): string[] {
     return Array.from(
       { length: to - from },
       (_, index) => `${attempt}:${from + index}`,
@@ -174,13 +174,13 @@
   it("gets the whole stream from one attempt", async () => {
     const { tokens, rest } = await readAll();
     await Promise.all(runs);
-    expect(tokens).toEqual(numbered("r.1", 0, TOKENS));
+    expect(tokens).toEqual(tokenIds("r.1", 0, TOKENS));
     expect(rest).toMatch(/"finish_reason":"stop"\}\]\}\n\ndata: \[DONE\]\n\n$/);
     expect(events.at(-1)).toMatchObject({ end: { kind: "streamed" } });
   });
 
-  it("sees the break where its time runs out, and the attempt ends", async () => {
-    // What the core does at a deadline, in its order, while the attempt waits for the caller to read.
+  it("gets an error event at its deadline, and the attempt ends", async () => {
+    // The core does the same, in this order, at a deadline while the attempt waits for the caller to read.
     const { offset } = caller.tokens;
     runner.abort("r.1" as AttemptId);
     caller.finish({
@@ -189,32 +189,32 @@
     });
     await Promise.all(runs);
     const { tokens, rest } = await readAll();
-    expect(tokens).toEqual(numbered("r.1", 0, offset));
+    expect(tokens).toEqual(tokenIds("r.1", 0, offset));
     expect(rest).toMatch(/^event: error\ndata: [^\n]*\n\n$/);
   });
 
-  it("leaves, and the attempt ends", async () => {
+  it("disconnects, and the attempt ends", async () => {
     response.destroy();
     await Promise.all(runs);
     await expect.poll(() => engineSockets[0]!.destroyed).toBe(true);
     expect(events.at(-1)).toMatchObject({ end: { kind: "lost" } });
   });
 
-  it("hears nothing of an attempt that was left while it waited", async () => {
-    // The first attempt has more of its stream in the entry's buffers, end mark included, and waits for
-    // the caller. The next one begins before that wait is over.
+  it("gets nothing more from an attempt that was aborted while it waited", async () => {
+    // The first attempt has more of its stream in the entry's buffers, including the end mark, and waits for
+    // the caller. The second attempt starts before that wait is over.
     const { offset } = caller.tokens;
     runner.abort("r.1" as AttemptId);
     start(2);
     const { tokens, rest } = await readAll();
     await Promise.all(runs);
     expect(tokens).toEqual([
-      ...numbered("r.1", 0, offset),
-      ...numbered("r.2", offset, TOKENS),
+      ...tokenIds("r.1", 0, offset),
+      ...tokenIds("r.2", offset, TOKENS),
     ]);
     expect(rest).toMatch(/data: \[DONE\]\n\n$/);
-    const told = events.filter(({ kind }) => kind === "attemptEnded");
-    expect(told).toMatchObject([
+    const endEvents = events.filter(({ kind }) => kind === "attemptEnded");
+    expect(endEvents).toMatchObject([
       { attempt: "r.1", end: { kind: "lost" } },
       { attempt: "r.2", end: { kind: "streamed" } },
     ]);
--- a/packages/daemon/src/outbound/attempt_runner.ts
+++ b/packages/daemon/src/outbound/attempt_runner.ts
@@ -1,5 +1,5 @@
 /**
- * Makes the attempts that the core decided on.
+ * Sends the attempts that the core has decided on.
  *
  * @module
  */
@@ -26,41 +26,41 @@
 import { type Credentials, PEER_HEADER } from "../peers/index.ts";
 import {
   type Connection,
-  createOneConnection,
-  createSharedConnections,
+  createSharedAgent,
+  createSingleUseClient,
   isConnectError,
 } from "./connections.ts";
 import { LOAD_HEADER, parseLoadReport } from "./load_report.ts";
 import { relayFrames } from "./relay_frames.ts";
 
-/** Largest answer of a plain service. */
+/** Maximum size of an answer that is not a stream. */
 export const MAX_ANSWER_BYTES = 4_194_304;
 const MILLISECONDS_PER_SECOND = 1_000;
-const OK = 200;
+const HTTP_OK = 200;
 
-/** The entry, as the runner needs it. */
+/** Operations of the entry that the runner needs. */
 export interface AttemptHost {
   readonly incarnation: Incarnation;
   readonly credentials: Credentials;
-  /** Asks the core whether to write now. */
+  /** Asks the core, directly before the request is written, whether the attempt may still be sent. */
   commit(attempt: AttemptId): boolean;
   emit(event: CoreEvent): void;
 }
 
-/** Runs attempts and tells how they end. */
+/** Runs attempts and reports to the core how they end. */
 export class AttemptRunner {
   readonly #host: AttemptHost;
-  readonly #shared: Agent = createSharedConnections();
-  readonly #running = new Map<AttemptId, AbortController>();
+  readonly #sharedAgent: Agent = createSharedAgent();
+  readonly #abortControllers = new Map<AttemptId, AbortController>();
 
   constructor(host: AttemptHost) {
     this.#host = host;
   }
 
-  /** Makes an attempt for a caller. */
+  /** Runs an attempt for a caller until it ends. */
   async run(attempt: Attempt, caller: Caller): Promise<void> {
     const abort = new AbortController();
-    this.#running.set(attempt.id, abort);
+    this.#abortControllers.set(attempt.id, abort);
     const connection = this.#connect(attempt);
     try {
       if (connection !== undefined) {
@@ -69,39 +69,39 @@
           connection,
           signal: abort.signal,
         });
-        this.#end(attempt, end);
+        this.#reportEnd(attempt, end);
       }
     } catch (error) {
       const kind = isConnectError(error) ? "unsent" : "lost";
-      this.#end(attempt, { kind, detail: (error as Error).message });
+      this.#reportEnd(attempt, { kind, detail: (error as Error).message });
     } finally {
-      this.#running.delete(attempt.id);
+      this.#abortControllers.delete(attempt.id);
       connection?.release();
     }
   }
 
-  /** Drops an attempt's connection. The core has already noted how it ended. */
+  /** Closes an attempt's connection. The core has already recorded how the attempt ended. */
   abort(attempt: AttemptId): void {
-    this.#running.get(attempt)?.abort();
+    this.#abortControllers.get(attempt)?.abort();
   }
 
   /** Closes every connection. */
   async close(): Promise<void> {
-    await this.#shared.destroy();
+    await this.#sharedAgent.destroy();
   }
 
-  /** `undefined` where the core withdrew the attempt. */
+  /** Returns a connection, or `undefined` if the core withdrew the attempt. */
   #connect(attempt: Attempt): Connection | undefined {
     const commit = (): boolean => this.#host.commit(attempt.id);
     if (attempt.freshConnection) {
-      const client = createOneConnection(attempt.target.url, commit);
+      const client = createSingleUseClient(attempt.target.url, commit);
       return {
         dispatcher: client,
         release: () => void client.destroy().catch(() => {}),
       };
     }
     return commit()
-      ? { dispatcher: this.#shared, release: () => {} }
+      ? { dispatcher: this.#sharedAgent, release: () => {} }
       : undefined;
   }
 
@@ -114,9 +114,11 @@
     },
   ): Promise<AttemptEnd> {
     const toPeer = attempt.target.kind === "peer";
-    const { request: asked, body } = caller;
-    const path = toPeer ? asked.path : asked.endpointPath;
-    const method = asked.kind === "chat" ? "POST" : asked.method;
+    const { request: callerRequest, body } = caller;
+    const path = toPeer ? callerRequest.path : callerRequest.endpointPath;
+    const method = callerRequest.kind === "chat"
+      ? "POST"
+      : callerRequest.method;
     const response = await request(`${attempt.target.url}${path}`, {
       method: method as Dispatcher.HttpMethod,
       headers: toPeer
@@ -127,25 +129,28 @@
       signal,
     });
     if (attempt.target.kind === "endpoint") {
-      this.#tellLoad(attempt.target.endpoint, response.headers[LOAD_HEADER]);
+      this.#reportLoad(attempt.target.endpoint, response.headers[LOAD_HEADER]);
     }
-    const isStream = response.statusCode === OK &&
+    const isStream = response.statusCode === HTTP_OK &&
       String(response.headers["content-type"]).includes("event-stream");
-    if (asked.kind === "chat" && isStream) {
+    if (callerRequest.kind === "chat" && isStream) {
       return await relayFrames(response.body, {
         attempt,
         caller,
-        tell: (event) => this.#host.emit(event),
+        emit: (event) => this.#host.emit(event),
       });
     }
     return await readAnswer(response, { fromPeer: toPeer });
   }
 
-  #end(attempt: Attempt, end: AttemptEnd): void {
+  #reportEnd(attempt: Attempt, end: AttemptEnd): void {
     this.#host.emit({ kind: "attemptEnded", attempt: attempt.id, end });
   }
 
-  #tellLoad(endpoint: EndpointId, header: string | string[] | undefined): void {
+  #reportLoad(
+    endpoint: EndpointId,
+    header: string | string[] | undefined,
+  ): void {
     const report = typeof header === "string"
       ? parseLoadReport(header)
       : undefined;
@@ -191,7 +196,7 @@
   { fromPeer }: { fromPeer: boolean },
 ): Promise<AttemptEnd> {
   const verdictText = headers[VERDICT_HEADER];
-  const word = fromPeer
+  const verdictField = fromPeer
     ? {
       verdict: parseVerdictHeader(
         verdictText === undefined ? undefined : String(verdictText),
@@ -203,7 +208,7 @@
   for await (const chunk of body as AsyncIterable<Uint8Array>) {
     size += chunk.length;
     if (size > MAX_ANSWER_BYTES) {
-      return { kind: "oversize", status: statusCode, ...word };
+      return { kind: "oversize", status: statusCode, ...verdictField };
     }
     chunks.push(chunk);
   }
@@ -217,7 +222,7 @@
       ),
       body: Buffer.concat(chunks).toString("base64"),
     },
-    ...word,
+    ...verdictField,
     ...(retryAfter === undefined
       ? {}
       : { retryAfter: milliseconds(retryAfter) }),
@@ -227,9 +232,9 @@
 function readRetryAfter(
   headers: Dispatcher.ResponseData["headers"],
 ): number | undefined {
-  const exact = Number(headers[RETRY_AFTER_MS_HEADER]);
-  if (exact > 0) {
-    return exact;
+  const exactMs = Number(headers[RETRY_AFTER_MS_HEADER]);
+  if (exactMs > 0) {
+    return exactMs;
   }
   const seconds = Number(headers["retry-after"]);
   return seconds > 0 ? seconds * MILLISECONDS_PER_SECOND : undefined;
--- a/packages/daemon/src/outbound/connections.ts
+++ b/packages/daemon/src/outbound/connections.ts
@@ -1,5 +1,5 @@
 /**
- * Connections to endpoints and peers.
+ * HTTP connections to endpoints and peers.
  *
  * @module
  */
@@ -20,8 +20,8 @@
   maxHeaderSize: MAX_RESPONSE_HEADER_BYTES,
 } as const;
 
-/** Kept connections, one request at a time on each. For calls that may be repeated. */
-export function createSharedConnections(): Agent {
+/** Creates a pool of kept-alive connections without pipelining, for calls that may be repeated. */
+export function createSharedAgent(): Agent {
   return createWatchedAgent({
     ...CLIENT_OPTIONS,
     connections: MAX_CONNECTIONS_PER_ORIGIN,
@@ -30,22 +30,22 @@
 }
 
 /**
- * A connection of its own for one call that may not be repeated.
+ * Creates a client with a single connection, for one call that must not be repeated.
  *
- * A client that reconnects by itself when a kept connection dies under a request could send the call
- * twice; one would notice by two runs with a single attempt in the log. Here `mayWrite` is asked once,
- * when the connection stands and before any byte is written, and a second connection is refused.
+ * A client that reconnects by itself when a kept-alive connection breaks during a request could send the
+ * call twice, which would show as two runs for a single attempt in the log. Here `mayWrite` is called once,
+ * after the connection is established and before any byte is written, and a second connection is refused.
  */
-export function createOneConnection(
+export function createSingleUseClient(
   origin: string,
   mayWrite: () => boolean,
 ): Client {
   const connect = createConnector(CONNECT_TIMEOUT_MS);
-  let used = false;
+  let connected = false;
   return new WatchedClient(origin, {
     ...CLIENT_OPTIONS,
     connect: (options, callback): void => {
-      if (used) {
+      if (connected) {
         callback(new WithdrawnError(), null);
         return;
       }
@@ -53,10 +53,10 @@
         if (error !== null) {
           callback(error, null);
         } else if (mayWrite()) {
-          used = true;
+          connected = true;
           callback(null, socket);
         } else {
-          used = true;
+          connected = true;
           socket?.destroy();
           callback(new WithdrawnError(), null);
         }
@@ -65,7 +65,7 @@
   });
 }
 
-/** The attempt was given up before any byte was written. */
+/** Signals that the attempt was withdrawn before any byte was written. */
 export class WithdrawnError extends Error {
   override readonly name = "WithdrawnError";
 
@@ -74,14 +74,14 @@
   }
 }
 
-/** Whether an error says that no connection came about, so that nothing was written. */
+/** Whether an error means that no connection was established, so that nothing was written. */
 export function isConnectError(error: unknown): boolean {
   const { code, syscall } = error as { code?: string; syscall?: string };
   return error instanceof WithdrawnError ||
     code === "UND_ERR_CONNECT_TIMEOUT" || syscall === "connect";
 }
 
-/** A dispatcher and how to be done with it. */
+/** A dispatcher for one attempt, which must be released afterwards. */
 export interface Connection {
   readonly dispatcher: Dispatcher;
   release(): void;
--- a/packages/daemon/src/outbound/endpoint_client.ts
+++ b/packages/daemon/src/outbound/endpoint_client.ts
@@ -11,13 +11,13 @@
 const POLL_TIMEOUT_MS = 1_000;
 const ORDER_TIMEOUT_MS = 3_000;
 const MAX_REPORT_BYTES = 65_536;
-const OK = 200;
+const HTTP_OK = 200;
 
-/** Talks to endpoints beside the requests. */
+/** Polls endpoints' loads and sends them orders, outside callers' requests. */
 export class EndpointClient {
   readonly #agent = new Agent({ connections: 1, pipelining: 1 });
 
-  /** An endpoint's load; throws where it does not answer sensibly. */
+  /** Reads an endpoint's load; throws if it does not answer with a valid report. */
   pollLoad(url: string): Promise<LoadReport> {
     return whileListening(
       POLL_TIMEOUT_MS,
@@ -25,11 +25,11 @@
     );
   }
 
-  /** Sends an order; whether the engine took it. */
-  order(order: EngineOrder): Promise<boolean> {
+  /** Sends an order and returns whether the engine accepted it. */
+  sendOrder(order: EngineOrder): Promise<boolean> {
     return whileListening(
       ORDER_TIMEOUT_MS,
-      (signal) => this.#order(order, signal),
+      (signal) => this.#sendOrder(order, signal),
     );
   }
 
@@ -44,7 +44,7 @@
       signal,
     });
     const text = (await response.body.text()).slice(0, MAX_REPORT_BYTES);
-    const report = response.statusCode === OK
+    const report = response.statusCode === HTTP_OK
       ? parseLoadReport(text)
       : undefined;
     if (report === undefined) {
@@ -55,7 +55,7 @@
     return report;
   }
 
-  async #order(
+  async #sendOrder(
     { url, model, fence, expected }: EngineOrder,
     signal: AbortSignal,
   ): Promise<boolean> {
@@ -67,6 +67,6 @@
       signal,
     });
     await response.body.dump();
-    return response.statusCode === OK;
+    return response.statusCode === HTTP_OK;
   }
 }
--- a/packages/daemon/src/outbound/frame_reader.ts
+++ b/packages/daemon/src/outbound/frame_reader.ts
@@ -1,41 +1,41 @@
 /**
- * Reads frames out of the bytes of one stream.
+ * Parses frames from the bytes of an SSE stream.
  *
  * @module
  */
 import { type Frame, parseFrame } from "@sassafrasstep/core";
 import { createParser, type EventSourceParser } from "eventsource-parser";
 
-/** Longest event of a stream. */
+/** Maximum length of an event. */
 const MAX_EVENT_CHARACTERS = 65_536;
 
-/** One event of a stream. */
+/** A parsed event of a stream. */
 export type FrameEvent =
   | { readonly kind: "frame"; readonly frame: Frame }
-  /** Nothing sensible comes after it. */
+  /** The stream is broken; events after this one must be ignored. */
   | { readonly kind: "broken"; readonly detail: string };
 
-/** Belongs to one attempt, with the bytes of an event that is not whole yet. */
+/** Parses the stream of one attempt and buffers the bytes of an incomplete event. */
 export class FrameReader {
   readonly #decoder = new TextDecoder();
   readonly #parser: EventSourceParser = createParser({
     maxBufferSize: MAX_EVENT_CHARACTERS,
-    onEvent: ({ event, data }) => this.#take(event, data),
+    onEvent: ({ event, data }) => this.#handleEvent(event, data),
     onError: ({ type }) => {
       if (type === "max-buffer-size-exceeded") {
-        this.#break("An event is too long");
+        this.#reportBroken("An event is too long");
       }
     },
   });
   #events: FrameEvent[] = [];
-  readonly #unfinished = new UnfinishedEvent();
+  readonly #unfinished = new UnfinishedEventCounter();
 
-  /** Characters of the event that is not whole yet. */
-  get unfinished(): number {
+  /** Number of characters of the incomplete event. */
+  get unfinishedCharacters(): number {
     return this.#unfinished.characters;
   }
 
-  /** Events that are whole with these bytes, in their order. */
+  /** Adds bytes and returns the events that they complete, in order. */
   feed(bytes: Uint8Array): readonly FrameEvent[] {
     const text = this.#decoder.decode(bytes, { stream: true });
     this.#unfinished.add(text);
@@ -45,32 +45,32 @@
     return events;
   }
 
-  #take(event: string | undefined, data: string): void {
+  #handleEvent(event: string | undefined, data: string): void {
     if (event === "error") {
-      this.#break("The sender broke off");
+      this.#reportBroken("The sender broke off");
       return;
     }
     const frame = parseFrame(data);
     if (frame === undefined) {
-      this.#break("An event is not a frame");
+      this.#reportBroken("An event is not a frame");
     } else {
       this.#events.push({ kind: "frame", frame });
     }
   }
 
-  #break(detail: string): void {
+  #reportBroken(detail: string): void {
     this.#events.push({ kind: "broken", detail });
   }
 }
 
-/** Counts the characters after the last blank line, which ends an event. */
-class UnfinishedEvent {
+/** Counts the characters after the last blank line, the end of an event. */
+class UnfinishedEventCounter {
   characters = 0;
-  /** The last characters, which may begin a blank line. */
-  #last = "";
+  /** The last characters, which may be the start of a blank line. */
+  #tail = "";
 
   add(text: string): void {
-    const joined = this.#last + text;
+    const joined = this.#tail + text;
     const end = Math.max(
       joined.lastIndexOf("\n\n") + "\n\n".length,
       joined.lastIndexOf("\n\r\n") + "\n\r\n".length,
@@ -79,6 +79,6 @@
     this.characters = found
       ? joined.length - end
       : this.characters + text.length;
-    this.#last = joined.slice(-"\n\r".length);
+    this.#tail = joined.slice(-"\n\r".length);
   }
 }
--- a/packages/daemon/src/outbound/index.ts
+++ b/packages/daemon/src/outbound/index.ts
@@ -3,6 +3,6 @@
   AttemptRunner,
   MAX_ANSWER_BYTES,
 } from "./attempt_runner.ts";
-export { createOneConnection, isConnectError } from "./connections.ts";
+export { createSingleUseClient, isConnectError } from "./connections.ts";
 export { EndpointClient } from "./endpoint_client.ts";
 export { LOAD_HEADER, parseLoadReport } from "./load_report.ts";
--- a/packages/daemon/src/outbound/load_report.ts
+++ b/packages/daemon/src/outbound/load_report.ts
@@ -1,31 +1,31 @@
 /**
- * Load reports of endpoints, as they publish them.
+ * Parses the load reports that endpoints publish.
  *
  * @module
  */
 import { type LoadReport, milliseconds } from "@sassafrasstep/core";
 import { z } from "zod";
 
-/** Header by which an endpoint reports its load with an answer. */
+/** Header of an endpoint's answer that contains its load report. */
 export const LOAD_HEADER = "x-endpoint-load";
 const MAX_EVICTED = 4_096;
-const count = z.number().nonnegative().finite();
+const nonNegative = z.number().nonnegative().finite();
 
 const reportSchema = z.object({
-  age_ms: count.default(0),
-  running: count,
-  queued: count.default(0),
-  slots: count,
-  prefill_rate: count.default(0),
-  hold_ms: count.default(0),
+  age_ms: nonNegative.default(0),
+  running: nonNegative,
+  queued: nonNegative.default(0),
+  slots: nonNegative,
+  prefill_rate: nonNegative.default(0),
+  hold_ms: nonNegative.default(0),
   draining: z.boolean().default(false),
   model: z.string().max(64).default(""),
-  fence: count.default(0),
+  fence: nonNegative.default(0),
   evicted: z.array(z.number()).max(MAX_EVICTED).default([]),
   cache_gap: z.boolean().default(false),
 });
 
-/** Reads a report; `undefined` where it is not one. */
+/** Parses a report; returns `undefined` if it is invalid. */
 export function parseLoadReport(text: string): LoadReport | undefined {
   let json: unknown;
   try {
--- a/packages/daemon/src/outbound/relay_frames.ts
+++ b/packages/daemon/src/outbound/relay_frames.ts
@@ -1,5 +1,5 @@
 /**
- * Reads an engine's or a peer's stream of frames and hands the tokens to the caller.
+ * Relays the tokens of an engine's or peer's frame stream to the caller.
  *
  * @module
  */
@@ -12,19 +12,19 @@
 import { AnswerTooLargeError, type Caller } from "../callers/index.ts";
 import { type FrameEvent, FrameReader } from "./frame_reader.ts";
 
-const OK = 200;
+const HTTP_OK = 200;
 
-/** What a relay works with. */
-export interface Relay {
+/** Parameters of a relay. */
+export interface RelayOptions {
   readonly attempt: Attempt;
   readonly caller: Caller;
-  readonly tell: (event: CoreEvent) => void;
+  readonly emit: (event: CoreEvent) => void;
 }
 
-/** Relays until the end mark, a break or a frame that makes no sense. */
+/** Relays until the end mark, the end of the body or an invalid frame, and returns how the attempt ended. */
 export async function relayFrames(
   body: AsyncIterable<Uint8Array>,
-  relay: Relay,
+  relay: RelayOptions,
 ): Promise<AttemptEnd> {
   const frames = relay.caller.tokens.begin(relay.attempt.id);
   const reader = new FrameReader();
@@ -33,23 +33,23 @@
     return detail === undefined ? { kind: "streamed" } : lost(detail);
   } catch (error) {
     return error instanceof AnswerTooLargeError
-      ? { kind: "oversize", status: OK }
+      ? { kind: "oversize", status: HTTP_OK }
       : lost((error as Error).message);
   }
 
   function lost(detail: string): AttemptEnd {
     const dropped = {
       frames: frames.bufferedCount,
-      characters: reader.unfinished,
+      characters: reader.unfinishedCharacters,
     };
     return { kind: "lost", detail, dropped };
   }
 }
 
-/** What is wrong with the stream, `undefined` where it was whole. */
+/** Relays a stream and returns why it is broken, or `undefined` if it was complete. */
 async function relayEvents(
   body: AsyncIterable<Uint8Array>,
-  { attempt, caller, tell, frames, reader }: Relay & {
+  { attempt, caller, emit, frames, reader }: RelayOptions & {
     readonly frames: AttemptStream;
     readonly reader: FrameReader;
   },
@@ -58,17 +58,17 @@
   let first = true;
   for await (const chunk of body) {
     const startAt = tokens.offset;
-    const taken = takeEvents(frames, reader.feed(chunk));
-    if (taken.tokens.length > 0) {
+    const accepted = acceptEvents(frames, reader.feed(chunk));
+    if (accepted.tokens.length > 0) {
       if (first) {
         first = false;
-        tell({ kind: "firstToken", attempt: attempt.id });
+        emit({ kind: "firstToken", attempt: attempt.id });
       }
-      tell({ kind: "progress", attempt: attempt.id, offset: tokens.offset });
-      await caller.writeTokens(startAt, taken.tokens);
+      emit({ kind: "progress", attempt: attempt.id, offset: tokens.offset });
+      await caller.writeTokens(startAt, accepted.tokens);
     }
-    if (taken.broken !== undefined) {
-      return taken.broken;
+    if (accepted.broken !== undefined) {
+      return accepted.broken;
     }
     if (frames.isWhole) {
       caller.endTokens();
@@ -79,10 +79,10 @@
 }
 
 /**
- * Takes events up to the end or the first that makes no sense, as if each had come by itself: what a
- * stream is must not depend on how the network cuts its bytes.
+ * Accepts events up to the end mark or the first invalid event, exactly as if each had arrived separately:
+ * the result must not depend on how the network splits the stream.
  */
-function takeEvents(
+function acceptEvents(
   frames: AttemptStream,
   events: readonly FrameEvent[],
 ): { tokens: readonly string[]; broken: string | undefined } {
