--- a/packages/daemon/src/customers/customer_schema.ts
+++ b/packages/daemon/src/customers/customer_schema.ts
@@ -1,5 +1,5 @@
 /**
- * Shape of datagrams about customers: lists whose items have fixed places.
+ * Schemas of datagrams about customers, which are encoded as arrays with fixed positions.
  *
  * @module
  */
@@ -21,10 +21,10 @@
   whole,
 } from "../quarantine/index.ts";
 
-/** Four places tell parts of a limit apart as far as matters. */
-const PART_SCALE = 10_000;
+/** Encodes fractions of a limit as integers with four decimal places, which is precise enough. */
+const FRACTION_SCALE = 10_000;
 
-const part = whole.transform((value) => value / PART_SCALE);
+const fraction = whole.transform((value) => value / FRACTION_SCALE);
 
 const endpoint = z.tuple([
   text,
@@ -78,11 +78,11 @@
   ),
 ]);
 
-const pictureNews = z.tuple([whole, list(change)]).transform(
+const catalogueDelta = z.tuple([whole, list(change)]).transform(
   ([revision, changes]) => ({ revision, changes }),
 );
 
-/** Questions and answers how current a document is. */
+/** Schema of questions about the freshness of a document, and of the answers. */
 export const currencyMessage = z.union([
   z.tuple([z.literal("question"), text, whole, position]).transform(
     ([kind, from, sequence, position]) => ({ kind, from, sequence, position }),
@@ -94,7 +94,7 @@
     whole,
     position,
     number,
-    pictureNews.nullable(),
+    catalogueDelta.nullable(),
   ]).transform(
     ([kind, incarnation, sequence, version, position, age, news]) => ({
       kind,
@@ -108,7 +108,7 @@
   ),
 ]);
 
-/** What customers use. */
+/** Schema of reports and totals of what customers spend. */
 export const spendingMessage = z.union([
   z.tuple([
     z.literal("report"),
@@ -126,7 +126,7 @@
     text,
     text,
     z.boolean(),
-    list(z.tuple([text, z.number(), z.number(), part])),
+    list(z.tuple([text, z.number(), z.number(), fraction])),
   ]).transform(([kind, incarnation, region, near, totals]) => ({
     kind,
     incarnation,
@@ -141,7 +141,7 @@
   })),
 ]);
 
-/** Writes a question or an answer. */
+/** Encodes a question about freshness, or an answer. */
 export function encodeCurrency(message: FreshnessMessage): unknown[] {
   return message.kind === "question"
     ? [
@@ -156,13 +156,15 @@
       message.sequence,
       message.version,
       encodePosition(message.position),
-      // Never younger than it is.
+      // Rounded up, so that an age is never understated.
       Math.ceil(message.age),
-      message.news === undefined ? null : encodeNews(message.news),
+      message.news === undefined ? null : encodeCatalogueDelta(message.news),
     ];
 }
 
-function encodeNews({ revision, changes }: CatalogueDelta): unknown[] {
+function encodeCatalogueDelta(
+  { revision, changes }: CatalogueDelta,
+): unknown[] {
   return [revision, changes.map(encodeChange)];
 }
 
@@ -176,7 +178,7 @@
     case "evacuationEnded":
       return [change.kind, change.zone];
     case "document":
-      throw new Error("Cannot write a document into a datagram");
+      throw new Error("Cannot encode a document change in a datagram");
   }
 }
 
@@ -196,7 +198,7 @@
   ];
 }
 
-/** Writes sums. */
+/** Encodes a report or totals of what customers spend. */
 export function encodeSpending(message: SpendingMessage): unknown[] {
   if (message.kind === "report") {
     const { kind, incarnation, first, spent } = message;
@@ -208,7 +210,7 @@
     customer,
     sum,
     level,
-    Math.floor(part * PART_SCALE),
+    Math.floor(part * FRACTION_SCALE),
   ]);
   return [kind, incarnation, region, near, sums];
 }
--- a/packages/daemon/src/peers/__tests__/peers.test.ts
+++ b/packages/daemon/src/peers/__tests__/peers.test.ts
@@ -54,14 +54,14 @@
 
 let server: Server;
 let url: string;
-const heard: Heartbeat[] = [];
-const learned: QuarantineUpdate[] = [];
+const receivedHeartbeats: Heartbeat[] = [];
+const receivedNews: QuarantineUpdate[] = [];
 
 beforeAll(async () => {
   const service = {
     deployment: "demo",
     heartbeat: (heartbeat: Heartbeat): HeartbeatReply => {
-      heard.push(heartbeat);
+      receivedHeartbeats.push(heartbeat);
       return {
         from: heartbeat.from,
         revision: heartbeat.revision,
@@ -71,7 +71,7 @@
         leaving: [],
       };
     },
-    quarantine: (news: QuarantineUpdate) => learned.push(news),
+    quarantine: (news: QuarantineUpdate) => receivedNews.push(news),
     prometheus: () => "",
     isReady: () => true,
   } as unknown as ControlService;
@@ -86,8 +86,8 @@
 });
 
 describe("peers", () => {
-  describe("proof of the deployment", () => {
-    it("is made anew each time and accepted", () => {
+  describe("the proof of the deployment", () => {
+    it("differs each time and is accepted", () => {
       const credentials = new Credentials(SECRET, "demo");
       expect(credentials.prove()).not.toBe(credentials.prove());
       expect(credentials.accepts(credentials.prove())).toBe(true);
@@ -98,13 +98,13 @@
       ["another deployment", new Credentials(SECRET, "other")],
     ];
 
-    it.each(strangers)("is refused with %s", (_, stranger) => {
+    it.each(strangers)("is rejected with %s", (_, stranger) => {
       expect(new Credentials(SECRET, "demo").accepts(stranger.prove())).toBe(
         false,
       );
     });
 
-    it("is refused in any other form", () => {
+    it("is rejected if malformed", () => {
       fc.assert(
         fc.property(
           fc.string(),
@@ -115,24 +115,24 @@
   });
 
   describe("messages", () => {
-    it("are answered to a peer", async () => {
+    it("from a proved peer are answered", async () => {
       const clients = new PeerClients(new Credentials(SECRET, "demo"));
       expect(await sendHeartbeat(clients.at(url), HEARTBEAT)).toMatchObject({
         from: FROM,
         wanted: [],
       });
-      expect(heard.at(-1)).toEqual(HEARTBEAT);
+      expect(receivedHeartbeats.at(-1)).toEqual(HEARTBEAT);
       await clients.close();
     });
 
-    it("of a stranger are refused unread", async () => {
-      const before = heard.length;
+    it("without a valid proof are rejected unread", async () => {
+      const before = receivedHeartbeats.length;
       const clients = new PeerClients(
         new Credentials("secret-of-another-00", "demo"),
       );
       await expect(sendHeartbeat(clients.at(url), HEARTBEAT)).rejects
         .toThrow();
-      expect(heard).toHaveLength(before);
+      expect(receivedHeartbeats).toHaveLength(before);
       await clients.close();
     });
 
@@ -140,29 +140,29 @@
       ...HEARTBEAT,
       records: [{ record: { ...MEMBER, ...change }, beat: 7 }],
     });
-    const odd: [string, object][] = [
+    const malformed: [string, object][] = [
       ["another deployment", { ...HEARTBEAT, deployment: "other" }],
       ["an impossible revision", { ...HEARTBEAT, revision: -1 }],
       ["a revision that is no number", { ...HEARTBEAT, revision: 1.5 }],
-      ["an odd freshness", {
+      ["a malformed freshness", {
         ...HEARTBEAT,
         from: { ...FROM, incarnation: "x y" },
       }],
       ["control characters in an id", withMember({ id: "n\u00001" })],
-      ["an address that is none", withMember({ url: "file:///x" })],
+      ["an invalid URL", withMember({ url: "file:///x" })],
       ["too many items", { ...HEARTBEAT, freshness: Array(300).fill(FROM) }],
     ];
 
-    it.each(odd)("with %s are refused", async (_, message) => {
-      const before = heard.length;
+    it.each(malformed)("with %s are rejected", async (_, message) => {
+      const before = receivedHeartbeats.length;
       const clients = new PeerClients(new Credentials(SECRET, "demo"));
       await expect(sendHeartbeat(clients.at(url), message as Heartbeat))
         .rejects.toThrow();
-      expect(heard).toHaveLength(before);
+      expect(receivedHeartbeats).toHaveLength(before);
       await clients.close();
     });
 
-    describe("of ends of endpoints", () => {
+    describe("with quarantine news", () => {
       const NEWS = {
         crashes: [],
         answered: [{ content: "abc", softwareVersion: "" }],
@@ -170,28 +170,28 @@
         holds: [],
       } as unknown as QuarantineUpdate;
 
-      it("are taken from a peer", async () => {
+      it("are accepted from a peer", async () => {
         const clients = new PeerClients(new Credentials(SECRET, "demo"));
         const text = JSON.stringify(encodeQuarantineNews(NEWS));
         await clients.at(url).quarantine.mutate(text);
-        expect(learned.at(-1)).toEqual(NEWS);
+        expect(receivedNews.at(-1)).toEqual(NEWS);
         await clients.close();
       });
 
       it.each(["", "[", "{}", "[[],[],[]]", "[[],[[1,2]],[],[]]"])(
-        "are refused where they are none: %o",
+        "are rejected if malformed: %o",
         async (text) => {
-          const before = learned.length;
+          const before = receivedNews.length;
           const clients = new PeerClients(new Credentials(SECRET, "demo"));
           await expect(clients.at(url).quarantine.mutate(text)).rejects
             .toThrow();
-          expect(learned).toHaveLength(before);
+          expect(receivedNews).toHaveLength(before);
           await clients.close();
         },
       );
     });
 
-    it("of any shape are taken or refused, and never throw past the check", () => {
+    it("of any shape never make the schemas throw", () => {
       fc.assert(fc.property(fc.jsonValue(), (value) => {
         [heartbeatSchema, handOverSchema, outcomeCopySchema].forEach((schema) =>
           schema.safeParse(value)
--- a/packages/daemon/src/peers/client.ts
+++ b/packages/daemon/src/peers/client.ts
@@ -1,5 +1,5 @@
 /**
- * Calls to other entries' control addresses.
+ * Client for the control addresses of other entries.
  *
  * @module
  */
@@ -11,19 +11,19 @@
 } from "@sassafrasstep/core";
 import { createTRPCClient, httpLink, type TRPCClient } from "@trpc/client";
 import { Agent, request } from "undici";
-import { whileListening } from "../timers/index.ts";
+import { withActiveTimeout } from "../timers/index.ts";
 import { type Credentials, PEER_HEADER } from "./credentials.ts";
 import type { PeerRouter } from "./router.ts";
 import { configurationCopySchema, heartbeatReplySchema } from "./schemas.ts";
 import { encodeHeartbeat } from "./wire.ts";
 
-/** A peer that does not answer within this time counts as not answering. */
+/** Timeout for a peer's answer. */
 export const PEER_TIMEOUT_MS = 1_500;
-/** Clients kept; more than the peers that one entry talks to. */
-const MAX_CLIENTS = 64;
+/** Size of the client cache, which is larger than the number of peers that an entry calls. */
+const MAX_CACHED_CLIENTS = 64;
 const FIRST_ERROR_STATUS = 400;
 
-/** Makes and keeps a client for each control address. */
+/** Creates and caches a client for each control address. */
 export class PeerClients {
   readonly #clients = new Map<string, TRPCClient<PeerRouter>>();
   readonly #agent = new Agent({
@@ -37,15 +37,15 @@
     this.#credentials = credentials;
   }
 
-  /** The client of a control address. */
+  /** Returns the client for a control address. */
   at(url: string): TRPCClient<PeerRouter> {
-    const known = this.#clients.get(url);
-    if (known !== undefined) {
-      return known;
+    const cached = this.#clients.get(url);
+    if (cached !== undefined) {
+      return cached;
     }
     const client = this.#create(url);
     this.#clients.set(url, client);
-    if (this.#clients.size > MAX_CLIENTS) {
+    if (this.#clients.size > MAX_CACHED_CLIENTS) {
       this.#clients.delete(this.#clients.keys().next().value!);
     }
     return client;
@@ -56,12 +56,12 @@
     await this.#agent.destroy();
   }
 
-  /** Sends without what a browser would add: half a heartbeat's bytes were headers that nobody reads. */
+  /** Sends a request without the headers that `fetch` adds: they made up half of a heartbeat, unused. */
   #send(
     url: string,
     { method, headers, body }: PeerRequest,
   ): Promise<PeerResponse> {
-    return whileListening(PEER_TIMEOUT_MS, async (signal) => {
+    return withActiveTimeout(PEER_TIMEOUT_MS, async (signal) => {
       const { statusCode, body: answer } = await request(url, {
         method,
         headers,
@@ -89,21 +89,21 @@
   }
 }
 
-/** What tRPC hands to its `fetch`. */
+/** The options that tRPC passes to its `fetch` function. */
 interface PeerRequest {
   readonly method: "GET" | "POST";
   readonly headers: Record<string, string>;
   readonly body?: string;
 }
 
-/** What tRPC takes back from it. */
+/** The part of a `fetch` response that tRPC reads. */
 interface PeerResponse {
   readonly ok: boolean;
   readonly status: number;
   json(): Promise<unknown>;
 }
 
-/** Sends a heartbeat; an answer of another shape is an error. */
+/** Sends a heartbeat; throws if the answer is malformed. */
 export async function sendHeartbeat(
   client: TRPCClient<PeerRouter>,
   heartbeat: Heartbeat,
@@ -112,7 +112,7 @@
   return heartbeatReplySchema.parse(reply);
 }
 
-/** Asks for the text; `undefined` where the peer has nothing newer. */
+/** Requests the configuration; returns `undefined` if the peer has no newer revision than `have`. */
 export async function copyConfiguration(
   client: TRPCClient<PeerRouter>,
   have: Revision,
--- a/packages/daemon/src/peers/credentials.ts
+++ b/packages/daemon/src/peers/credentials.ts
@@ -1,19 +1,19 @@
 /**
- * How a peer proves that it belongs to the deployment: an HMAC with the shared secret over a fresh
- * random number. It keeps out processes that do not know the secret. It does not hide what is said,
- * and who can read the network can send a proof again.
+ * Proves that a peer belongs to the deployment, by an HMAC with the shared secret over a random nonce. This
+ * keeps out processes that do not know the secret. It does not encrypt messages, and anybody who can read
+ * the network traffic can replay a proof.
  *
  * @module
  */
 import { createHmac, randomBytes, timingSafeEqual } from "node:crypto";
 
 const NONCE_BYTES = 12;
-const PROOF = /^([0-9a-f]{24})\.([0-9a-f]{64})$/;
+const PROOF_PATTERN = /^([0-9a-f]{24})\.([0-9a-f]{64})$/;
 
-/** Name of the header that carries the proof. */
+/** Header that carries the proof. */
 export const PEER_HEADER = "sassafrasstep-peer";
 
-/** Makes and checks proofs. */
+/** Creates and verifies proofs. */
 export class Credentials {
   readonly #secret: string;
   readonly #deployment: string;
@@ -23,15 +23,15 @@
     this.#deployment = deployment;
   }
 
-  /** A proof for one message. */
+  /** Creates a proof for one message. */
   prove(): string {
     const nonce = randomBytes(NONCE_BYTES).toString("hex");
     return `${nonce}.${this.#sign(nonce).toString("hex")}`;
   }
 
-  /** Whether a header proves a peer. Compared in constant time, so that no part can be guessed alone. */
+  /** Verifies a proof. Compares in constant time, so that it cannot be guessed part by part. */
   accepts(header: string | null | undefined): boolean {
-    const match = PROOF.exec(header ?? "");
+    const match = PROOF_PATTERN.exec(header ?? "");
     if (match === null) {
       return false;
     }
--- a/packages/daemon/src/peers/router.ts
+++ b/packages/daemon/src/peers/router.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry answers to peers and operators, over tRPC on the control address.
+ * The tRPC router for peers and operators on the control address.
  *
  * @module
  */
@@ -16,7 +16,7 @@
 } from "@sassafrasstep/core";
 import { initTRPC, TRPCError } from "@trpc/server";
 import type { MetricsReport, Status } from "../control/report.ts";
-import { quarantineNewsText } from "../quarantine/index.ts";
+import { quarantineNewsTextSchema } from "../quarantine/index.ts";
 import {
   handOverSchema,
   heartbeatSchema,
@@ -26,7 +26,7 @@
 } from "./schemas.ts";
 import { encodeReply } from "./wire.ts";
 
-/** The entry, as seen by its peers and operators. */
+/** Operations of an entry that peers and operators can call. */
 export interface PeerService {
   readonly deployment: string;
   heartbeat(heartbeat: Heartbeat): HeartbeatReply;
@@ -39,7 +39,7 @@
   metrics(): MetricsReport;
 }
 
-/** What each call comes with. */
+/** Context of each call. */
 export interface PeerContext {
   readonly service: PeerService;
   /** Whether the caller proved that it knows the deployment's secret. */
@@ -58,7 +58,7 @@
   return next();
 });
 
-/** All procedures. */
+/** Router with all procedures. */
 export const peerRouter = trpc.router({
   heartbeat: peerProcedure.input(heartbeatSchema).mutation(({ ctx, input }) => {
     if (input.deployment !== ctx.service.deployment) {
@@ -78,7 +78,7 @@
   handOver: peerProcedure.input(handOverSchema).mutation(({ ctx, input }) =>
     ctx.service.handOver(input)
   ),
-  quarantine: peerProcedure.input(quarantineNewsText).mutation((
+  quarantine: peerProcedure.input(quarantineNewsTextSchema).mutation((
     { ctx, input },
   ) => ctx.service.quarantine(input)),
   status: peerProcedure.query(({ ctx }) => ctx.service.status()),
@@ -88,5 +88,5 @@
   metrics: peerProcedure.query(({ ctx }) => ctx.service.metrics()),
 });
 
-/** Type of the router, for clients. */
+/** Type of the router, from which clients infer their types. */
 export type PeerRouter = typeof peerRouter;
--- a/packages/daemon/src/peers/schemas.ts
+++ b/packages/daemon/src/peers/schemas.ts
@@ -1,5 +1,5 @@
 /**
- * Shapes of peers' messages. A message of another shape is refused whole.
+ * Schemas of peers' messages. A message that does not match is rejected as a whole.
  *
  * @module
  */
@@ -15,20 +15,20 @@
 import {
   decodeFreshness,
   decodeSpare,
-  FRESHNESS,
-  SPARE,
+  FRESHNESS_PATTERN,
+  SPARE_PATTERN,
   type WireHeartbeat,
   type WireHeartbeatReply,
 } from "./wire.ts";
 
 const MAX_ITEMS = 256;
 const MAX_KEYS = 20_000;
-const MAX_ANSWER = 32_768;
+const MAX_ANSWER_CHARACTERS = 32_768;
 const name = z.string().regex(/^[a-z0-9][a-z0-9-]{0,62}$/);
 const id = z.string().min(1).max(128).regex(/^[\x21-\x7e]+$/);
 const url = z.string().max(256).regex(/^https?:\/\//);
 const count = z.number().int().nonnegative().max(Number.MAX_SAFE_INTEGER);
-const amount = z.number().nonnegative().finite();
+const nonNegative = z.number().nonnegative().finite();
 
 const member = z.object({
   id: name,
@@ -42,19 +42,25 @@
   epoch: count,
   owns: z.array(id).max(MAX_ITEMS),
 });
-const copy = z.object({ record: member, beat: count });
-const freshness = z.string().regex(FRESHNESS).transform(decodeFreshness);
-const demand = z.array(z.object({ customer: name, requestsPerSecond: amount }))
+const recordCopy = z.object({ record: member, beat: count });
+const freshness = z.string().regex(FRESHNESS_PATTERN).transform(
+  decodeFreshness,
+);
+const demand = z.array(
+  z.object({ customer: name, requestsPerSecond: nonNegative }),
+)
   .max(MAX_ITEMS);
-const news = z.object({
+const zoneNews = z.object({
   zone: name,
   region: name,
   issuer: id,
   beat: count,
-  spare: z.array(z.string().regex(SPARE).transform(decodeSpare)).max(MAX_ITEMS),
+  spare: z.array(z.string().regex(SPARE_PATTERN).transform(decodeSpare)).max(
+    MAX_ITEMS,
+  ),
   demand,
 });
-const leaving = z.array(z.object({ endpoint: id })).max(MAX_ITEMS);
+const leavingEndpoints = z.array(z.object({ endpoint: id })).max(MAX_ITEMS);
 
 const heartbeat = z.object({
   deployment: name,
@@ -63,9 +69,9 @@
   rejected: count,
   demand,
   freshness: z.array(freshness).max(MAX_ITEMS),
-  records: z.array(copy).max(MAX_ITEMS),
-  news: z.array(news).max(MAX_ITEMS),
-  leaving,
+  records: z.array(recordCopy).max(MAX_ITEMS),
+  news: z.array(zoneNews).max(MAX_ITEMS),
+  leaving: leavingEndpoints,
 });
 const heartbeatReply = z.object({
   from: freshness,
@@ -73,7 +79,7 @@
   rejected: count,
   record: member.optional(),
   wanted: z.array(id).max(MAX_ITEMS),
-  leaving,
+  leaving: leavingEndpoints,
 });
 
 const outcome = z.discriminatedUnion("kind", [
@@ -82,7 +88,7 @@
     answer: z.object({
       status: z.number().int().min(100).max(599),
       contentType: z.string().max(256),
-      body: z.string().max(MAX_ANSWER),
+      body: z.string().max(MAX_ANSWER_CHARACTERS),
     }),
   }),
   z.object({ kind: z.literal("ran_unkept") }),
@@ -98,7 +104,7 @@
 const handOver = z.object({
   owner: id,
   epoch: count,
-  epochAge: amount,
+  epochAge: nonNegative,
   used: z.array(outcomeCopy.extend({ epoch: count })).max(MAX_KEYS),
 });
 
@@ -118,27 +124,27 @@
 ]);
 
 /*
- * Brands exist for the type checker only: a checked string is a branded one.
+ * The casts add branded types, which exist only for the type checker: a validated string has its brand.
  */
 export const heartbeatSchema = heartbeat as unknown as z.ZodType<
   Heartbeat,
   WireHeartbeat
 >;
-/** Shape of the answer to a heartbeat. */
+/** Schema of the answer to a heartbeat. */
 export const heartbeatReplySchema = heartbeatReply as unknown as z.ZodType<
   HeartbeatReply,
   WireHeartbeatReply
 >;
-/** Shape of an outcome's copy. */
+/** Schema of a copied outcome. */
 export const outcomeCopySchema = outcomeCopy as unknown as z.ZodType<
   OutcomeCopy
 >;
-/** Shape of a hand-over. */
+/** Schema of a hand-over of used keys. */
 export const handOverSchema = handOver as unknown as z.ZodType<KeyHandOver>;
-/** Shape of a peer's copy of the text; `null` where it has nothing newer. */
+/** Schema of a peer's copy of the configuration; `null` if the peer has no newer revision. */
 export const configurationCopySchema = configurationCopy
   .nullable() as unknown as z.ZodType<ConfigurationCopy | null>;
-/** Shape of a revision. */
+/** Schema of a revision. */
 export const revisionSchema = count as unknown as z.ZodType<Revision>;
-/** Shape of a request's id. */
+/** Schema of a request's id. */
 export const requestIdSchema = id;
--- a/packages/daemon/src/peers/wire.ts
+++ b/packages/daemon/src/peers/wire.ts
@@ -1,6 +1,6 @@
 /**
- * Short forms of what heartbeats repeat most: a member's freshness and a service's free capacity. As
- * JSON objects they would be most of a heartbeat's bytes.
+ * Encodes what heartbeats repeat most, a member's freshness and a service's spare capacity, as short
+ * strings. As JSON objects they would take up most of a heartbeat's bytes.
  *
  * @module
  */
@@ -15,17 +15,17 @@
   type ZoneReport,
 } from "@sassafrasstep/core";
 
-/** `incarnation.beat.version` */
-export const FRESHNESS = /^[a-z0-9]{8,32}\.\d{1,15}\.\d{1,15}$/;
-/** `service slots milliseconds` */
-export const SPARE = /^[a-z0-9][a-z0-9-]{0,62} \d{1,9} \d{1,9}$/;
+/** Encoded freshness: `incarnation.beat.version`. */
+export const FRESHNESS_PATTERN = /^[a-z0-9]{8,32}\.\d{1,15}\.\d{1,15}$/;
+/** Encoded spare capacity: `service slots milliseconds`, the last being the time to the first token. */
+export const SPARE_PATTERN = /^[a-z0-9][a-z0-9-]{0,62} \d{1,9} \d{1,9}$/;
 
-/** News with their short forms. */
+/** A zone's news with encoded spare capacity. */
 export interface WireZoneNews extends Omit<ZoneReport, "spare"> {
   readonly spare: readonly string[];
 }
 
-/** A heartbeat with its short forms. */
+/** A heartbeat with encoded freshness and spare capacity. */
 export interface WireHeartbeat
   extends Omit<Heartbeat, "from" | "freshness" | "news"> {
   readonly from: string;
@@ -33,12 +33,12 @@
   readonly news: readonly WireZoneNews[];
 }
 
-/** An answer with its short forms. */
+/** The answer to a heartbeat with encoded freshness. */
 export interface WireHeartbeatReply extends Omit<HeartbeatReply, "from"> {
   readonly from: string;
 }
 
-/** Shortens a heartbeat. */
+/** Encodes a heartbeat. */
 export function encodeHeartbeat(heartbeat: Heartbeat): WireHeartbeat {
   return {
     ...heartbeat,
@@ -51,12 +51,12 @@
   };
 }
 
-/** Shortens an answer. */
+/** Encodes the answer to a heartbeat. */
 export function encodeReply(reply: HeartbeatReply): WireHeartbeatReply {
   return { ...reply, from: encodeFreshness(reply.from) };
 }
 
-/** Reads a short form that matches `FRESHNESS`. */
+/** Decodes a string that matches `FRESHNESS_PATTERN`. */
 export function decodeFreshness(text: string): MemberFreshness {
   const [incarnation, beat, version] = text.split(".");
   return {
@@ -66,7 +66,7 @@
   };
 }
 
-/** Reads a short form that matches `SPARE`. */
+/** Decodes a string that matches `SPARE_PATTERN`. */
 export function decodeSpare(text: string): SpareCapacity {
   const [service, slots, firstToken] = text.split(" ");
   return {
--- a/packages/daemon/src/quarantine/quarantine_schema.ts
+++ b/packages/daemon/src/quarantine/quarantine_schema.ts
@@ -1,5 +1,5 @@
 /**
- * Shape of what entries tell each other of endpoints that ended and of requests that are held back.
+ * Schemas of what entries tell each other about crashed endpoints and about requests that are held back.
  *
  * @module
  */
@@ -7,8 +7,8 @@
 import { z } from "zod";
 import { life, list, number, text, whole } from "./schema_parts.ts";
 
-/** Characters of one message: some ends with all that was there. */
-const MAX_TEXT = 65_536;
+/** Maximum length of a message, which has room for several crashes with all their victims. */
+const MAX_MESSAGE_CHARACTERS = 65_536;
 
 const victim = z.tuple([text, text, number, z.boolean()]).transform(
   ([content, caller, exposure, trial]) => ({
@@ -48,7 +48,7 @@
   ([content, sent]) => ({ content, sent }),
 );
 
-/** A request that is held back; an empty caller stands for all. */
+/** Schema of a notice about a request that is held back; an empty caller stands for all callers. */
 export const holdNotice = z.tuple([
   text,
   text,
@@ -71,7 +71,7 @@
   released,
 }));
 
-/** One entry's news. */
+/** Schema of an entry's quarantine news. */
 export const quarantineNews = z.tuple([
   list(crash),
   list(answered),
@@ -84,17 +84,18 @@
   holds,
 }));
 
-/** The same as text, as calls between entries take it. */
-export const quarantineNewsText = z.string().max(MAX_TEXT).transform(
-  (text, context): QuarantineUpdate => {
-    const result = quarantineNews.safeParse(parseJson(text));
-    if (!result.success) {
-      context.addIssue("Expected news of ends and holds");
-      return z.NEVER;
-    }
-    return result.data as unknown as QuarantineUpdate;
-  },
-);
+/** Schema of quarantine news as JSON text, the form in which peers send them over tRPC. */
+export const quarantineNewsTextSchema = z.string().max(MAX_MESSAGE_CHARACTERS)
+  .transform(
+    (text, context): QuarantineUpdate => {
+      const result = quarantineNews.safeParse(parseJson(text));
+      if (!result.success) {
+        context.addIssue("Expected quarantine news");
+        return z.NEVER;
+      }
+      return result.data as unknown as QuarantineUpdate;
+    },
+  );
 
 function parseJson(text: string): unknown {
   try {
@@ -104,7 +105,7 @@
   }
 }
 
-/** Writes a notice. */
+/** Encodes a notice about a request that is held back. */
 export function encodeHoldNotice(notice: HoldNotice): unknown[] {
   return [
     notice.content,
@@ -118,7 +119,7 @@
   ];
 }
 
-/** Writes news. */
+/** Encodes quarantine news. */
 export function encodeQuarantineNews(
   { crashes, answered, tried, holds }: QuarantineUpdate,
 ): unknown[] {
--- a/packages/daemon/src/quarantine/schema_parts.ts
+++ b/packages/daemon/src/quarantine/schema_parts.ts
@@ -1,5 +1,5 @@
 /**
- * Parts that the shapes of datagrams share.
+ * Parts that the schemas of datagrams share.
  *
  * @module
  */
@@ -10,20 +10,20 @@
 export const text = z.string().max(256);
 export const number = z.number();
 export const whole = z.number().int().nonnegative();
-/** 0 stands for an endpoint that does not tell its life. */
+/** Life of an endpoint; 0 stands for an endpoint that does not report its life. */
 export const life = whole.transform((value) => value === 0 ? undefined : value);
 
-/** A list of no more items than a datagram has room for. */
+/** Returns the schema of an array with as many items as a datagram can hold. */
 export function list<Item extends z.ZodType>(item: Item): z.ZodArray<Item> {
   return z.array(item).max(MAX_ITEMS);
 }
 
-/** A place in the history of the published picture. */
+/** Position in the history of the catalogue. */
 export const position = z.tuple([whole, whole]).transform(
   ([epoch, revision]) => ({ epoch, revision }),
 );
 
-/** Writes a position. */
+/** Encodes a position. */
 export function encodePosition(
   { epoch, revision }: CataloguePosition,
 ): unknown[] {
--- a/packages/daemon/src/timers/__tests__/reads.test.ts
+++ b/packages/daemon/src/timers/__tests__/reads.test.ts
@@ -8,7 +8,7 @@
 import { copyConfiguration } from "../../peers/client.ts";
 import { PlatformClient } from "../../platform/index.ts";
 
-/** Beyond the longest of the time limits. */
+/** Exceeds the longest of the timeouts. */
 const STALL_MS = 3_400;
 const ANSWERS: readonly (readonly [string, string])[] = [
   ["/v1/load", '{"running":1,"slots":4}'],
@@ -17,23 +17,24 @@
   ["/v1/vms", '{"vms":[]}'],
 ];
 
-/** Holds the loop up, as a stopped process or a busy machine does. */
-function block(time: number): void {
-  const end = performance.now() + time;
+/** Blocks the event loop, as a stopped process or a busy machine does. */
+function blockEventLoop(durationMs: number): void {
+  const end = performance.now() + durationMs;
   while (performance.now() < end);
 }
 
-// A process stood still after it had asked. All answers lay in its sockets when it went on, and the timers
-// came first: a suspect endpoint, a peer that is silent, a platform that is away.
-describe("an answer that came while the process stood still", () => {
-  const waiting: (() => void)[] = [];
-  /** Once all have asked they are answered, and then nothing happens for a while. */
+// Guards against timeouts after a pause of the process. It had sent requests and all answers were in its
+// sockets when it resumed, but timers ran first: the endpoint became suspect, the peer counted as silent and
+// the platform as unreachable.
+describe("an answer that arrived while the process was paused", () => {
+  const pendingAnswers: (() => void)[] = [];
+  /** Answers all requests as soon as each of them has arrived, and then blocks the event loop. */
   const server = createServer(({ url }, reply: ServerResponse) => {
     const [, text] = ANSWERS.find(([path]) => url!.startsWith(path))!;
-    waiting.push(() => reply.end(text));
-    if (waiting.length === ANSWERS.length) {
-      waiting.forEach((answer) => answer());
-      setImmediate(() => block(STALL_MS));
+    pendingAnswers.push(() => reply.end(text));
+    if (pendingAnswers.length === ANSWERS.length) {
+      pendingAnswers.forEach((answer) => answer());
+      setImmediate(() => blockEventLoop(STALL_MS));
     }
   });
   const endpoints = new EndpointClient();
@@ -53,7 +54,7 @@
     const order = { url, model: "m", fence: 1, expected: "" };
     const reads: Record<string, Promise<unknown>> = {
       "an endpoint's load": endpoints.pollLoad(url),
-      "an order": orders.order(order as never),
+      "an order": orders.sendOrder(order as never),
       "a peer's text": copyConfiguration(peers.at(url), 0 as Revision),
       "the platform's list": platform.listVms("r" as RegionId),
     };
@@ -75,5 +76,5 @@
     "an order",
     "a peer's text",
     "the platform's list",
-  ])("is taken: %s", (name) => expect(outcomes.get(name)).toBe("fulfilled"));
+  ])("is accepted: %s", (name) => expect(outcomes.get(name)).toBe("fulfilled"));
 });
