--- a/packages/daemon/src/callers/__tests__/chat.test.ts
+++ b/packages/daemon/src/callers/__tests__/chat.test.ts
@@ -29,12 +29,12 @@
       ["no messages", bytes({}), 'Field "messages"'],
       ["empty messages", bytes({ messages: [] }), 'Field "messages"'],
       [
-        "odd content",
+        "invalid content",
         bytes({ messages: [{ role: "user", content: 7 }] }),
         'Field "messages.0.content"',
       ],
       [
-        "odd stream",
+        "invalid stream flag",
         bytes({ stream: "yes", messages: [{ role: "user", content: "x" }] }),
         'Field "stream"',
       ],
--- a/packages/daemon/src/clients/__tests__/watched_client.test.ts
+++ b/packages/daemon/src/clients/__tests__/watched_client.test.ts
@@ -5,12 +5,12 @@
   listenRaw,
   type RawEndpoint,
 } from "../../gateway/__tests__/wire_fixture.ts";
-import { createConnector, WatchedClient } from "../watched_client.ts";
+import { createConnector, ResetAwareClient } from "../watched_client.ts";
 
-// The reader of an answer had no room, so that the client had paused its parser. The connection, which
-// ended the answer, ended or was reset meanwhile; the client then finishes a parser that must not be
-// paused, by an assertion in a listener of the socket. The process ends, with all its streams.
-describe("a client whose reader has no room", () => {
+// Guards against a crash of the process with all its streams. While the reader's buffer of an answer is full,
+// the client has paused its parser. If the connection ends or is reset in that state, which ends an answer
+// without a length, the client finishes the paused parser, and an assertion in a socket listener fails.
+describe("a client whose reader has a full buffer", () => {
   const uncaught: unknown[] = [];
   let listeners: NodeJS.UncaughtExceptionListener[];
   let endpoint: RawEndpoint;
@@ -30,7 +30,7 @@
       socket.write(`HTTP/1.1 200 OK\r\n${framing}\r\n\r\n`);
       socket.write(Buffer.alloc(80_000, "x"));
     });
-    client = new WatchedClient(`http://${endpoint.address}`, {
+    client = new ResetAwareClient(`http://${endpoint.address}`, {
       connect: createConnector(1_000),
     });
   });
@@ -42,15 +42,15 @@
   });
 
   it.each(["end", "reset"])(
-    "outlives the %s of its connection",
-    async (how) => {
+    "survives the %s of its connection",
+    async (ending) => {
       const { body } = await request(`http://${endpoint.address}/`, {
         dispatcher: client,
       });
       body.on("error", () => {});
       await expect.poll(() => body.readableLength).toBeGreaterThan(65_535);
       await new Promise((resolve) => setTimeout(resolve, 50));
-      if (how === "end") {
+      if (ending === "end") {
         engine.end();
       } else {
         engine.resetAndDestroy();
@@ -63,7 +63,7 @@
           size += (chunk as Buffer).length;
         }
       })();
-      if (how === "end") {
+      if (ending === "end") {
         await read;
         expect(size).toBe(80_000);
       } else {
@@ -73,7 +73,7 @@
     },
   );
 
-  it("reads each answer whole on a connection that is kept", async () => {
+  it("reads each answer completely on a kept-alive connection", async () => {
     for (let number = 0; number < 3; number++) {
       const { body } = await request(`http://${endpoint.address}/kept`, {
         dispatcher: client,
--- a/packages/daemon/src/clients/holding_controller.ts
+++ b/packages/daemon/src/clients/holding_controller.ts
@@ -1,29 +1,32 @@
 /**
- * Pauses an answer at its socket.
+ * Pauses an answer by pausing the reads from its socket.
  *
  * @module
  */
 import type { Dispatcher } from "undici";
 
-/** What is held back while an answer is paused. */
-export interface Holdable {
-  hold(): void;
-  release(): void;
+/** A source of bytes that can be paused. */
+export interface PausableSource {
+  pause(): void;
+  resume(): void;
 }
 
 /**
- * The controller of one answer, whose pauses hold the socket back and leave the client's parser alone.
+ * The controller of one answer. It pauses the socket's reads instead of the client's parser.
  *
- * Where the connection of a paused answer ends or is reset, the client finishes its parser, which must
- * not be paused then: an assertion in a listener of the socket ends the process with all its streams.
+ * If the connection ends or is reset while the parser is paused, the client finishes the parser, and an
+ * assertion in a socket listener fails, which crashes the process with all its streams.
  */
-export class HoldingController implements Dispatcher.DispatchController {
+export class PausingController implements Dispatcher.DispatchController {
   paused = false;
   readonly #controller: Dispatcher.DispatchController;
-  readonly #source: Holdable;
-  #over = false;
+  readonly #source: PausableSource;
+  #ended = false;
 
-  constructor(controller: Dispatcher.DispatchController, source: Holdable) {
+  constructor(
+    controller: Dispatcher.DispatchController,
+    source: PausableSource,
+  ) {
     this.#controller = controller;
     this.#source = source;
   }
@@ -50,21 +53,21 @@
 
   pause(): void {
     this.paused = true;
-    if (!this.#over) {
-      this.#source.hold();
+    if (!this.#ended) {
+      this.#source.pause();
     }
   }
 
   resume(): void {
     this.paused = false;
-    if (!this.#over) {
-      this.#source.release();
+    if (!this.#ended) {
+      this.#source.resume();
     }
   }
 
-  /** The answer has ended: the connection may carry the next one. */
+  /** Must be called when the answer has ended. Resumes the connection, which may carry the next answer. */
   end(): void {
-    this.#over = true;
-    this.#source.release();
+    this.#ended = true;
+    this.#source.resume();
   }
 }
--- a/packages/daemon/src/clients/index.ts
+++ b/packages/daemon/src/clients/index.ts
@@ -1,5 +1,5 @@
 export {
   createConnector,
-  createWatchedAgent,
-  WatchedClient,
+  createResetAwareAgent,
+  ResetAwareClient,
 } from "./watched_client.ts";
--- a/packages/daemon/src/clients/watched_client.ts
+++ b/packages/daemon/src/clients/watched_client.ts
@@ -1,5 +1,5 @@
 /**
- * A client that doesn't take a torn answer for a whole one.
+ * An HTTP client that does not mistake a truncated answer for a complete one.
  *
  * @module
  */
@@ -13,45 +13,45 @@
   type Dispatcher,
   Pool,
 } from "undici";
-import { isReset, ReadHold } from "../sockets/index.ts";
-import { HoldingController } from "./holding_controller.ts";
+import { isReset, PausableReads } from "../sockets/index.ts";
+import { PausingController } from "./holding_controller.ts";
 
 const FIRST_FINAL_STATUS = 200;
 
-/** What is seen of the connection that a client has now. */
-class SocketWatch {
-  /** Whether the answer under way ends with the connection. */
+/** Monitors the current connection of a client. */
+class ConnectionMonitor {
+  /** Whether the current answer has no length, so that it ends with the connection. */
   endsAnswer = false;
-  /** Whether the connection had an error. */
+  /** Whether the connection has failed. */
   failed = false;
-  #reading: ReadHold | undefined;
+  #reads: PausableReads | undefined;
 
-  /** Reads nothing more of it, for now. */
-  hold(): void {
-    this.#reading?.hold();
+  /** Pauses reads from the connection. */
+  pause(): void {
+    this.#reads?.pause();
   }
 
-  /** Reads again. */
-  release(): void {
-    this.#reading?.release();
+  /** Resumes reads from the connection. */
+  resume(): void {
+    this.#reads?.resume();
   }
 
-  /** Looks at each connection before the client does, so that `failed` is known when an answer ends. */
-  around(connect: buildConnector.connector): buildConnector.connector {
+  /** Wraps a connector to add listeners before the client does, so that `failed` is set when an answer ends. */
+  wrapConnector(connect: buildConnector.connector): buildConnector.connector {
     return (options, callback) =>
       connect(options, (...result) => {
-        // The library passes an error alone, whatever its type says.
+        // On failure the library passes only the error, contrary to its type.
         if (result[0] === null) {
-          this.#follow(result[1]);
+          this.#monitorSocket(result[1]);
         }
         callback(...result);
       });
   }
 
-  #follow(socket: Socket): void {
+  #monitorSocket(socket: Socket): void {
     this.failed = false;
     this.endsAnswer = false;
-    this.#reading = new ReadHold(socket);
+    this.#reads = new PausableReads(socket);
     socket.on("error", () => this.failed = true);
     socket.on("end", () => this.failed ||= this.endsAnswer && isReset(socket));
   }
@@ -82,29 +82,29 @@
   ): void;
 }
 
-/** The decorator of the library, whose type names no methods. */
+/** The library's decorator, whose type lacks the methods. */
 const Decorator = DecoratorHandler as unknown as new (
   handler: Dispatcher.DispatchHandler,
 ) => AnswerHandler;
 
 /**
- * Fails an answer without a length whose connection broke. The library takes a reset for the end of such
- * an answer; its caller would get a part, told as whole.
+ * Fails an answer without a length if its connection broke. The library treats a reset as the end of such an
+ * answer, so its caller would get a truncated answer as a complete one.
  */
-class WholeAnswer extends Decorator {
-  readonly #watch: SocketWatch;
-  #controller: HoldingController | undefined;
+class ResetAwareHandler extends Decorator {
+  readonly #monitor: ConnectionMonitor;
+  #controller: PausingController | undefined;
 
-  constructor(handler: Dispatcher.DispatchHandler, watch: SocketWatch) {
+  constructor(handler: Dispatcher.DispatchHandler, monitor: ConnectionMonitor) {
     super(handler);
-    this.#watch = watch;
+    this.#monitor = monitor;
   }
 
   override onRequestStart(
     controller: Dispatcher.DispatchController,
     context: unknown,
   ): void {
-    super.onRequestStart(this.#holding(controller), context);
+    super.onRequestStart(this.#pausingController(controller), context);
   }
 
   override onResponseStart(
@@ -113,32 +113,37 @@
     >
   ): void {
     if (status < FIRST_FINAL_STATUS) {
-      // The library's decorator takes one head an answer, and nobody here wants an interim one.
+      // The library's decorator accepts one head per answer, and interim responses are not needed here.
       return;
     }
-    this.#watch.endsAnswer = !isFramed(headers);
-    super.onResponseStart(this.#holding(controller), status, headers, reason);
+    this.#monitor.endsAnswer = !isFramed(headers);
+    super.onResponseStart(
+      this.#pausingController(controller),
+      status,
+      headers,
+      reason,
+    );
   }
 
   override onResponseData(
     controller: Dispatcher.DispatchController,
     chunk: Buffer,
   ): void {
-    super.onResponseData(this.#holding(controller), chunk);
+    super.onResponseData(this.#pausingController(controller), chunk);
   }
 
   override onResponseEnd(
     controller: Dispatcher.DispatchController,
     trailers: IncomingHttpHeaders,
   ): void {
-    const { endsAnswer, failed } = this.#watch;
-    const holding = this.#holding(controller);
-    holding.end();
-    this.#watch.endsAnswer = false;
+    const { endsAnswer, failed } = this.#monitor;
+    const pausing = this.#pausingController(controller);
+    pausing.end();
+    this.#monitor.endsAnswer = false;
     if (endsAnswer && failed) {
-      super.onResponseError(holding, new Error("Answer was cut off"));
+      super.onResponseError(pausing, new Error("Answer was cut off"));
     } else {
-      super.onResponseEnd(holding, trailers);
+      super.onResponseEnd(pausing, trailers);
     }
   }
 
@@ -146,20 +151,22 @@
     controller: Dispatcher.DispatchController,
     error: Error,
   ): void {
-    const holding = this.#holding(controller);
-    holding.end();
-    super.onResponseError(holding, error);
+    const pausing = this.#pausingController(controller);
+    pausing.end();
+    super.onResponseError(pausing, error);
   }
 
-  #holding(controller: Dispatcher.DispatchController): HoldingController {
-    this.#controller ??= new HoldingController(controller, this.#watch);
+  #pausingController(
+    controller: Dispatcher.DispatchController,
+  ): PausingController {
+    this.#controller ??= new PausingController(controller, this.#monitor);
     return this.#controller;
   }
 }
 
-/** One connection at a time, one request at a time on it. */
-export class WatchedClient extends Client {
-  readonly #watch: SocketWatch;
+/** A client with a single connection that fails truncated answers, see `ResetAwareHandler`. */
+export class ResetAwareClient extends Client {
+  readonly #monitor: ConnectionMonitor;
 
   constructor(
     origin: string | URL,
@@ -167,25 +174,28 @@
       connect: buildConnector.connector;
     },
   ) {
-    const watch = new SocketWatch();
-    super(origin, { ...options, connect: watch.around(connect) });
-    this.#watch = watch;
+    const monitor = new ConnectionMonitor();
+    super(origin, { ...options, connect: monitor.wrapConnector(connect) });
+    this.#monitor = monitor;
   }
 
   override dispatch(
     options: Dispatcher.DispatchOptions,
     handler: Dispatcher.DispatchHandler,
   ): boolean {
-    return super.dispatch(options, new WholeAnswer(handler, this.#watch));
+    return super.dispatch(
+      options,
+      new ResetAwareHandler(handler, this.#monitor),
+    );
   }
 }
 
-/** Kept connections, one request at a time on each. */
-export function createWatchedAgent(
+/** Creates a pool of kept-alive connections without pipelining. */
+export function createResetAwareAgent(
   { connections, connectTimeout, ...options }: Client.Options & {
-    /** Connections to one origin. */
+    /** Maximum number of connections to one origin. */
     connections: number;
-    /** In milliseconds. */
+    /** Timeout for a new connection, in milliseconds. */
     connectTimeout: number;
   },
 ): Agent {
@@ -194,7 +204,7 @@
       new Pool(origin, {
         connections,
         factory: (url) =>
-          new WatchedClient(url, {
+          new ResetAwareClient(url, {
             ...options,
             pipelining: 1,
             connect: createConnector(connectTimeout),
@@ -203,15 +213,15 @@
   });
 }
 
-/** Connects so that a reset can be told from an end. */
+/** Creates a connector whose sockets allow a reset to be distinguished from an end. */
 export function createConnector(
   timeout: number,
 ): buildConnector.connector {
-  // Our side stays open when the other one ends, see `isReset`; the client closes it.
+  // `isReset` needs sockets that stay writable after the other side has ended; the client closes them.
   return buildConnector({ timeout, allowHalfOpen: true });
 }
 
-/** Whether a body says where it ends. */
+/** Whether a body has a length or is chunked, so that its end is known. */
 function isFramed(headers: IncomingHttpHeaders): boolean {
   return headers["content-length"] !== undefined ||
     /\bchunked\s*$/i.test(String(headers["transfer-encoding"]));
--- a/packages/daemon/src/control/control_server.ts
+++ b/packages/daemon/src/control/control_server.ts
@@ -1,5 +1,5 @@
 /**
- * The control address: tRPC for peers and operators, metrics and health for monitoring.
+ * The HTTP server of the control address: tRPC for peers and operators, metrics and health for monitoring.
  *
  * @module
  */
@@ -17,17 +17,17 @@
 
 const MAX_HEADER_BYTES = 8_192;
 const MAX_BATCH = 1;
-/** Larger than any hand-over of 20,000 keys with small answers, and the operators' text. */
+/** Exceeds a hand-over of 20,000 keys with small answers, and the configuration. */
 const MAX_BODY_BYTES = 16_777_216;
 const REQUEST_TIMEOUT_MS = 10_000;
 
-/** What the control address serves. */
+/** Operations of an entry that the control server needs. */
 export interface ControlService extends PeerService {
   prometheus(): string;
   isReady(): boolean;
 }
 
-/** Makes the server; the caller lets it listen. */
+/** Creates the server, which does not listen yet. */
 export function createControlServer(
   service: ControlService,
   credentials: Credentials,
@@ -49,7 +49,7 @@
   app.all("/trpc/**", ({ req }) => {
     const proved = credentials.accepts(req.headers.get(PEER_HEADER));
     const length = Number(req.headers.get("content-length") ?? 0);
-    // Nothing is read of a stranger's body, nor of one that cannot be a message of ours.
+    // Reject the request before reading its body if it has no valid proof or is too large for any message.
     if (!proved || length > MAX_BODY_BYTES) {
       return new Response(null, {
         status: proved ? 413 : 401,
--- a/packages/daemon/src/control/report.ts
+++ b/packages/daemon/src/control/report.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry reports to its operators.
+ * Status and metrics reports for operators.
  *
  * @module
  */
@@ -12,7 +12,7 @@
   TextFault,
 } from "@sassafrasstep/core";
 
-/** One other entry, as seen by this one. */
+/** Status of a peer, as known to this entry. */
 export interface MemberStatus {
   readonly id: string;
   readonly zone: string;
@@ -24,12 +24,13 @@
   readonly silentMs: number;
 }
 
-/** One endpoint and why it does or does not get work. */
+/** Status of an endpoint. */
 export interface EndpointStatus {
   readonly id: string;
   readonly pool: string;
   readonly zone: string;
   readonly state: string;
+  /** Why the endpoint is suspect or leaving; empty otherwise. */
   readonly why: string;
   readonly inFlight: number;
   readonly running: number;
@@ -37,7 +38,7 @@
   readonly model: string;
 }
 
-/** One entry's picture. */
+/** Status of an entry. */
 export interface Status {
   readonly id: string;
   readonly incarnation: string;
@@ -47,7 +48,7 @@
   readonly controlUrl: string;
   readonly phase: string;
   readonly revision: number;
-  /** Why the newest revision is not in force, empty where it is. */
+  /** Why the newest revision is not in force, empty if it is. */
   readonly whyNotNewer: string;
   readonly rejected: {
     readonly revision: number;
@@ -65,13 +66,13 @@
   readonly endpoints: readonly EndpointStatus[];
 }
 
-/** Histograms and counters. */
+/** Histograms and counters of an entry. */
 export interface MetricsReport {
   readonly summaries: readonly HistogramSummary[];
   readonly counts: readonly CounterValue[];
 }
 
-/** Reads the status off the blackboard. */
+/** Builds the status report from the blackboard. */
 export function reportStatus(board: Blackboard, now: Instant): Status {
   const { self, lifecycle, configuration, requests, actions } = board;
   return {
@@ -98,7 +99,7 @@
   };
 }
 
-/** Histograms and counters of an entry. */
+/** Builds the metrics report. */
 export function reportMetrics(metrics: Metrics): MetricsReport {
   return { summaries: metrics.summaries(), counts: metrics.counts() };
 }
--- a/packages/daemon/src/entry/__tests__/entry_fixture.ts
+++ b/packages/daemon/src/entry/__tests__/entry_fixture.ts
@@ -109,7 +109,7 @@
     return this.#entries[0]!.prometheus();
   }
 
-  /** Starts the platform, the given number of endpoints per pool, and entries, and waits until all are ready. */
+  /** Starts the platform, the given number of endpoints per pool, and entries; waits until all are ready. */
   async start(
     pools: Readonly<Record<string, number>>,
     { entries = 1, remoteUrl }: {
--- a/packages/daemon/src/entry/__tests__/plain_answers.test.ts
+++ b/packages/daemon/src/entry/__tests__/plain_answers.test.ts
@@ -87,9 +87,9 @@
   describe("on a kept-alive connection", () => {
     const own = `${HEAD}content-length: 3\r\n\r\nown`;
     let written: Promise<void> | undefined;
-    const later = async (say: () => unknown): Promise<void> => {
+    const later = async (write: () => unknown): Promise<void> => {
       await new Promise((resolve) => setTimeout(resolve, 5));
-      say();
+      write();
     };
     const strayAnswer = `${HEAD}content-length: 5\r\n\r\nstray`;
 
--- a/packages/daemon/src/entry/__tests__/relayed_streams.test.ts
+++ b/packages/daemon/src/entry/__tests__/relayed_streams.test.ts
@@ -38,8 +38,8 @@
   }
 
   /** Cuts the answer to the request whose body contains this script name. */
-  cut(name: string, how: { after: number; reset: boolean }): void {
-    this.#cuts.set(name, how);
+  cut(name: string, cut: { after: number; reset: boolean }): void {
+    this.#cuts.set(name, cut);
   }
 
   #pipe(client: Socket): void {
--- a/packages/daemon/src/entry/__tests__/stream_breaks.test.ts
+++ b/packages/daemon/src/entry/__tests__/stream_breaks.test.ts
@@ -49,7 +49,7 @@
               }
             };
             const outcome = classifyAnswer(await fixture.chat(script));
-            // A reset may overtake the first event. The margin covers ids that are longer than the measured one.
+            // A reset may overtake the first event. The margin allows for ids longer than the measured one.
             const mustResume = stop === "closed" && cut > firstEventEnd + 20;
             if (
               outcome.startsWith("bad") || (mustResume && outcome !== "whole")
--- a/packages/daemon/src/entry/__tests__/stream_crossings.test.ts
+++ b/packages/daemon/src/entry/__tests__/stream_crossings.test.ts
@@ -102,7 +102,7 @@
   };
 }
 
-/** Whether the answer is an engine's own refusal, which is forwarded only for an attempt from the first token. */
+/** Whether the answer is an engine's own refusal, which is forwarded unless it ends a resumed stream. */
 function isForwardedRefusal({ status, header }: CallerAnswer): boolean {
   return status === FORWARDED_STATUS &&
     header("sassafrasstep-verdict") === "ran";
--- a/packages/daemon/src/entry/__tests__/stream_recovery.test.ts
+++ b/packages/daemon/src/entry/__tests__/stream_recovery.test.ts
@@ -151,7 +151,7 @@
   describe("that is buffered for a caller without streaming", () => {
     const breaks: [string, EndpointScript][] = [
       ["breaks", breakOff],
-      ["closes in order", (socket, attempt) => {
+      ["closes normally", (socket, attempt) => {
         writePart(socket, attempt);
         setTimeout(() => socket.end(), 10);
       }],
--- a/packages/daemon/src/entry/effect_runner.ts
+++ b/packages/daemon/src/entry/effect_runner.ts
@@ -111,7 +111,7 @@
   ): Promise<void> {
     const { platform, emit } = this.#options;
     try {
-      const published = await platform.readText(after, { wait });
+      const published = await platform.readConfiguration(after, { wait });
       emit(
         published === undefined
           ? { kind: "configurationUnchanged" }
@@ -173,7 +173,7 @@
       const message = JSON.stringify(encodeQuarantineNews(news));
       await this.#options.peers.at(url).quarantine.mutate(message);
     } catch (error) {
-      this.#logDebug("peer", "Ends of endpoints were not told.", {
+      this.#logDebug("peer", "Quarantine news was not sent.", {
         url,
         error,
       });
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -261,7 +261,7 @@
     return this.#core.board.lifecycle.phase === "ready";
   }
 
-  /** Schedules the next tick. A tick ends overdue requests, so data that has already arrived is handled first. */
+  /** Schedules the next tick, after pending socket reads: a tick must not end requests whose data is there. */
   #scheduleTick(): void {
     this.#cancelTick = afterPoll(TICK_INTERVAL_MS, () => {
       this.#scheduleTick();
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon's parts that other packages use.
+ * Public API of the daemon package.
  *
  * @module
  */
@@ -27,7 +27,7 @@
 } from "./settings/index.ts";
 export * from "./gateway/index.ts";
 export { readJson } from "./sockets/index.ts";
-export { whileHearing, whileListening } from "./timers/index.ts";
+export { whileHearing, withActiveTimeout } from "./timers/index.ts";
 export { Logger } from "./logs/index.ts";
 export {
   type GatewaySettings,
--- a/packages/daemon/src/logs/logger.ts
+++ b/packages/daemon/src/logs/logger.ts
@@ -1,15 +1,21 @@
 /**
- * Logs: one JSON object a line, a fixed prefix for each part, short sentences, no customer data.
+ * Writes log lines: one JSON object per line, whose message is a short sentence with a fixed prefix for its
+ * component. Log lines must not contain customer data.
  *
  * @module
  */
 import type { GatewayLogComponent, LogPart } from "@sassafrasstep/core";
 import { type Logger as Pino, pino } from "pino";
 
-/** Parts that log: those of the core, and the shell's own. */
-export type Part = LogPart | GatewayLogComponent | "http" | "peer" | "platform";
+/** Components that log: those of the core and of the gateway, and the daemon's own. */
+export type LogComponent =
+  | LogPart
+  | GatewayLogComponent
+  | "http"
+  | "peer"
+  | "platform";
 
-/** Writes log lines. */
+/** Writes log lines with pino. */
 export class Logger {
   readonly #pino: Pino;
 
@@ -18,26 +24,26 @@
   }
 
   info(
-    part: Part,
-    text: string,
+    component: LogComponent,
+    message: string,
     fields: Readonly<Record<string, unknown>> = {},
   ): void {
-    this.#pino.info(fields, `${part}: ${text}`);
+    this.#pino.info(fields, `${component}: ${message}`);
   }
 
   warn(
-    part: Part,
-    text: string,
+    component: LogComponent,
+    message: string,
     fields: Readonly<Record<string, unknown>> = {},
   ): void {
-    this.#pino.warn(fields, `${part}: ${text}`);
+    this.#pino.warn(fields, `${component}: ${message}`);
   }
 
   debug(
-    part: Part,
-    text: string,
+    component: LogComponent,
+    message: string,
     fields: Readonly<Record<string, unknown>> = {},
   ): void {
-    this.#pino.debug(fields, `${part}: ${text}`);
+    this.#pino.debug(fields, `${component}: ${message}`);
   }
 }
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,9 +1,9 @@
 #!/usr/bin/env node
 /**
- * `sassafrasstepd`: one entry.
+ * `sassafrasstepd`: runs an entry.
  *
- * Exit codes: 0 stopped as planned, or settings in order with `--check`; 1 failed to start; 2 faulty
- * settings or command line; 3 cut off by a second signal.
+ * Exit codes: 0 after a graceful stop, or for valid settings with `--check`; 1 if the entry failed to start;
+ * 2 for invalid settings or command line arguments; 3 if a second signal interrupted the stop.
  *
  * @module
  */
@@ -17,7 +17,7 @@
 
 const EXIT_FAILED = 1;
 const EXIT_USAGE = 2;
-const EXIT_CUT = 3;
+const EXIT_INTERRUPTED = 3;
 
 const cli = meow(
   `
@@ -88,15 +88,15 @@
 }
 
 function stopOnSignals(entry: Entry, logger: Logger): void {
-  let asked = false;
+  let stopRequested = false;
   const onSignal = (): void => {
-    if (asked) {
-      logger.warn("stop", "Cut off by a second signal.", {
+    if (stopRequested) {
+      logger.warn("stop", "Interrupted by a second signal.", {
         requests: entry.unansweredRequests,
       });
-      process.exit(EXIT_CUT);
+      process.exit(EXIT_INTERRUPTED);
     }
-    asked = true;
+    stopRequested = true;
     entry.stop();
   };
   process.on("SIGTERM", onSignal);
--- a/packages/daemon/src/outbound/__tests__/connections.test.ts
+++ b/packages/daemon/src/outbound/__tests__/connections.test.ts
@@ -20,7 +20,7 @@
 async function startBreakingServer(
   answerBytes: number,
 ): Promise<
-  { origin: string; seen: { connections: number; requests: number } }
+  { origin: string; counts: { connections: number; requests: number } }
 > {
   const counts = { connections: 0, requests: 0 };
   server = createServer((socket: Socket) => {
@@ -38,7 +38,7 @@
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   return {
     origin: `http://127.0.0.1:${(server.address() as AddressInfo).port}`,
-    seen: counts,
+    counts,
   };
 }
 
@@ -76,13 +76,13 @@
     it.each(bytes)(
       "never sends the request again after %i bytes of the answer",
       async (answerBytes) => {
-        const { origin, seen } = await startBreakingServer(answerBytes);
+        const { origin, counts } = await startBreakingServer(answerBytes);
         const result = await send(origin, () => true);
         expect(result.kind).toBe("failed");
         expect(isConnectError((result as { error: unknown }).error)).toBe(
           false,
         );
-        expect(seen).toEqual({ connections: 1, requests: 1 });
+        expect(counts).toEqual({ connections: 1, requests: 1 });
       },
     );
 
@@ -94,10 +94,10 @@
 
   describe("before the first byte", () => {
     it("writes nothing when the attempt is withdrawn", async () => {
-      const { origin, seen } = await startBreakingServer(ANSWER.length);
+      const { origin, counts } = await startBreakingServer(ANSWER.length);
       const result = await send(origin, () => false);
       expect(isConnectError((result as { error: unknown }).error)).toBe(true);
-      expect(seen.requests).toBe(0);
+      expect(counts.requests).toBe(0);
     });
 
     it("distinguishes a refused connection from a lost request", async () => {
--- a/packages/daemon/src/outbound/__tests__/endpoint_client.test.ts
+++ b/packages/daemon/src/outbound/__tests__/endpoint_client.test.ts
@@ -13,8 +13,8 @@
 const STALLS_MS = { poll: 1_100, order: 3_100 };
 
 /** Blocks the event loop, as a busy machine or a stopped process does. */
-function blockEventLoop(forMs: number): void {
-  const until = performance.now() + forMs;
+function blockEventLoop(durationMs: number): void {
+  const until = performance.now() + durationMs;
   while (performance.now() < until) {
     // Keep the event loop busy.
   }
--- a/packages/daemon/src/outbound/connections.ts
+++ b/packages/daemon/src/outbound/connections.ts
@@ -6,8 +6,8 @@
 import type { Agent, Client, Dispatcher } from "undici";
 import {
   createConnector,
-  createWatchedAgent,
-  WatchedClient,
+  createResetAwareAgent,
+  ResetAwareClient,
 } from "../clients/index.ts";
 
 const CONNECT_TIMEOUT_MS = 1_000;
@@ -22,7 +22,7 @@
 
 /** Creates a pool of kept-alive connections without pipelining, for calls that may be repeated. */
 export function createSharedAgent(): Agent {
-  return createWatchedAgent({
+  return createResetAwareAgent({
     ...CLIENT_OPTIONS,
     connections: MAX_CONNECTIONS_PER_ORIGIN,
     connectTimeout: CONNECT_TIMEOUT_MS,
@@ -42,7 +42,7 @@
 ): Client {
   const connect = createConnector(CONNECT_TIMEOUT_MS);
   let connected = false;
-  return new WatchedClient(origin, {
+  return new ResetAwareClient(origin, {
     ...CLIENT_OPTIONS,
     connect: (options, callback): void => {
       if (connected) {
--- a/packages/daemon/src/outbound/endpoint_client.ts
+++ b/packages/daemon/src/outbound/endpoint_client.ts
@@ -5,7 +5,7 @@
  */
 import type { EngineOrder, LoadReport } from "@sassafrasstep/core";
 import { Agent, request } from "undici";
-import { whileListening } from "../timers/index.ts";
+import { withActiveTimeout } from "../timers/index.ts";
 import { parseLoadReport } from "./load_report.ts";
 
 const POLL_TIMEOUT_MS = 1_000;
@@ -19,7 +19,7 @@
 
   /** Reads an endpoint's load; throws if it does not answer with a valid report. */
   pollLoad(url: string): Promise<LoadReport> {
-    return whileListening(
+    return withActiveTimeout(
       POLL_TIMEOUT_MS,
       (signal) => this.#pollLoad(url, signal),
     );
@@ -27,7 +27,7 @@
 
   /** Sends an order and returns whether the engine accepted it. */
   sendOrder(order: EngineOrder): Promise<boolean> {
-    return whileListening(
+    return withActiveTimeout(
       ORDER_TIMEOUT_MS,
       (signal) => this.#sendOrder(order, signal),
     );
--- a/packages/daemon/src/platform/__tests__/torn_text.test.ts
+++ b/packages/daemon/src/platform/__tests__/torn_text.test.ts
@@ -16,36 +16,42 @@
   ["without a length", `${HEAD}connection: close\r\n\r\n${TEXT}`],
 ];
 
-describe("the operators' text", () => {
-  // A text without a length was torn by a reset, and what had come of it was read as the whole: sections
-  // at its end were gone, and it went into force and on to peers under its revision.
-  it.each(FRAMINGS)("is whole or not read, %s", async (_, bytes) => {
-    const cuts = Array.from({ length: bytes.length }, (_, cut) => cut);
-    const texts = await Promise.all(
-      cuts.flatMap((cut) =>
-        [0, 5].map(async (pause) => {
-          const platform = await listenRaw((socket) =>
-            socket.write(bytes.slice(0, cut), () =>
-              pause === 0
-                ? socket.resetAndDestroy()
-                : setTimeout(() =>
-                  socket.resetAndDestroy(), pause))
-          );
-          const url = `http://${platform.address}`;
-          const client = new PlatformClient({
-            configurationUrl: url,
-            vmListUrl: url,
-          });
-          const read = await client.readText(0 as Revision, { wait: false })
-            .then((published) =>
-              published?.text, () => undefined);
-          client.close();
-          await platform.close();
-          return read;
-        })
-      ),
-    );
-    expect(texts.filter((text) => text !== undefined && text !== TEXT))
-      .toEqual([]);
-  });
+describe("the configuration", () => {
+  // Guards against a truncated configuration that counts as complete. When a reset cut off a configuration
+  // without a length, the part that had arrived was put into force and copied to peers under its revision,
+  // without the sections at its end.
+  it.each(FRAMINGS)(
+    "is read completely or not at all, %s",
+    async (_, bytes) => {
+      const cuts = Array.from({ length: bytes.length }, (_, cut) => cut);
+      const texts = await Promise.all(
+        cuts.flatMap((cut) =>
+          [0, 5].map(async (pause) => {
+            const platform = await listenRaw((socket) =>
+              socket.write(bytes.slice(0, cut), () =>
+                pause === 0
+                  ? socket.resetAndDestroy()
+                  : setTimeout(() =>
+                    socket.resetAndDestroy(), pause))
+            );
+            const url = `http://${platform.address}`;
+            const client = new PlatformClient({
+              configurationUrl: url,
+              vmListUrl: url,
+            });
+            const read = await client.readConfiguration(0 as Revision, {
+              wait: false,
+            })
+              .then((published) =>
+                published?.text, () => undefined);
+            client.close();
+            await platform.close();
+            return read;
+          })
+        ),
+      );
+      expect(texts.filter((text) => text !== undefined && text !== TEXT))
+        .toEqual([]);
+    },
+  );
 });
--- a/packages/daemon/src/platform/platform_client.ts
+++ b/packages/daemon/src/platform/platform_client.ts
@@ -1,5 +1,5 @@
 /**
- * Reads what the platform publishes: the operators' text and the list of VMs.
+ * Reads what the platform publishes: the operators' configuration and the list of VMs.
  *
  * @module
  */
@@ -12,13 +12,13 @@
 import { type Dispatcher, request } from "undici";
 import VError from "verror";
 import { z } from "zod";
-import { createWatchedAgent } from "../clients/index.ts";
-import { whileListening } from "../timers/index.ts";
+import { createResetAwareAgent } from "../clients/index.ts";
+import { withActiveTimeout } from "../timers/index.ts";
 
-/** How long a watch waits for a newer revision. */
+/** Time for which a watch waits for a newer revision. */
 export const WATCH_WAIT_MS = 20_000;
 const READ_TIMEOUT_MS = 3_000;
-/** A watch, a read of the text and one of the list at the same time. */
+/** Exceeds the three simultaneous requests: a watch, a read of the configuration and one of the VM list. */
 const MAX_CONNECTIONS = 4;
 const MAX_VM_LIST_BYTES = 8_388_608;
 const NOT_MODIFIED = 304;
@@ -34,50 +34,51 @@
   pool: z.string(),
   state: z.enum(["live", "leaving"]),
 });
-/* Brands exist for the type checker only: a checked string is a branded one. */
+/* The cast adds branded types, which exist only for the type checker: a validated string has its brand. */
 const vmsSchema = z.object({ vms: z.array(vmSchema) }) as unknown as z.ZodType<
   { vms: ListedVm[] }
 >;
 
-/** A text with its revision. */
-export interface PublishedText {
+/** A configuration with its revision. */
+export interface PublishedConfiguration {
   readonly revision: Revision;
   readonly text: string;
 }
 
-/** Where the platform's services are. */
+/** URLs of the platform's services. */
 export interface PlatformUrls {
   readonly configurationUrl: string;
   readonly vmListUrl: string;
 }
 
-/** An answer of the platform that was read to its end. */
+/** A complete answer of the platform. */
 interface PlatformAnswer
   extends Pick<Dispatcher.ResponseData, "statusCode" | "headers"> {
   readonly text: string;
 }
 
-/** Reads the platform. Each failure is an error that names the service. */
+/** Reads from the platform's services. Failed requests throw errors that say what could not be read. */
 export class PlatformClient {
   readonly #urls: PlatformUrls;
-  readonly #stopped = new AbortController();
-  // A torn text would be in force, and with peers, under the revision of the whole.
-  readonly #connections = createWatchedAgent({
+  readonly #closeController = new AbortController();
+  // Detects truncated answers. A truncated configuration would be put into force, and copied to peers, under
+  // the revision of the complete one.
+  readonly #agent = createResetAwareAgent({
     connections: MAX_CONNECTIONS,
     connectTimeout: READ_TIMEOUT_MS,
     headersTimeout: 0,
   });
-  #listTag: string | undefined;
+  #vmListEtag: string | undefined;
 
   constructor(urls: PlatformUrls) {
     this.#urls = urls;
   }
 
-  /** The text, or `undefined` where a watch ended with nothing after `after`. */
-  async readText(
+  /** Reads the configuration; returns `undefined` if a watch ended without a revision newer than `after`. */
+  async readConfiguration(
     after: Revision,
     { wait }: { wait: boolean },
-  ): Promise<PublishedText | undefined> {
+  ): Promise<PublishedConfiguration | undefined> {
     const query = wait ? `?after=${after}&wait_ms=${WATCH_WAIT_MS}` : "";
     const url = `${this.#urls.configurationUrl}/v1/text${query}`;
     const timeout = READ_TIMEOUT_MS + (wait ? WATCH_WAIT_MS : 0);
@@ -101,14 +102,14 @@
   }
 
   /**
-   * VMs that matter to a region: its own, and all entries. `undefined` where the list is as it was:
-   * it is large and changes rarely, so it is read with `If-None-Match`.
+   * Reads the VMs that are relevant to a region: its own, and all entries. Returns `undefined` if the list has
+   * not changed. It is large and changes rarely, so it is requested with `If-None-Match`.
    */
   async listVms(region: RegionId): Promise<readonly ListedVm[] | undefined> {
     const url = `${this.#urls.vmListUrl}/v1/vms?region=${region}`;
-    const headers: Record<string, string> = this.#listTag === undefined
+    const headers: Record<string, string> = this.#vmListEtag === undefined
       ? {}
-      : { "if-none-match": this.#listTag };
+      : { "if-none-match": this.#vmListEtag };
     const response = await this.#get(url, {
       timeout: READ_TIMEOUT_MS,
       limit: MAX_VM_LIST_BYTES,
@@ -126,38 +127,38 @@
     }
     const { vms } = vmsSchema.parse(JSON.parse(response.text));
     const { etag } = response.headers;
-    this.#listTag = typeof etag === "string" ? etag : undefined;
+    this.#vmListEtag = typeof etag === "string" ? etag : undefined;
     return vms;
   }
 
-  /** Ends what is waiting. */
+  /** Aborts pending requests and closes every connection. */
   close(): void {
-    this.#stopped.abort();
-    void this.#connections.destroy();
+    this.#closeController.abort();
+    void this.#agent.destroy();
   }
 
   #get(
     url: string,
     { timeout, limit, headers = {} }: {
       timeout: number;
-      /** Bytes of the answer. */
+      /** Maximum size of the answer in bytes. */
       limit: number;
       headers?: Record<string, string>;
     },
   ): Promise<PlatformAnswer> {
-    return whileListening(timeout, async (listening) => {
-      const signal = AbortSignal.any([this.#stopped.signal, listening]);
-      const { body, ...head } = await this.#reach(url, { signal, headers });
+    return withActiveTimeout(timeout, async (listening) => {
+      const signal = AbortSignal.any([this.#closeController.signal, listening]);
+      const { body, ...head } = await this.#request(url, { signal, headers });
       return { ...head, text: await readLimited(body, limit) };
     });
   }
 
-  async #reach(
+  async #request(
     url: string,
     options: { signal: AbortSignal; headers: Record<string, string> },
   ): Promise<Dispatcher.ResponseData> {
     try {
-      return await request(url, { ...options, dispatcher: this.#connections });
+      return await request(url, { ...options, dispatcher: this.#agent });
     } catch (cause) {
       throw new VError(
         { name: "PlatformError", cause: cause as Error },
--- a/packages/daemon/src/settings/__tests__/gateway_settings.test.ts
+++ b/packages/daemon/src/settings/__tests__/gateway_settings.test.ts
@@ -41,7 +41,7 @@
 }
 
 describe("gateway settings", () => {
-  it("resolves a whole text", () => {
+  it("resolve a complete file", () => {
     const result = parseGatewaySettings(TEXT);
     expect(result.ok).toBe(true);
     if (result.ok) {
@@ -56,12 +56,9 @@
     }
   });
 
-  /**
-   * Symptom: no entry of a deployment starts.
-   * Sequence: the template names a figure that the deployment does not have, and renders nothing.
-   * Cause: an empty value is taken for a faulty one.
-   */
-  it("takes its own figure where the deployment has none", () => {
+  // Guards against a deployment whose entries do not start. A template renders an empty value for a number
+  // that the deployment does not define, and empty values counted as faulty.
+  it("use the default for an empty value", () => {
     const result = parseGatewaySettings(
       TEXT.replace("stop_s = 6", "stop_s = ").replace("cores = 2", "cores ="),
     );
@@ -69,16 +66,13 @@
     expect(result.ok && result.settings.self.weight).toBe(0.5);
   });
 
-  /**
-   * Symptom: no entry of a deployment starts, each ends with faulty settings.
-   * Sequence: a VM's share of a core is 0.48600000000000004.
-   * Cause: numbers were checked by their digits.
-   */
+  // Guards against a deployment whose entries do not start because of faulty settings. A VM's share of a core
+  // was 0.48600000000000004, and numbers were validated by their digits.
   it.each([
     ["0.48600000000000004", 0.48600000000000004],
     ["1e-3", 0.001],
     ["2", 2],
-  ])("takes the number %s", (text, value) => {
+  ])("accept the number %s", (text, value) => {
     const result = parseGatewaySettings(
       TEXT.replace(
         "repeat_ratio = 0.25",
@@ -105,7 +99,7 @@
     ["region = a\n", "", "entry.region", "nothing"],
     ["repeat_ratio", "repeat_ration", "bounds.repeat_ration", "unknown name"],
     ["[store]", "[stores]", "store", "unknown name"],
-  ])("tells what is wrong with %s", (from, to, place, word) => {
+  ])("report the fault if %s is replaced by %s", (from, to, place, word) => {
     const found = faults(TEXT.replace(from, to)).join("\n");
     expect(found).toContain(place);
     expect(found).toContain(word);
--- a/packages/daemon/src/settings/__tests__/settings.test.ts
+++ b/packages/daemon/src/settings/__tests__/settings.test.ts
@@ -23,7 +23,7 @@
 }
 
 describe("settings", () => {
-  it("resolves defaults once", () => {
+  it("resolve defaults", () => {
     expect(parseSettings(GOOD)).toMatchObject({
       ok: true,
       settings: {
@@ -79,19 +79,19 @@
   ];
 
   it.each(cases)(
-    "names line, key, found and expected: %s",
+    "report the line, the key, and what was found and expected: %s",
     (_, text, expected) => {
       expect(faults(text)).toContain(expected);
     },
   );
 
-  it("never quotes a secret back", () => {
+  it("never quote a secret in a fault", () => {
     expect(faults(GOOD.replace("0123456789abcdef", "hunter2"))).not.toContain(
       "hunter2",
     );
   });
 
-  it("never throws", () => {
+  it("never make the parser throw", () => {
     fc.assert(
       fc.property(
         fc.string(),
--- a/packages/daemon/src/settings/gateway_settings.ts
+++ b/packages/daemon/src/settings/gateway_settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of an entry for callers that name routes: INI, checked whole, resolved once.
+ * Parses the settings of a gateway entry, whose callers address routes, from INI text.
  *
  * @module
  */
@@ -14,84 +14,89 @@
 } from "@sassafrasstep/core";
 import { z } from "zod";
 import {
-  ADDRESS,
   type Address,
-  decimalOr,
-  LIST,
-  readSections,
+  ADDRESS_SCHEMA,
+  decimalWithDefault,
+  LIST_SCHEMA,
+  parseSections,
 } from "./ini_sections.ts";
 
-/** Where an entry listens. */
+/** Addresses on which an entry listens. */
 export interface GatewayAddresses {
   readonly callers: Address;
   readonly readiness: Address;
   readonly directory: Address;
   readonly control: Address;
-  /** Datagrams and requests of other entries; the same port on all of them. */
+  /** Address for datagrams and requests of peers; its port is the same on all entries. */
   readonly peers: Address;
 }
 
-/** Everything that an entry needs to know at its start. */
+/** Settings that an entry needs to start. */
 export interface GatewaySettings {
   readonly self: Omit<GatewayIdentity, "incarnation">;
   readonly addresses: GatewayAddresses;
-  /** Host and port of the platform's store. */
+  /** Host and port of the platform's store, as `host:port`. */
   readonly storeAddress: string;
   readonly logLevel: "debug" | "info" | "warn" | "error" | "silent";
 }
 
-/** Either settings or every fault of the text at once. */
+/** Either the settings or all faults of the text. */
 export type GatewaySettingsResult =
   | { readonly ok: true; readonly settings: GatewaySettings }
   | { readonly ok: false; readonly faults: readonly LineFault[] };
 
 const MS_PER_SECOND = 1_000;
-const MOST_WEIGHT = 4_096;
-const MOST_SECONDS = 3_600;
-const MOST_COUNT = 1_000_000;
-const PLACE = z.string().min(1, "a name").max(63, "63 characters at most");
+const MAX_WEIGHT = 4_096;
+const MAX_SECONDS = 3_600;
+const MAX_COUNT = 1_000_000;
+const PLACE_NAME_SCHEMA = z.string().min(1, "a name").max(
+  63,
+  "63 characters at most",
+);
 
 const schema = z.strictObject({
   entry: z.strictObject({
-    id: PLACE,
-    zone: PLACE,
-    region: PLACE,
-    /** Part of a core, and how fast cores are. */
-    processor_share: decimalOr(1, MOST_WEIGHT),
-    cores: decimalOr(1, MOST_WEIGHT),
+    id: PLACE_NAME_SCHEMA,
+    zone: PLACE_NAME_SCHEMA,
+    region: PLACE_NAME_SCHEMA,
+    /** Share of a core, and the relative speed of the cores. */
+    processor_share: decimalWithDefault(1, MAX_WEIGHT),
+    cores: decimalWithDefault(1, MAX_WEIGHT),
     log_level: z.enum(["debug", "info", "warn", "error", "silent"]).default(
       "info",
     ),
   }),
   addresses: z.strictObject({
-    callers: ADDRESS,
-    readiness: ADDRESS,
-    directory: ADDRESS,
-    control: ADDRESS,
-    peers: ADDRESS,
+    callers: ADDRESS_SCHEMA,
+    readiness: ADDRESS_SCHEMA,
+    directory: ADDRESS_SCHEMA,
+    control: ADDRESS_SCHEMA,
+    peers: ADDRESS_SCHEMA,
   }),
-  peers: z.strictObject({ seeds: LIST.default([]) }).default({ seeds: [] }),
-  zones: z.record(PLACE, PLACE),
-  store: z.strictObject({ address: ADDRESS }),
+  peers: z.strictObject({ seeds: LIST_SCHEMA.default([]) }).default({
+    seeds: [],
+  }),
+  zones: z.record(PLACE_NAME_SCHEMA, PLACE_NAME_SCHEMA),
+  store: z.strictObject({ address: ADDRESS_SCHEMA }),
   bounds: z.strictObject({
-    repeat_ratio: decimalOr(0.1, 1),
-    repeat_window_s: decimalOr(10, MOST_SECONDS),
-    repeat_slack: decimalOr(10, MOST_COUNT),
-    cold_overshoot: decimalOr(1, MOST_COUNT),
-    cold_slack: decimalOr(1, MOST_COUNT),
-    list_lifetime_s: decimalOr(5, MOST_SECONDS),
-    stop_s: decimalOr(8, MOST_SECONDS),
-    /** After it a key that was taken away opens nothing; enforced at any entry only where strict. */
-    key_lifetime_ms: decimalOr(0, MOST_SECONDS * MS_PER_SECOND),
+    repeat_ratio: decimalWithDefault(0.1, 1),
+    repeat_window_s: decimalWithDefault(10, MAX_SECONDS),
+    repeat_slack: decimalWithDefault(10, MAX_COUNT),
+    cold_overshoot: decimalWithDefault(1, MAX_COUNT),
+    cold_slack: decimalWithDefault(1, MAX_COUNT),
+    list_lifetime_s: decimalWithDefault(5, MAX_SECONDS),
+    stop_s: decimalWithDefault(8, MAX_SECONDS),
+    /** Time after which a revoked key is rejected by every entry; enforced only with `strict_keys`. */
+    key_lifetime_ms: decimalWithDefault(0, MAX_SECONDS * MS_PER_SECOND),
     strict_keys: z.enum(["true", "false", ""]).or(z.boolean()).default(""),
   }),
 });
 
 type Data = z.infer<typeof schema>;
 
-/** Reads settings. Never throws. */
+/** Parses settings. Never throws. */
 export function parseGatewaySettings(text: string): GatewaySettingsResult {
-  const result = readSections(text, schema);
+  const result = parseSections(text, schema);
   return result.ok ? { ok: true, settings: resolve(result.data) } : result;
 }
 
@@ -99,16 +104,16 @@
   const { entry, addresses, peers, zones, store, bounds } = data;
   return {
     addresses,
-    storeAddress: textOf(store.address),
+    storeAddress: formatAddress(store.address),
     logLevel: entry.log_level,
     self: {
       id: entry.id as EntryId,
       zone: entry.zone as ZoneId,
       region: entry.region as RegionId,
-      callerAddress: textOf(addresses.callers),
-      peerAddress: textOf(addresses.peers),
+      callerAddress: formatAddress(addresses.callers),
+      peerAddress: formatAddress(addresses.peers),
       weight: entry.processor_share * entry.cores,
-      // A seed is named by some address of its entry; peers listen on the same port everywhere.
+      // A seed is listed with any address of its entry; the peer port is the same on all entries.
       seeds: peers.seeds.map((seed) =>
         `${seed.slice(0, seed.lastIndexOf(":"))}:${addresses.peers.port}`
       ),
@@ -139,6 +144,6 @@
   return value * MS_PER_SECOND as Milliseconds;
 }
 
-function textOf({ host, port }: Address): string {
+function formatAddress({ host, port }: Address): string {
   return `${host}:${port}`;
 }
--- a/packages/daemon/src/settings/ini_sections.ts
+++ b/packages/daemon/src/settings/ini_sections.ts
@@ -1,5 +1,5 @@
 /**
- * Reads settings in INI and checks them whole.
+ * Parses INI settings and validates them against a schema.
  *
  * @module
  */
@@ -7,16 +7,16 @@
 import { parse as parseIni } from "ini";
 import { z } from "zod";
 
-/** Either the checked sections or every fault of the text at once. */
+/** Either the validated sections or all faults of the text. */
 export type SectionsResult<Data> =
   | { readonly ok: true; readonly data: Data }
   | { readonly ok: false; readonly faults: readonly LineFault[] };
 
-/** Keys whose values are never quoted back. */
+/** Keys whose values are never quoted in faults. */
 const SECRET_KEYS: ReadonlySet<string> = new Set(["secret"]);
 
-/** Parses a text against the shape of its sections. Never throws. */
-export function readSections<Schema extends z.ZodType>(
+/** Parses a text and validates its sections. Never throws. */
+export function parseSections<Schema extends z.ZodType>(
   text: string,
   schema: Schema,
 ): SectionsResult<z.infer<Schema>> {
@@ -57,7 +57,7 @@
     }));
   }
   const found = SECRET_KEYS.has(key)
-    ? "a value that does not do"
+    ? "an invalid value"
     : foundValue(parsed, { section, key });
   return [{
     line: lines.lineOf(section, key),
@@ -78,20 +78,20 @@
 
 const MAX_PORT = 65_535;
 
-/** Host and port to listen on; port 0 lets the system choose. */
+/** Host and port to listen on; with port 0 the system chooses a free port. */
 export interface Address {
   readonly host: string;
   readonly port: number;
 }
 
-/** A name of ours: lower-case letters, digits and hyphens. */
-export const NAME = z.string().regex(
+/** Schema of a name: lower-case letters, digits and hyphens. */
+export const NAME_SCHEMA = z.string().regex(
   /^[a-z0-9][a-z0-9-]{0,62}$/,
   "lower-case letters, digits and hyphens, 63 at most",
 );
 
-/** `host:port` */
-export const ADDRESS = z.string().regex(
+/** Schema of an address: `host:port`. */
+export const ADDRESS_SCHEMA = z.string().regex(
   /^[^:]+:\d{1,5}$|^\[[0-9a-f:]+\]:\d{1,5}$/,
   "host:port",
 )
@@ -100,33 +100,36 @@
     `a port up to ${MAX_PORT}`,
   );
 
-/** A whole number within bounds. */
-export function wholeNumber(least: number, most: number): z.ZodType<number> {
-  const expected = `a whole number from ${least} to ${most}`;
+/** Returns the schema of an integer in a range. */
+export function integer(min: number, max: number): z.ZodType<number> {
+  const expected = `a whole number from ${min} to ${max}`;
   return z.string().regex(/^\d{1,9}$/, expected).transform(Number)
-    .refine((value) => value >= least && value <= most, expected);
+    .refine((value) => value >= min && value <= max, expected);
 }
 
-/** A decimal number from 0 up. */
-export function decimal(most: number): z.ZodType<number> {
-  const expected = `a number from 0 to ${most}`;
+/** Returns the schema of a non-negative decimal number. */
+export function decimal(max: number): z.ZodType<number> {
+  const expected = `a number from 0 to ${max}`;
   return z.string().regex(/^\d/, expected).transform(Number)
-    .refine((value) => value >= 0 && value <= most, expected);
+    .refine((value) => value >= 0 && value <= max, expected);
 }
 
 /**
- * A decimal number, or a default where nothing stands: a template renders nothing for a figure that a
- * deployment does not have.
+ * Returns the schema of a non-negative decimal number with a default for a missing or empty value: a
+ * template renders an empty value for a number that the deployment does not define.
  */
-export function decimalOr(otherwise: number, most: number): z.ZodType<number> {
+export function decimalWithDefault(
+  defaultValue: number,
+  max: number,
+): z.ZodType<number> {
   return z.preprocess(
     (value) => value === "" ? undefined : value,
-    decimal(most).default(otherwise),
+    decimal(max).default(defaultValue),
   );
 }
 
-/** Items between commas. */
-export const LIST = z.string().transform((text) =>
+/** Schema of a comma-separated list. */
+export const LIST_SCHEMA = z.string().transform((text) =>
   text.split(",").map((item) => item.trim()).filter((item) => item !== "")
 );
 
--- a/packages/daemon/src/settings/settings.ts
+++ b/packages/daemon/src/settings/settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of one entry: INI, checked whole, resolved once.
+ * Parses the settings of an entry from INI text.
  *
  * @module
  */
@@ -13,15 +13,15 @@
 } from "@sassafrasstep/core";
 import { z } from "zod";
 import {
-  ADDRESS,
   type Address,
-  LIST,
-  NAME,
-  readSections,
-  wholeNumber,
+  ADDRESS_SCHEMA,
+  integer,
+  LIST_SCHEMA,
+  NAME_SCHEMA,
+  parseSections,
 } from "./ini_sections.ts";
 
-/** Everything that a daemon needs to know at its start. */
+/** Settings that an entry needs to start. */
 export interface Settings {
   readonly id: EntryId;
   readonly deployment: string;
@@ -29,10 +29,10 @@
   readonly zone: ZoneId;
   readonly listen: Address;
   readonly control: Address;
-  /** What callers and peers are told, where it is not the address listened on. */
+  /** URL that callers and peers use, if it differs from the address that the entry listens on. */
   readonly advertisedUrl: string | undefined;
   readonly advertisedControlUrl: string | undefined;
-  /** Shared by all entries of the deployment and its operators. */
+  /** Secret that all entries of the deployment and its operators share. */
   readonly secret: string;
   readonly logLevel: "debug" | "info" | "warn" | "error" | "silent";
   readonly configurationUrl: string;
@@ -43,27 +43,27 @@
   readonly balancer: BalancerName;
 }
 
-/** Either settings or every fault of the text at once. */
+/** Either the settings or all faults of the text. */
 export type SettingsResult =
   | { readonly ok: true; readonly settings: Settings }
   | { readonly ok: false; readonly faults: readonly LineFault[] };
 
 const MIN_SECRET_LENGTH = 16;
-const URL_TEXT = z.string().refine(isHttpUrl, "an http URL").transform((url) =>
-  url.replace(/\/$/, "")
-);
-const URLS = LIST.pipe(z.array(URL_TEXT));
+const URL_SCHEMA = z.string().refine(isHttpUrl, "an http URL").transform((
+  url,
+) => url.replace(/\/$/, ""));
+const URLS_SCHEMA = LIST_SCHEMA.pipe(z.array(URL_SCHEMA));
 
 const sections = {
   entry: z.strictObject({
-    id: NAME,
-    deployment: NAME,
-    region: NAME,
-    zone: NAME,
-    listen: ADDRESS,
-    control: ADDRESS,
-    advertised_url: URL_TEXT.optional(),
-    advertised_control_url: URL_TEXT.optional(),
+    id: NAME_SCHEMA,
+    deployment: NAME_SCHEMA,
+    region: NAME_SCHEMA,
+    zone: NAME_SCHEMA,
+    listen: ADDRESS_SCHEMA,
+    control: ADDRESS_SCHEMA,
+    advertised_url: URL_SCHEMA.optional(),
+    advertised_control_url: URL_SCHEMA.optional(),
     secret: z.string().min(
       MIN_SECRET_LENGTH,
       `at least ${MIN_SECRET_LENGTH} characters`,
@@ -73,13 +73,15 @@
     ),
   }),
   platform: z.strictObject({
-    configuration_url: URL_TEXT,
-    vm_list_url: URL_TEXT,
+    configuration_url: URL_SCHEMA,
+    vm_list_url: URL_SCHEMA,
+  }),
+  peers: z.strictObject({ seeds: URLS_SCHEMA.default([]) }).default({
+    seeds: [],
   }),
-  peers: z.strictObject({ seeds: URLS.default([]) }).default({ seeds: [] }),
   tuning: z.strictObject({
-    heartbeat_period_ms: wholeNumber(50, 60_000).default(1_000),
-    epoch_length_ms: wholeNumber(1_000, 86_400_000).default(300_000),
+    heartbeat_period_ms: integer(50, 60_000).default(1_000),
+    epoch_length_ms: integer(1_000, 86_400_000).default(300_000),
     balancer: z.enum([
       "estimate",
       "round_robin",
@@ -94,9 +96,9 @@
 };
 const settingsSchema = z.strictObject(sections);
 
-/** Reads settings. Never throws. */
+/** Parses settings. Never throws. */
 export function parseSettings(text: string): SettingsResult {
-  const result = readSections(text, settingsSchema);
+  const result = parseSections(text, settingsSchema);
   return result.ok
     ? { ok: true, settings: resolveSettings(result.data) }
     : result;
--- a/packages/daemon/src/sockets/read_hold.ts
+++ b/packages/daemon/src/sockets/read_hold.ts
@@ -1,36 +1,36 @@
 /**
- * Holds back what a socket gives out.
+ * Pauses reads from a socket.
  *
  * @module
  */
 import type { Socket } from "node:net";
 
-/** Holds back what has arrived at a socket that somebody else made, its end included. */
-export class ReadHold {
+/** Pauses reads from a socket that is owned by other code. While paused, its end is not delivered either. */
+export class PausableReads {
   readonly #socket: Socket;
-  #held = false;
+  #paused = false;
 
   constructor(socket: Socket) {
     this.#socket = socket;
     const read = socket.read.bind(socket);
-    socket.read = (size) => this.#held ? null : read(size);
+    socket.read = (size) => this.#paused ? null : read(size);
   }
 
-  /** Gives nothing out from now on; the kernel's buffer fills, and then the other side waits. */
-  hold(): void {
-    this.#held = true;
+  /** Pauses reads. The kernel's buffer fills up, and then the sender has to wait. */
+  pause(): void {
+    this.#paused = true;
   }
 
-  /** Goes on with what has arrived meanwhile. */
-  release(): void {
-    if (this.#held) {
-      this.#held = false;
-      // Not at once: whoever reads may be in the middle of what it read before.
-      process.nextTick(() => this.#tellReadable());
+  /** Resumes reads, first of the data that has arrived in the meantime. */
+  resume(): void {
+    if (this.#paused) {
+      this.#paused = false;
+      // Deferred, because the reader may still be processing its previous read.
+      process.nextTick(() => this.#emitReadable());
     }
   }
 
-  #tellReadable(): void {
+  #emitReadable(): void {
     if (!this.#socket.destroyed) {
       this.#socket.emit("readable");
     }
--- a/packages/daemon/src/sockets/read_json.ts
+++ b/packages/daemon/src/sockets/read_json.ts
@@ -1,18 +1,18 @@
 /**
- * Bodies that come in pieces.
+ * Reads JSON bodies.
  *
  * @module
  */
 
-/** The value of a JSON body; `heard` is called at each piece. */
+/** Reads and parses a JSON body; calls `onChunk` for each chunk that arrives. */
 export async function readJson(
   body: AsyncIterable<Uint8Array> | Iterable<Uint8Array>,
-  heard: () => void,
+  onChunk: () => void,
 ): Promise<unknown> {
-  const pieces: Uint8Array[] = [];
-  for await (const piece of body) {
-    heard();
-    pieces.push(piece);
+  const chunks: Uint8Array[] = [];
+  for await (const chunk of body) {
+    onChunk();
+    chunks.push(chunk);
   }
-  return JSON.parse(Buffer.concat(pieces).toString("utf8"));
+  return JSON.parse(Buffer.concat(chunks).toString("utf8"));
 }
--- a/packages/daemon/src/timers/__tests__/after_poll.test.ts
+++ b/packages/daemon/src/timers/__tests__/after_poll.test.ts
@@ -4,58 +4,59 @@
 import { afterAll, beforeAll, describe, expect, it } from "vitest";
 import { afterPoll } from "../after_poll.ts";
 
-/** Holds the loop up, as a stopped process or a busy machine does. */
-function block(time: number): void {
-  const end = performance.now() + time;
+/** Blocks the event loop, as a stopped process or a busy machine does. */
+function blockEventLoop(durationMs: number): void {
+  const end = performance.now() + durationMs;
   while (performance.now() < end);
 }
 
-// A process stood still with an answer in its socket and a timer that was due. The loop serves timers
-// first: the answer was given up, and was there to be read a moment later.
-describe("a timer after the sockets", () => {
+// Guards against a timeout for an answer that has arrived. After a pause, a process has an answer in its
+// socket and a due timer. The event loop runs timers first, so the request was given up although its answer
+// could be read a moment later.
+describe("a timer that runs after socket reads", () => {
   const server = createServer();
-  let near: Socket;
-  let far: Socket;
+  let client: Socket;
+  let peer: Socket;
 
   beforeAll(async () => {
     server.listen(0, "127.0.0.1");
     await once(server, "listening");
-    near = connect((server.address() as AddressInfo).port, "127.0.0.1");
-    [far] = await once(server, "connection") as [Socket];
+    client = connect((server.address() as AddressInfo).port, "127.0.0.1");
+    [peer] = await once(server, "connection") as [Socket];
   });
   afterAll(() => {
-    near.destroy();
-    far.destroy();
+    client.destroy();
+    peer.destroy();
     server.close();
   });
 
-  /** Something is sent just before the loop is held up. */
-  const stallWithNews = (): void => {
+  /** Sends data directly before the event loop is blocked. */
+  const sendAndBlock = (): void => {
     setImmediate(() => {
-      far.write("x");
-      block(50);
+      peer.write("x");
+      blockEventLoop(50);
     });
   };
 
-  it("comes after what lay there when it was due", async () => {
+  it("fires after data that had arrived when it was due", async () => {
     const order: string[] = [];
-    near.once("data", () => order.push("data"));
+    client.once("data", () => order.push("data"));
     const fired = new Promise<void>((resolve) =>
       afterPoll(20, () => {
         order.push("timer");
         resolve();
       })
     );
-    stallWithNews();
+    sendAndBlock();
     await fired;
     expect(order).toEqual(["data", "timer"]);
   });
 
-  it("is ended by what was read just before", async () => {
+  it("can be cancelled by data that is read just before", async () => {
     let fired = false;
     const cancel = afterPoll(20, () => fired = true);
-    near.once("data", cancel);
-    stallWithNews();
+    client.once("data", cancel);
+    sendAndBlock();
     await wait(100);
     expect(fired).toBe(false);
   });
--- a/packages/daemon/src/timers/__tests__/while_listening.test.ts
+++ b/packages/daemon/src/timers/__tests__/while_listening.test.ts
@@ -1,30 +1,31 @@
 import { setTimeout as wait } from "node:timers/promises";
 import { describe, expect, it } from "vitest";
-import { afterListening, whileListening } from "../while_listening.ts";
+import { afterActiveTime, withActiveTimeout } from "../while_listening.ts";
 
-/** Holds the loop up, as a stopped process or a busy machine does. */
-function block(time: number): void {
-  const end = performance.now() + time;
+/** Blocks the event loop, as a stopped process or a busy machine does. */
+function blockEventLoop(durationMs: number): void {
+  const end = performance.now() + durationMs;
   while (performance.now() < end);
 }
 
-// A read of the platform takes several turns of the loop. With a pause between them its time was over
-// before the process had asked, and the platform counted as away.
-describe("a time limit", () => {
-  it("does not count a pause of the process for more than a part of it", async () => {
-    let over = false;
-    const cancel = afterListening(400, () => over = true);
+// Guards against a platform that counts as unreachable after a pause. A read of the platform takes several
+// iterations of the event loop. With a pause between them it timed out before the process had sent its
+// request.
+describe("a timeout", () => {
+  it("counts only part of a pause of the process", async () => {
+    let timedOut = false;
+    const cancel = afterActiveTime(400, () => timedOut = true);
     for (let pause = 0; pause < 2; pause++) {
       await wait(1);
-      block(400);
+      blockEventLoop(400);
     }
     await new Promise((resolve) => setImmediate(resolve));
-    expect(over).toBe(false);
+    expect(timedOut).toBe(false);
     cancel();
   });
 
-  it("aborts work that does not end", async () => {
-    const work = whileListening(
+  it("aborts work that does not finish", async () => {
+    const work = withActiveTimeout(
       40,
       (signal) =>
         new Promise((_, reject) =>
@@ -34,14 +35,14 @@
     await expect(work).rejects.toThrow("Timed out");
   });
 
-  it("leaves work alone that has ended", async () => {
-    let kept: AbortSignal | undefined;
-    const result = await whileListening(20, (signal) => {
-      kept = signal;
+  it("does not abort work that has finished", async () => {
+    let capturedSignal: AbortSignal | undefined;
+    const result = await withActiveTimeout(20, (signal) => {
+      capturedSignal = signal;
       return Promise.resolve(7);
     });
     await wait(60);
     expect(result).toBe(7);
-    expect(kept?.aborted).toBe(false);
+    expect(capturedSignal?.aborted).toBe(false);
   });
 });
--- a/packages/daemon/src/timers/after_poll.ts
+++ b/packages/daemon/src/timers/after_poll.ts
@@ -1,22 +1,22 @@
 /**
- * Timers that come after what lies in the sockets.
+ * Timers that fire after pending socket reads.
  *
  * @module
  */
 
-/** Ends a timer; it may have fired already. */
+/** Cancels a timer; has no effect if the timer has fired. */
 export type Cancel = () => void;
 
 /**
- * Calls back after `time` milliseconds, and after the sockets were looked at once since. The loop serves
- * timers first: after a pause of the process, whatever waits for an answer would be given up although the
- * answer is there to be read.
+ * Calls `run` after `delayMs` milliseconds and after the sockets have been polled once since then. The event
+ * loop runs timers before it reads sockets: after a pause of the process, a plain timer would time out
+ * requests whose answers have already arrived.
  */
-export function afterPoll(time: number, run: () => void): Cancel {
+export function afterPoll(delayMs: number, run: () => void): Cancel {
   let immediate: NodeJS.Immediate | undefined;
   const timer = setTimeout(() => {
     immediate = setImmediate(run);
-  }, time);
+  }, delayMs);
   return () => {
     clearTimeout(timer);
     clearImmediate(immediate);
--- a/packages/daemon/src/timers/idle_connections.ts
+++ b/packages/daemon/src/timers/idle_connections.ts
@@ -1,5 +1,5 @@
 /**
- * Kept connections of a server, closed when they are idle.
+ * Closes idle kept-alive connections of a server.
  *
  * @module
  */
@@ -7,9 +7,9 @@
 import type { Socket } from "node:net";
 
 /**
- * Has a server look at a connection before it closes it for its idle time. After a pause of the process
- * the time is over and the caller's next request lies unread in it: closed then, the caller gets a reset
- * and cannot know that nothing ran.
+ * Makes a server read from a connection before closing it as idle. After a pause of the process, the idle
+ * timeout of a connection may be over while the caller's next request waits unread in it. If the connection
+ * were closed then, the caller would get a reset and could not know that nothing ran.
  */
 export function closeIdleAfterPoll(server: Server): void {
   server.on("timeout", (socket: Socket) => {
--- a/packages/daemon/src/timers/index.ts
+++ b/packages/daemon/src/timers/index.ts
@@ -2,7 +2,7 @@
 export { closeIdleAfterPoll } from "./idle_connections.ts";
 export { Suspensions } from "./suspensions.ts";
 export {
-  afterListening,
+  afterActiveTime,
   whileHearing,
-  whileListening,
+  withActiveTimeout,
 } from "./while_listening.ts";
--- a/packages/daemon/src/timers/suspensions.ts
+++ b/packages/daemon/src/timers/suspensions.ts
@@ -1,42 +1,42 @@
 /**
- * Time that the steady clock did not count.
+ * Detects time that the monotonic clock did not count.
  *
  * @module
  */
 import type { Milliseconds } from "@sassafrasstep/core";
 import { milliseconds } from "@sassafrasstep/core";
 
-/** Smaller differences are the clocks' own grain and rate. */
-const LEAST_MS = 20;
+/** Smaller differences come from the resolution and the drift of the clocks. */
+const MIN_SUSPENSION_MS = 20;
 
 /**
- * Notices that the machine was suspended: the steady clock stands still meanwhile, the time of day does not.
- * A step of the time of day forwards is taken for one too, which makes what is known older than it is, never
- * younger.
+ * Detects that the machine was suspended: the monotonic clock stops during a suspension, the wall clock does
+ * not. A forward step of the wall clock counts as a suspension too, so that the age of data may be overstated,
+ * but never understated.
  */
 export class Suspensions {
-  readonly #steady: () => number;
-  readonly #timeOfDay: () => number;
-  /** Time of day less steady time. */
-  #difference: number;
+  readonly #monotonicClock: () => number;
+  readonly #wallClock: () => number;
+  /** Wall clock time minus monotonic time. */
+  #clockOffset: number;
 
   constructor(
-    steady = (): number => performance.now(),
-    timeOfDay = (): number => Date.now(),
+    monotonicClock = (): number => performance.now(),
+    wallClock = (): number => Date.now(),
   ) {
-    this.#steady = steady;
-    this.#timeOfDay = timeOfDay;
-    this.#difference = timeOfDay() - steady();
+    this.#monotonicClock = monotonicClock;
+    this.#wallClock = wallClock;
+    this.#clockOffset = wallClock() - monotonicClock();
   }
 
-  /** Time of suspensions since the last call. */
+  /** Returns the total time of suspensions since the last call. */
   take(): Milliseconds {
-    const difference = this.#timeOfDay() - this.#steady();
-    const passed = difference - this.#difference;
-    if (Math.abs(passed) < LEAST_MS) {
+    const clockOffset = this.#wallClock() - this.#monotonicClock();
+    const suspended = clockOffset - this.#clockOffset;
+    if (Math.abs(suspended) < MIN_SUSPENSION_MS) {
       return milliseconds(0);
     }
-    this.#difference = difference;
-    return milliseconds(Math.max(0, passed));
+    this.#clockOffset = clockOffset;
+    return milliseconds(Math.max(0, suspended));
   }
 }
--- a/packages/daemon/src/timers/while_listening.ts
+++ b/packages/daemon/src/timers/while_listening.ts
@@ -1,22 +1,22 @@
 /**
- * Time limits that do not count the process's own pauses.
+ * Timeouts that count pauses of the process only in part.
  *
  * @module
  */
 import { afterPoll, type Cancel } from "./after_poll.ts";
 
-/** Parts of a time limit; a pause counts for two of them at the most. */
-const PARTS = 4;
-/** An answer whose bytes keep coming is given up after this: the link would be better used otherwise. */
-const MOST_HEARING_MS = 15_000;
+/** Number of intervals that a timeout is split into; a pause counts as two of them at most. */
+const INTERVAL_COUNT = 4;
+/** Total timeout of an answer whose bytes keep arriving; after it, the link is better used for other requests. */
+const MAX_RECEIVE_MS = 15_000;
 
 /**
- * Calls back once the process has listened for `time` milliseconds. For what takes several turns of the
- * loop: a process that stood still has not asked yet, so nobody is late with an answer.
+ * Calls `run` after the process has been active for `timeMs` milliseconds. Meant for work that takes several
+ * iterations of the event loop: if the process was paused before it sent its request, the answer is not late.
  */
-export function afterListening(time: number, run: () => void): Cancel {
-  const part = time / PARTS;
-  let left = time;
+export function afterActiveTime(timeMs: number, run: () => void): Cancel {
+  const part = timeMs / INTERVAL_COUNT;
+  let left = timeMs;
   let cancel: Cancel;
   const next = (): void => {
     const from = performance.now();
@@ -33,13 +33,13 @@
   return () => cancel();
 }
 
-/** Work that is aborted once the process has listened for `time` milliseconds without its end. */
-export async function whileListening<Result>(
-  time: number,
+/** Runs work and aborts it after the process has been active for `timeMs` milliseconds. */
+export async function withActiveTimeout<Result>(
+  timeMs: number,
   work: (signal: AbortSignal) => Promise<Result>,
 ): Promise<Result> {
   const controller = new AbortController();
-  const cancel = afterListening(time, () => abort(controller));
+  const cancel = afterActiveTime(timeMs, () => abort(controller));
   try {
     return await work(controller.signal);
   } finally {
@@ -48,24 +48,27 @@
 }
 
 /**
- * Work that is aborted once the process has listened for `silence` milliseconds without a call of `heard`.
- * Limited as a whole, an answer that is large for its link would never arrive.
+ * Runs work and aborts it after the process has been active for `idleMs` milliseconds without a call of
+ * `onActivity`. With only a total timeout, an answer that is large for its link would never arrive.
  */
 export async function whileHearing<Result>(
-  silence: number,
-  work: (signal: AbortSignal, heard: () => void) => Promise<Result>,
+  idleMs: number,
+  work: (signal: AbortSignal, onActivity: () => void) => Promise<Result>,
 ): Promise<Result> {
-  return await whileListening(MOST_HEARING_MS, async (whole) => {
+  return await withActiveTimeout(MAX_RECEIVE_MS, async (totalSignal) => {
     const controller = new AbortController();
-    const listen = (): Cancel =>
-      afterListening(silence, () => abort(controller));
-    let cancel = listen();
-    const heard = (): void => {
+    const startTimer = (): Cancel =>
+      afterActiveTime(idleMs, () => abort(controller));
+    let cancel = startTimer();
+    const onActivity = (): void => {
       cancel();
-      cancel = listen();
+      cancel = startTimer();
     };
     try {
-      return await work(AbortSignal.any([whole, controller.signal]), heard);
+      return await work(
+        AbortSignal.any([totalSignal, controller.signal]),
+        onActivity,
+      );
     } finally {
       cancel();
     }
