--- a/packages/daemon/src/callers/__tests__/request_head.test.ts
+++ b/packages/daemon/src/callers/__tests__/request_head.test.ts
@@ -54,7 +54,7 @@
     it("are accepted with a valid proof", () => {
       const { head } = read("/v1/chat/completions", {
         ...peerHeaders,
-        [PEER_HEADER]: credentials.prove(),
+        [PEER_HEADER]: credentials.createProof(),
       })!;
       expect(head).toMatchObject({
         id: "r9",
--- a/packages/daemon/src/callers/request_head.ts
+++ b/packages/daemon/src/callers/request_head.ts
@@ -80,7 +80,7 @@
   headers: IncomingHttpHeaders,
   { credentials, newId, service }: HeadContext & { service: string },
 ): RequestHead {
-  const forwarded = credentials.accepts(headerText(headers, PEER_HEADER));
+  const forwarded = credentials.verify(headerText(headers, PEER_HEADER));
   const deadline = headerText(headers, DEADLINE_HEADER);
   return {
     id: forwarded ? peerRequestId(headers) ?? newId() : newId(),
--- a/packages/daemon/src/control/control_server.ts
+++ b/packages/daemon/src/control/control_server.ts
@@ -47,7 +47,7 @@
       }),
   );
   app.all("/trpc/**", ({ req }) => {
-    const proved = credentials.accepts(req.headers.get(PEER_HEADER));
+    const proved = credentials.verify(req.headers.get(PEER_HEADER));
     const length = Number(req.headers.get("content-length") ?? 0);
     // Reject the request before reading its body if it has no valid proof or is too large for any message.
     if (!proved || length > MAX_BODY_BYTES) {
--- a/packages/daemon/src/entry/__tests__/entry_fixture.ts
+++ b/packages/daemon/src/entry/__tests__/entry_fixture.ts
@@ -231,7 +231,7 @@
   /** Returns the headers with which a peer forwards a request. */
   peerHeaders(id: string, startAt: number): Record<string, string> {
     return {
-      [PEER_HEADER]: new Credentials(SECRET, "wire").prove(),
+      [PEER_HEADER]: new Credentials(SECRET, "wire").createProof(),
       [REQUEST_HEADER]: id,
       [OFFSET_HEADER]: String(startAt),
     };
--- a/packages/daemon/src/outbound/attempt_runner.ts
+++ b/packages/daemon/src/outbound/attempt_runner.ts
@@ -178,7 +178,7 @@
     return {
       "content-type": contentType,
       authorization,
-      [PEER_HEADER]: this.#host.credentials.prove(),
+      [PEER_HEADER]: this.#host.credentials.createProof(),
       [REQUEST_HEADER]: attempt.id,
       [DEADLINE_HEADER]: String(Math.max(1, Math.floor(attempt.timeLeft))),
       [OFFSET_HEADER]: String(attempt.resumeOffset),
--- a/packages/daemon/src/peers/__tests__/peers.test.ts
+++ b/packages/daemon/src/peers/__tests__/peers.test.ts
@@ -89,8 +89,8 @@
   describe("the proof of the deployment", () => {
     it("differs each time and is accepted", () => {
       const credentials = new Credentials(SECRET, "demo");
-      expect(credentials.prove()).not.toBe(credentials.prove());
-      expect(credentials.accepts(credentials.prove())).toBe(true);
+      expect(credentials.createProof()).not.toBe(credentials.createProof());
+      expect(credentials.verify(credentials.createProof())).toBe(true);
     });
 
     const strangers: [string, Credentials][] = [
@@ -99,16 +99,17 @@
     ];
 
     it.each(strangers)("is rejected with %s", (_, stranger) => {
-      expect(new Credentials(SECRET, "demo").accepts(stranger.prove())).toBe(
-        false,
-      );
+      expect(new Credentials(SECRET, "demo").verify(stranger.createProof()))
+        .toBe(
+          false,
+        );
     });
 
     it("is rejected if malformed", () => {
       fc.assert(
         fc.property(
           fc.string(),
-          (text) => !new Credentials(SECRET, "demo").accepts(text),
+          (text) => !new Credentials(SECRET, "demo").verify(text),
         ),
       );
     });
--- a/packages/daemon/src/peers/client.ts
+++ b/packages/daemon/src/peers/client.ts
@@ -82,7 +82,7 @@
     return createTRPCClient<PeerRouter>({
       links: [httpLink({
         url: `${url}/trpc`,
-        headers: () => ({ [PEER_HEADER]: this.#credentials.prove() }),
+        headers: () => ({ [PEER_HEADER]: this.#credentials.createProof() }),
         fetch: (url, init) => this.#send(String(url), init as PeerRequest),
       })],
     });
--- a/packages/daemon/src/peers/credentials.ts
+++ b/packages/daemon/src/peers/credentials.ts
@@ -24,13 +24,13 @@
   }
 
   /** Creates a proof for one message. */
-  prove(): string {
+  createProof(): string {
     const nonce = randomBytes(NONCE_BYTES).toString("hex");
     return `${nonce}.${this.#sign(nonce).toString("hex")}`;
   }
 
   /** Verifies a proof. Compares in constant time, so that it cannot be guessed part by part. */
-  accepts(header: string | null | undefined): boolean {
+  verify(header: string | null | undefined): boolean {
     const match = PROOF_PATTERN.exec(header ?? "");
     if (match === null) {
       return false;
