--- a/packages/daemon/src/clients/__tests__/watched_client.test.ts
+++ b/packages/daemon/src/clients/__tests__/reset_aware_client.test.ts
@@ -5,7 +5,7 @@
   listenRaw,
   type RawEndpoint,
 } from "../../gateway/__tests__/wire_fixture.ts";
-import { createConnector, ResetAwareClient } from "../watched_client.ts";
+import { createConnector, ResetAwareClient } from "../reset_aware_client.ts";
 
 // Guards against a crash of the process with all its streams. While the reader's buffer of an answer is full,
 // the client has paused its parser. If the connection ends or is reset in that state, which ends an answer
--- a/packages/daemon/src/clients/index.ts
+++ b/packages/daemon/src/clients/index.ts
@@ -2,4 +2,4 @@
   createConnector,
   createResetAwareAgent,
   ResetAwareClient,
-} from "./watched_client.ts";
+} from "./reset_aware_client.ts";
--- a/packages/daemon/src/clients/watched_client.ts
+++ b/packages/daemon/src/clients/reset_aware_client.ts
@@ -14,7 +14,7 @@
   Pool,
 } from "undici";
 import { isReset, PausableReads } from "../sockets/index.ts";
-import { PausingController } from "./holding_controller.ts";
+import { PausingController } from "./pausing_controller.ts";
 
 const FIRST_FINAL_STATUS = 200;
 
--- a/packages/daemon/src/customers/customer_schema.ts
+++ b/packages/daemon/src/customers/customer_schema.ts
@@ -12,32 +12,34 @@
 } from "@sassafrasstep/core";
 import { z } from "zod";
 import {
+  boundedArray,
+  cataloguePosition,
   encodePosition,
-  life,
-  list,
+  endpointLife,
+  nonNegativeInteger,
   number,
-  position,
-  text,
-  whole,
+  shortText,
 } from "../quarantine/index.ts";
 
 /** Encodes fractions of a limit as integers with four decimal places, which is precise enough. */
 const FRACTION_SCALE = 10_000;
 
-const fraction = whole.transform((value) => value / FRACTION_SCALE);
+const fraction = nonNegativeInteger.transform((value) =>
+  value / FRACTION_SCALE
+);
 
 const endpoint = z.tuple([
-  text,
-  text,
-  text,
-  text,
-  text,
-  whole,
+  shortText,
+  shortText,
+  shortText,
+  shortText,
+  shortText,
+  nonNegativeInteger,
   z.enum(["ready", "draining"]),
   number,
   number.nullable(),
-  life,
-  whole,
+  endpointLife,
+  nonNegativeInteger,
 ]).transform((
   [
     id,
@@ -70,29 +72,35 @@
   z.tuple([z.literal("endpoint"), endpoint]).transform(
     ([kind, record]) => ({ kind, record }),
   ),
-  z.tuple([z.literal("endpointRemoved"), text]).transform(
+  z.tuple([z.literal("endpointRemoved"), shortText]).transform(
     ([kind, id]) => ({ kind, id }),
   ),
-  z.tuple([z.enum(["evacuated", "evacuationEnded"]), text]).transform(
+  z.tuple([z.enum(["evacuated", "evacuationEnded"]), shortText]).transform(
     ([kind, zone]) => ({ kind, zone }),
   ),
 ]);
 
-const catalogueDelta = z.tuple([whole, list(change)]).transform(
-  ([revision, changes]) => ({ revision, changes }),
-);
+const catalogueDelta = z.tuple([nonNegativeInteger, boundedArray(change)])
+  .transform(
+    ([revision, changes]) => ({ revision, changes }),
+  );
 
 /** Schema of questions about the freshness of a document, and of the answers. */
-export const currencyMessage = z.union([
-  z.tuple([z.literal("question"), text, whole, position]).transform(
+export const freshnessMessageSchema = z.union([
+  z.tuple([
+    z.literal("question"),
+    shortText,
+    nonNegativeInteger,
+    cataloguePosition,
+  ]).transform(
     ([kind, from, sequence, position]) => ({ kind, from, sequence, position }),
   ),
   z.tuple([
     z.literal("answer"),
-    text,
-    whole,
-    whole,
-    position,
+    shortText,
+    nonNegativeInteger,
+    nonNegativeInteger,
+    cataloguePosition,
     number,
     catalogueDelta.nullable(),
   ]).transform(
@@ -109,12 +117,12 @@
 ]);
 
 /** Schema of reports and totals of what customers spend. */
-export const spendingMessage = z.union([
+export const spendingMessageSchema = z.union([
   z.tuple([
     z.literal("report"),
-    text,
+    shortText,
     z.boolean(),
-    list(z.tuple([text, z.number()])),
+    boundedArray(z.tuple([shortText, z.number()])),
   ]).transform(([kind, incarnation, first, spent]) => ({
     kind,
     incarnation,
@@ -123,10 +131,10 @@
   })),
   z.tuple([
     z.literal("totals"),
-    text,
-    text,
+    shortText,
+    shortText,
     z.boolean(),
-    list(z.tuple([text, z.number(), z.number(), fraction])),
+    boundedArray(z.tuple([shortText, z.number(), z.number(), fraction])),
   ]).transform(([kind, incarnation, region, near, totals]) => ({
     kind,
     incarnation,
@@ -142,7 +150,7 @@
 ]);
 
 /** Encodes a question about freshness, or an answer. */
-export function encodeCurrency(message: FreshnessMessage): unknown[] {
+export function encodeFreshnessMessage(message: FreshnessMessage): unknown[] {
   return message.kind === "question"
     ? [
       message.kind,
@@ -199,7 +207,7 @@
 }
 
 /** Encodes a report or totals of what customers spend. */
-export function encodeSpending(message: SpendingMessage): unknown[] {
+export function encodeSpendingMessage(message: SpendingMessage): unknown[] {
   if (message.kind === "report") {
     const { kind, incarnation, first, spent } = message;
     const sums = spent.map(({ customer, sum }) => [customer, sum]);
--- a/packages/daemon/src/customers/index.ts
+++ b/packages/daemon/src/customers/index.ts
@@ -1,6 +1,6 @@
 export {
-  currencyMessage,
-  encodeCurrency,
-  encodeSpending,
-  spendingMessage,
+  encodeFreshnessMessage,
+  encodeSpendingMessage,
+  freshnessMessageSchema,
+  spendingMessageSchema,
 } from "./customer_schema.ts";
--- a/packages/daemon/src/entry/__tests__/entry_fixture.ts
+++ b/packages/daemon/src/entry/__tests__/entry_fixture.ts
@@ -15,7 +15,7 @@
 import { Credentials, PEER_HEADER } from "../../peers/index.ts";
 import { parseSettings } from "../../settings/index.ts";
 import { Entry } from "../entry.ts";
-import { type LogLine, RecordingLogger } from "./kept_lines.ts";
+import { type LogLine, RecordingLogger } from "./recording_logger.ts";
 
 /** An attempt as the endpoint receives it. */
 export interface ReceivedAttempt {
--- a/packages/daemon/src/gateway/catalogue_reader.ts
+++ b/packages/daemon/src/gateway/catalogue_reader.ts
@@ -12,7 +12,7 @@
   type RequiredProof,
   type Revision,
 } from "@sassafrasstep/core";
-import { whileHearing } from "../timers/index.ts";
+import { withIdleTimeout } from "../timers/index.ts";
 import type { SnapshotMessage } from "./gateway_router.ts";
 import type { CatalogueSource } from "./protocol.ts";
 
@@ -60,7 +60,7 @@
     const { createGatewayClient, decodeSnapshot } = await import(
       "./gateway_router.ts"
     );
-    const message = await whileHearing(
+    const message = await withIdleTimeout(
       timeout,
       (signal, onData) =>
         createGatewayClient(`http://${address}`, onData)
--- a/packages/daemon/src/gateway/fleet_schema.ts
+++ b/packages/daemon/src/gateway/fleet_schema.ts
@@ -21,33 +21,33 @@
   limitMessageSchema,
 } from "./terms_schema.ts";
 import {
-  currencyMessage,
-  encodeCurrency,
-  encodeSpending,
-  spendingMessage,
+  encodeFreshnessMessage,
+  encodeSpendingMessage,
+  freshnessMessageSchema,
+  spendingMessageSchema,
 } from "../customers/index.ts";
 import {
+  boundedArray,
+  cataloguePosition,
   encodeHoldNotice,
   encodePosition,
   encodeQuarantineNews,
-  holdNotice,
-  life,
-  list,
+  endpointLife,
+  holdNoticeSchema,
+  nonNegativeInteger,
   number,
-  position,
-  quarantineNews,
-  text,
-  whole,
+  quarantineNewsSchema,
+  shortText,
 } from "../quarantine/index.ts";
 
 const recordSchema = z.tuple([
-  text,
-  text,
-  whole,
-  text,
-  text,
-  text,
-  text,
+  shortText,
+  shortText,
+  nonNegativeInteger,
+  shortText,
+  shortText,
+  shortText,
+  shortText,
   z.enum(["starting", "ready", "outdated", "stopping"]),
   number,
 ]).transform((
@@ -73,14 +73,21 @@
   state,
   weight,
 }));
-const holdingsSchema = z.tuple([whole, position]).transform(
-  ([document, catalogue]) => ({ document, catalogue }),
-);
+const holdingsSchema = z.tuple([nonNegativeInteger, cataloguePosition])
+  .transform(
+    ([document, catalogue]) => ({ document, catalogue }),
+  );
 const newsSchema = z.tuple([recordSchema, z.enum(["live", "suspect", "dead"])])
   .transform(
     ([record, health]) => ({ record, health }),
   );
-const loadSchema = z.tuple([text, whole, number, number, number]).transform(
+const loadSchema = z.tuple([
+  shortText,
+  nonNegativeInteger,
+  number,
+  number,
+  number,
+]).transform(
   ([service, endpoints, work, requests, backlog]) => ({
     service,
     endpoints,
@@ -89,24 +96,24 @@
     backlog,
   }),
 );
-const shareSchema = z.tuple([text, number]).transform(
+const shareSchema = z.tuple([shortText, number]).transform(
   ([region, share]) => ({ region, share }),
 );
 const summarySchema = z.tuple([
-  text,
+  shortText,
   number,
-  list(loadSchema),
-  list(shareSchema),
+  boundedArray(loadSchema),
+  boundedArray(shareSchema),
 ]).transform(
   ([region, age, loads, shares]) => ({ region, age, loads, shares }),
 );
-const prefixPartSchema = z.tuple([text, number]).transform(
+const prefixPartSchema = z.tuple([shortText, number]).transform(
   ([id, tokens]) => ({ id, tokens }),
 );
 const reportSchema = z.tuple([
   z.boolean(),
-  list(
-    z.tuple([text, life, number, number, number]).transform(
+  boundedArray(
+    z.tuple([shortText, endpointLife, number, number, number]).transform(
       ([endpoint, life, prefill, requests, tokens]) => ({
         endpoint,
         life,
@@ -116,17 +123,18 @@
       }),
     ),
   ),
-  list(
-    z.tuple([text, life, list(prefixPartSchema)]).transform(
-      ([endpoint, life, parts]) => ({ endpoint, life, parts }),
-    ),
+  boundedArray(
+    z.tuple([shortText, endpointLife, boundedArray(prefixPartSchema)])
+      .transform(
+        ([endpoint, life, parts]) => ({ endpoint, life, parts }),
+      ),
   ),
-  list(
-    z.tuple([text, number, number]).transform(
+  boundedArray(
+    z.tuple([shortText, number, number]).transform(
       ([service, work, requests]) => ({ service, work, requests }),
     ),
   ),
-  whole,
+  nonNegativeInteger,
 ]).transform(([partial, endpoints, prefixes, arrivals, picture]) => ({
   partial,
   endpoints,
@@ -138,10 +146,10 @@
 const baseItems = [recordSchema, holdingsSchema] as const;
 const probeSchema = z.tuple([
   ...baseItems,
-  whole,
-  list(newsSchema),
-  list(summarySchema),
-  list(holdNotice),
+  nonNegativeInteger,
+  boundedArray(newsSchema),
+  boundedArray(summarySchema),
+  boundedArray(holdNoticeSchema),
 ]);
 
 /** Schemas of the items after the kind, for each kind of message. */
@@ -168,7 +176,7 @@
     regions,
     holds,
   })),
-  indirect: z.tuple([...baseItems, whole, text]).transform(
+  indirect: z.tuple([...baseItems, nonNegativeInteger, shortText]).transform(
     ([from, holdings, sequence, target]) => ({
       kind: "indirect",
       from,
@@ -177,7 +185,7 @@
       target,
     }),
   ),
-  indirect_ack: z.tuple([...baseItems, whole]).transform(
+  indirect_ack: z.tuple([...baseItems, nonNegativeInteger]).transform(
     ([from, holdings, sequence]) => ({
       kind: "indirect_ack",
       from,
@@ -188,16 +196,16 @@
   announce: z.tuple([...baseItems]).transform(
     ([from, holdings]) => ({ kind: "announce", from, holdings }),
   ),
-  work: z.tuple([text, reportSchema]).transform(
+  work: z.tuple([shortText, reportSchema]).transform(
     ([incarnation, report]) => ({ kind: "work", incarnation, report }),
   ),
-  quarantine: z.tuple([text, quarantineNews]).transform(
+  quarantine: z.tuple([shortText, quarantineNewsSchema]).transform(
     ([incarnation, news]) => ({ kind: "quarantine", incarnation, news }),
   ),
-  currency: z.tuple([currencyMessage]).transform(
+  currency: z.tuple([freshnessMessageSchema]).transform(
     ([message]) => ({ kind: "currency", message }),
   ),
-  spending: z.tuple([spendingMessage]).transform(
+  spending: z.tuple([spendingMessageSchema]).transform(
     ([message]) => ({ kind: "spending", message }),
   ),
   limits: z.tuple([limitMessageSchema]).transform(
@@ -237,10 +245,10 @@
     return [message.incarnation, encodeQuarantineNews(message.news)];
   }
   if (message.kind === "currency") {
-    return [encodeCurrency(message.message)];
+    return [encodeFreshnessMessage(message.message)];
   }
   if (message.kind === "spending") {
-    return [encodeSpending(message.message)];
+    return [encodeSpendingMessage(message.message)];
   }
   if (message.kind === "limits") {
     return [encodeLimits(message.message)];
--- a/packages/daemon/src/gateway/gateway_entry.ts
+++ b/packages/daemon/src/gateway/gateway_entry.ts
@@ -22,7 +22,7 @@
 } from "@sassafrasstep/core";
 import type { Logger } from "../logs/index.ts";
 import type { GatewaySettings } from "../settings/index.ts";
-import { afterPoll, type Cancel, Suspensions } from "../timers/index.ts";
+import { afterPoll, type Cancel, SuspensionDetector } from "../timers/index.ts";
 import { CatalogueReader } from "./catalogue_reader.ts";
 import { ConnectionPool } from "./connection_pool.ts";
 import { DatagramSocket } from "./datagram_socket.ts";
@@ -77,7 +77,7 @@
   readonly #outboundContext: OutboundContext;
   readonly #datagrams: DatagramSocket;
   readonly #catalogueReader: CatalogueReader;
-  readonly #suspensions = new Suspensions();
+  readonly #suspensions = new SuspensionDetector();
   readonly #servers: Server[] = [];
   #requests = 0;
   #cancelTick: Cancel = () => {};
--- a/packages/daemon/src/gateway/index.ts
+++ b/packages/daemon/src/gateway/index.ts
@@ -1,8 +1,5 @@
 export { encodeFleetMessage } from "./fleet_schema.ts";
-export {
-  GatewayEntry,
-  type PlatformAdapter as PlatformAdapter,
-} from "./gateway_entry.ts";
+export { GatewayEntry, type PlatformAdapter } from "./gateway_entry.ts";
 export { createGatewayClient } from "./gateway_router.ts";
 export * from "./protocol.ts";
 export type { GatewayStatus } from "./status.ts";
--- a/packages/daemon/src/gateway/terms_schema.ts
+++ b/packages/daemon/src/gateway/terms_schema.ts
@@ -6,11 +6,21 @@
  */
 import type { DepartureMessage, LimitMessage } from "@sassafrasstep/core";
 import { z } from "zod";
-import { life, list, number, text } from "../quarantine/index.ts";
+import {
+  boundedArray,
+  endpointLife,
+  number,
+  shortText,
+} from "../quarantine/index.ts";
 
 const rateSchema = number.positive();
 const ageSchema = number.nonnegative();
-const noticeSchema = z.tuple([text, life, rateSchema.nullable(), ageSchema])
+const noticeSchema = z.tuple([
+  shortText,
+  endpointLife,
+  rateSchema.nullable(),
+  ageSchema,
+])
   .transform(
     ([endpoint, life, perSecond, age]) => ({
       endpoint,
@@ -23,8 +33,8 @@
 /** Schema of limit messages: notices of limits, requests for permits, and grants. */
 export const limitMessageSchema = z.tuple([
   z.enum(["notice", "ask", "grant"]),
-  text,
-  list(noticeSchema),
+  shortText,
+  boundedArray(noticeSchema),
 ]).transform(([kind, incarnation, notices]) => ({
   kind,
   incarnation,
@@ -47,12 +57,15 @@
   ];
 }
 
-const departureSchema = z.tuple([text, life]).transform(
+const departureSchema = z.tuple([shortText, endpointLife]).transform(
   ([endpoint, life]) => ({ endpoint, life }),
 );
 
 /** Schema of the messages that name endpoints that are shutting down. */
-export const departureMessageSchema = z.tuple([text, list(departureSchema)])
+export const departureMessageSchema = z.tuple([
+  shortText,
+  boundedArray(departureSchema),
+])
   .transform(
     ([incarnation, departures]) => ({ incarnation, departures }),
   );
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -15,7 +15,7 @@
 export {
   Credentials,
   encodeHeartbeat,
-  encodeReply,
+  encodeHeartbeatReply,
   PeerClients,
   type PeerRouter,
   sendHeartbeat,
@@ -27,7 +27,7 @@
 } from "./settings/index.ts";
 export * from "./gateway/index.ts";
 export { readJson } from "./sockets/index.ts";
-export { whileHearing, withActiveTimeout } from "./timers/index.ts";
+export { withActiveTimeout, withIdleTimeout } from "./timers/index.ts";
 export { Logger } from "./logs/index.ts";
 export {
   type GatewaySettings,
--- a/packages/daemon/src/peers/client.ts
+++ b/packages/daemon/src/peers/client.ts
@@ -15,7 +15,7 @@
 import { type Credentials, PEER_HEADER } from "./credentials.ts";
 import type { PeerRouter } from "./router.ts";
 import { configurationCopySchema, heartbeatReplySchema } from "./schemas.ts";
-import { encodeHeartbeat } from "./wire.ts";
+import { encodeHeartbeat } from "./heartbeat_encoding.ts";
 
 /** Timeout for a peer's answer. */
 export const PEER_TIMEOUT_MS = 1_500;
--- a/packages/daemon/src/peers/wire.ts
+++ b/packages/daemon/src/peers/heartbeat_encoding.ts
@@ -52,7 +52,9 @@
 }
 
 /** Encodes the answer to a heartbeat. */
-export function encodeReply(reply: HeartbeatReply): WireHeartbeatReply {
+export function encodeHeartbeatReply(
+  reply: HeartbeatReply,
+): WireHeartbeatReply {
   return { ...reply, from: encodeFreshness(reply.from) };
 }
 
--- a/packages/daemon/src/peers/index.ts
+++ b/packages/daemon/src/peers/index.ts
@@ -6,4 +6,4 @@
   peerRouter,
   type PeerService,
 } from "./router.ts";
-export { encodeHeartbeat, encodeReply } from "./wire.ts";
+export { encodeHeartbeat, encodeHeartbeatReply } from "./heartbeat_encoding.ts";
--- a/packages/daemon/src/peers/router.ts
+++ b/packages/daemon/src/peers/router.ts
@@ -24,7 +24,7 @@
   requestIdSchema,
   revisionSchema,
 } from "./schemas.ts";
-import { encodeReply } from "./wire.ts";
+import { encodeHeartbeatReply } from "./heartbeat_encoding.ts";
 
 /** Operations of an entry that peers and operators can call. */
 export interface PeerService {
@@ -67,7 +67,7 @@
         message: `Cannot take a heartbeat of deployment "${input.deployment}"`,
       });
     }
-    return encodeReply(ctx.service.heartbeat(input));
+    return encodeHeartbeatReply(ctx.service.heartbeat(input));
   }),
   configuration: peerProcedure.input(revisionSchema).query(({ ctx, input }) =>
     ctx.service.configuration(input) ?? null
--- a/packages/daemon/src/peers/schemas.ts
+++ b/packages/daemon/src/peers/schemas.ts
@@ -19,7 +19,7 @@
   SPARE_PATTERN,
   type WireHeartbeat,
   type WireHeartbeatReply,
-} from "./wire.ts";
+} from "./heartbeat_encoding.ts";
 
 const MAX_ITEMS = 256;
 const MAX_KEYS = 20_000;
--- a/packages/daemon/src/quarantine/quarantine_schema.ts
+++ b/packages/daemon/src/quarantine/quarantine_schema.ts
@@ -5,12 +5,18 @@
  */
 import type { HoldNotice, QuarantineUpdate } from "@sassafrasstep/core";
 import { z } from "zod";
-import { life, list, number, text, whole } from "./schema_parts.ts";
+import {
+  boundedArray,
+  endpointLife,
+  nonNegativeInteger,
+  number,
+  shortText,
+} from "./schema_parts.ts";
 
 /** Maximum length of a message, which has room for several crashes with all their victims. */
 const MAX_MESSAGE_CHARACTERS = 65_536;
 
-const victim = z.tuple([text, text, number, z.boolean()]).transform(
+const victim = z.tuple([shortText, shortText, number, z.boolean()]).transform(
   ([content, caller, exposure, trial]) => ({
     content,
     caller,
@@ -19,14 +25,14 @@
   }),
 );
 const crash = z.tuple([
-  text,
-  life,
-  text,
-  text,
-  text,
+  shortText,
+  endpointLife,
+  shortText,
+  shortText,
+  shortText,
   number,
-  whole,
-  list(victim),
+  nonNegativeInteger,
+  boundedArray(victim),
 ]).transform((
   [endpoint, life, service, zone, softwareVersion, age, others, victims],
 ) => ({
@@ -40,22 +46,22 @@
   victims,
 }));
 
-const answered = z.tuple([text, text]).transform(
+const answered = z.tuple([shortText, shortText]).transform(
   ([content, softwareVersion]) => ({ content, softwareVersion }),
 );
 
-const tried = z.tuple([text, z.boolean()]).transform(
+const tried = z.tuple([shortText, z.boolean()]).transform(
   ([content, sent]) => ({ content, sent }),
 );
 
 /** Schema of a notice about a request that is held back; an empty caller stands for all callers. */
-export const holdNotice = z.tuple([
-  text,
-  text,
-  text,
-  list(text),
-  list(text),
-  whole,
+export const holdNoticeSchema = z.tuple([
+  shortText,
+  shortText,
+  shortText,
+  boundedArray(shortText),
+  boundedArray(shortText),
+  nonNegativeInteger,
   number,
   z.boolean(),
 ]).transform((
@@ -72,11 +78,11 @@
 }));
 
 /** Schema of an entry's quarantine news. */
-export const quarantineNews = z.tuple([
-  list(crash),
-  list(answered),
-  list(tried),
-  list(holdNotice),
+export const quarantineNewsSchema = z.tuple([
+  boundedArray(crash),
+  boundedArray(answered),
+  boundedArray(tried),
+  boundedArray(holdNoticeSchema),
 ]).transform(([crashes, answered, tried, holds]) => ({
   crashes,
   answered,
@@ -88,7 +94,7 @@
 export const quarantineNewsTextSchema = z.string().max(MAX_MESSAGE_CHARACTERS)
   .transform(
     (text, context): QuarantineUpdate => {
-      const result = quarantineNews.safeParse(parseJson(text));
+      const result = quarantineNewsSchema.safeParse(parseJson(text));
       if (!result.success) {
         context.addIssue("Expected quarantine news");
         return z.NEVER;
--- a/packages/daemon/src/quarantine/schema_parts.ts
+++ b/packages/daemon/src/quarantine/schema_parts.ts
@@ -7,19 +7,26 @@
 import { z } from "zod";
 
 const MAX_ITEMS = 1_024;
-export const text = z.string().max(256);
+export const shortText = z.string().max(256);
 export const number = z.number();
-export const whole = z.number().int().nonnegative();
+export const nonNegativeInteger = z.number().int().nonnegative();
 /** Life of an endpoint; 0 stands for an endpoint that does not report its life. */
-export const life = whole.transform((value) => value === 0 ? undefined : value);
+export const endpointLife = nonNegativeInteger.transform((value) =>
+  value === 0 ? undefined : value
+);
 
 /** Returns the schema of an array with as many items as a datagram can hold. */
-export function list<Item extends z.ZodType>(item: Item): z.ZodArray<Item> {
+export function boundedArray<Item extends z.ZodType>(
+  item: Item,
+): z.ZodArray<Item> {
   return z.array(item).max(MAX_ITEMS);
 }
 
 /** Position in the history of the catalogue. */
-export const position = z.tuple([whole, whole]).transform(
+export const cataloguePosition = z.tuple([
+  nonNegativeInteger,
+  nonNegativeInteger,
+]).transform(
   ([epoch, revision]) => ({ epoch, revision }),
 );
 
--- a/packages/daemon/src/sockets/index.ts
+++ b/packages/daemon/src/sockets/index.ts
@@ -1,3 +1,3 @@
 export { isReset } from "./is_reset.ts";
-export { PausableReads } from "./read_hold.ts";
+export { PausableReads } from "./pausable_reads.ts";
 export { readJson } from "./read_json.ts";
--- a/packages/daemon/src/timers/__tests__/while_listening.test.ts
+++ b/packages/daemon/src/timers/__tests__/active_timeout.test.ts
@@ -1,6 +1,6 @@
 import { setTimeout as wait } from "node:timers/promises";
 import { describe, expect, it } from "vitest";
-import { afterActiveTime, withActiveTimeout } from "../while_listening.ts";
+import { afterActiveTime, withActiveTimeout } from "../active_timeout.ts";
 
 /** Blocks the event loop, as a stopped process or a busy machine does. */
 function blockEventLoop(durationMs: number): void {
--- a/packages/daemon/src/timers/while_listening.ts
+++ b/packages/daemon/src/timers/active_timeout.ts
@@ -51,7 +51,7 @@
  * Runs work and aborts it after the process has been active for `idleMs` milliseconds without a call of
  * `onActivity`. With only a total timeout, an answer that is large for its link would never arrive.
  */
-export async function whileHearing<Result>(
+export async function withIdleTimeout<Result>(
   idleMs: number,
   work: (signal: AbortSignal, onActivity: () => void) => Promise<Result>,
 ): Promise<Result> {
--- a/packages/daemon/src/timers/index.ts
+++ b/packages/daemon/src/timers/index.ts
@@ -1,8 +1,8 @@
 export { afterPoll, type Cancel } from "./after_poll.ts";
 export { closeIdleAfterPoll } from "./idle_connections.ts";
-export { Suspensions } from "./suspensions.ts";
+export { SuspensionDetector } from "./suspension_detector.ts";
 export {
   afterActiveTime,
-  whileHearing,
   withActiveTimeout,
-} from "./while_listening.ts";
+  withIdleTimeout,
+} from "./active_timeout.ts";
--- a/packages/daemon/src/timers/suspensions.ts
+++ b/packages/daemon/src/timers/suspension_detector.ts
@@ -14,7 +14,7 @@
  * not. A forward step of the wall clock counts as a suspension too, so that the age of data may be overstated,
  * but never understated.
  */
-export class Suspensions {
+export class SuspensionDetector {
   readonly #monotonicClock: () => number;
   readonly #wallClock: () => number;
   /** Wall clock time minus monotonic time. */
--- a/playground/src/guards/byte_guards.ts
+++ b/playground/src/guards/byte_guards.ts
@@ -116,7 +116,7 @@
   {
     point: "pauses",
     name: "a limit of several turns counts the time of listening",
-    file: "packages/daemon/src/timers/while_listening.ts",
+    file: "packages/daemon/src/timers/active_timeout.ts",
     find: "left -= Math.min(performance.now() - from, 2 * part);",
     replace: "left -= performance.now() - from;",
   },
--- a/playground/src/guards/guards.ts
+++ b/playground/src/guards/guards.ts
@@ -233,14 +233,14 @@
   {
     point: "whole answers",
     name: "an answer without a length that is reset is torn",
-    file: "packages/daemon/src/clients/watched_client.ts",
+    file: "packages/daemon/src/clients/reset_aware_client.ts",
     find: 'socket.on("error", () => this.failed = true);',
     replace: 'socket.on("error", () => {});',
   },
   {
     point: "whole answers",
     name: "a reset that comes with an answer's last bytes is told from an end",
-    file: "packages/daemon/src/clients/watched_client.ts",
+    file: "packages/daemon/src/clients/reset_aware_client.ts",
     find: "this.endsAnswer && isReset(socket)",
     replace: "this.endsAnswer && socket.errored !== null",
   },
--- a/playground/src/slopes/fleet_spread.ts
+++ b/playground/src/slopes/fleet_spread.ts
@@ -17,7 +17,7 @@
   SeededRandomness,
   type ZoneId,
 } from "@sassafrasstep/core";
-import { encodeHeartbeat, encodeReply } from "@sassafrasstep/daemon";
+import { encodeHeartbeat, encodeHeartbeatReply } from "@sassafrasstep/daemon";
 import { FakeConfiguration } from "../scenario/platform_fakes.ts";
 import { VirtualTime } from "../scenario/virtual_time.ts";
 import { type FleetSize, makeText, zoneAt } from "./made_fleet.ts";
@@ -251,7 +251,8 @@
           effect.heartbeat,
           this.#clockOf(peer),
         );
-        const bytes = requestBytes + JSON.stringify(encodeReply(reply)).length;
+        const bytes = requestBytes +
+          JSON.stringify(encodeHeartbeatReply(reply)).length;
         node.bytes += bytes;
         peer.bytes += bytes;
         this.#time.after(delay, () => tell({ kind: "heartbeatReply", reply }));
