--- a/playground/src/routes/__tests__/key_lease.test.ts
+++ b/playground/src/routes/__tests__/key_lease.test.ts
@@ -6,18 +6,18 @@
 const FOLDER = new URL("../../../routes/", import.meta.url);
 const ENTRIES = ["n1", "n2", "s1", "w1"];
 const STORE_MODES = ["busy", "silent", "deaf", "stale", "up"];
-const MOST_TIME_MS = 9_000;
-/** Age of the copy that the store comes back from, and until operators write again what it lacks. */
-const COPY_AGE_MS = 3_000;
-const REWRITTEN_MS = 1_800;
+const MAX_FAULT_START_MS = 9_000;
+/** Age of the backup that the store is restored from, and time until operators repeat the lost writes. */
+const BACKUP_AGE_MS = 3_000;
+const REWRITE_DELAY_MS = 1_800;
 
 function loadSetting(name: string): string {
   return readFileSync(new URL(`${name}.setting`, FOLDER), "utf8");
 }
 
-/** What may happen to an entry, or to the store as it sees it. */
-const trouble = fc.record({
-  at: fc.nat(MOST_TIME_MS),
+/** A fault of an entry, of the network or of the store. */
+const faultArbitrary = fc.record({
+  at: fc.nat(MAX_FAULT_START_MS),
   for: fc.integer({ min: 300, max: 8_000 }),
   kind: fc.constantFrom(
     "store",
@@ -36,13 +36,13 @@
   everywhere: fc.boolean(),
 });
 
-type Trouble = typeof trouble extends fc.Arbitrary<infer Value> ? Value
+type Fault = typeof faultArbitrary extends fc.Arbitrary<infer Value> ? Value
   : never;
 
-function linesOf(
-  { at, for: time, kind, entry, mode, everywhere }: Trouble,
+function scriptLines(
+  { at, for: durationMs, kind, entry, mode, everywhere }: Fault,
 ): string[] {
-  const end = at + time;
+  const end = at + durationMs;
   switch (kind) {
     case "store":
       return [
@@ -54,7 +54,7 @@
     case "freeze":
       return [`at ${at}ms freeze ${entry}`, `at ${end}ms thaw ${entry}`];
     case "sleep":
-      return [`at ${at}ms sleep ${entry} ${time}ms`];
+      return [`at ${at}ms sleep ${entry} ${durationMs}ms`];
     case "restart":
       return [`at ${at}ms kill ${entry}`, `at ${at + 400}ms start ${entry}`];
     case "region":
@@ -63,25 +63,25 @@
       return [`at ${at}ms compact`];
     case "restore":
       return [
-        `at ${Math.max(at, end - COPY_AGE_MS)}ms copy_store`,
+        `at ${Math.max(at, end - BACKUP_AGE_MS)}ms copy_store`,
         ...everywhere ? [`at ${end - 200}ms store ${mode}`] : [],
         `at ${end}ms restore_store`,
         `at ${end}ms store up`,
-        `at ${end + REWRITTEN_MS}ms publish`,
+        `at ${end + REWRITE_DELAY_MS}ms publish`,
       ];
     case "lose":
       return [`at ${at}ms lose 0.2`, `at ${end}ms lose 0`];
   }
 }
 
-function script(troubles: readonly Trouble[], takenAt: number): string {
+function buildScript(faults: readonly Fault[], removedAtMs: number): string {
   const calls = `print via ${ENTRIES.join()} count 340 every 50ms key`;
   const steps = [
     `at 0s load old ${calls} k1`,
     `at 0s load kept ${calls} k2`,
-    `at ${takenAt}ms customer clinic keys k9`,
-    `at ${takenAt}ms publish`,
-    ...troubles.flatMap(linesOf),
+    `at ${removedAtMs}ms customer clinic keys k9`,
+    `at ${removedAtMs}ms publish`,
+    ...faults.flatMap(scriptLines),
   ];
   const timeOf = (line: string): number => Number.parseInt(line.slice(3), 10);
   return [
@@ -93,27 +93,28 @@
 }
 
 describe("a key that is taken away", () => {
-  // No request that is sent later than the bound may run, and endpoints are told the customer's name alone:
-  // both hold in every scenario (`checkKey`), here under drawn cuts, pauses, restarts and faults of the store.
-  it("opens nothing later than its bound, whatever happens meanwhile", () => {
+  // A request sent after the bound must not run, and endpoints must get only the customer's name.
+  // `checkCustomerKey` checks both in every scenario. This test asserts the first under randomized partitions,
+  // pauses, restarts and store faults.
+  it("admits no request after its bound, despite faults", () => {
     fc.assert(
       fc.property(
-        fc.array(trouble, { minLength: 1, maxLength: 4 }),
+        fc.array(faultArbitrary, { minLength: 1, maxLength: 4 }),
         fc.integer({ min: 500, max: 6_000 }),
         fc.nat(100),
-        (troubles, takenAt, seed) => {
-          const text = script(troubles, takenAt);
+        (faults, removedAtMs, seed) => {
+          const text = buildScript(faults, removedAtMs);
           const { failures } = runRoutes(text, { seed, loadSetting });
-          const ofKeys = failures.filter((text) => text.includes(" key "));
-          expect(ofKeys).toEqual([]);
+          const keyFailures = failures.filter((text) => text.includes(" key "));
+          expect(keyFailures).toEqual([]);
         },
       ),
       { numRuns: Number(process.env.KEY_RUNS ?? 40) },
     );
   });
 
-  it("keeps serving the keys that hold, while some entry hears of them", () => {
-    const text = script([{
+  it("leaves valid keys usable while some entry can still read the store", () => {
+    const text = buildScript([{
       at: 1_000,
       for: 7_000,
       kind: "store",
@@ -122,10 +123,10 @@
       everywhere: false,
     }], 500);
     const { world } = runRoutes(text, { seed: 3, loadSetting });
-    const kept = [...world.calls.values()].filter(({ name, endedAt }) =>
+    const endedCalls = [...world.calls.values()].filter(({ name, endedAt }) =>
       name.startsWith("kept-") && endedAt !== undefined
     );
-    expect(kept.length).toBeGreaterThan(270);
-    expect(kept.filter(({ status }) => status !== 200)).toEqual([]);
+    expect(endedCalls.length).toBeGreaterThan(270);
+    expect(endedCalls.filter(({ status }) => status !== 200)).toEqual([]);
   });
 });
--- a/playground/src/routes/__tests__/restored_store_model.test.ts
+++ b/playground/src/routes/__tests__/restored_store_model.test.ts
@@ -8,18 +8,21 @@
 const ENDPOINTS = ["pn", "ps", "en1", "en2", "es1", "ew1"];
 const ZONES = ["north-a", "south-a", "west-a"];
 const STORE_MODES = ["busy", "silent", "deaf"];
-const MOST_TIME_MS = 8_000;
-const MOST_COPY_AGE_MS = 4_000;
-/** After a restore: by then endpoints and operators have written again, and silent records are removed. */
-const REWRITTEN_MS = 1_800;
-/** After the last trouble, until entries are in touch; the last changes are made before. */
-const IN_TOUCH_MS = 6_000;
-const LAST_CHANGE_MS = 2_000;
+const MAX_STEP_START_MS = 8_000;
+const MAX_BACKUP_AGE_MS = 4_000;
+/**
+ * Time after a restore by which endpoints and operators have repeated the lost writes and the records of
+ * silent endpoints are removed.
+ */
+const REWRITE_DELAY_MS = 1_800;
+/** Time after the last fault until all entries must hold the store's state; the last changes come before. */
+const CONVERGENCE_MS = 6_000;
+const LAST_CHANGE_DELAY_MS = 2_000;
 
-/** Something that happens, at a time and for a while. */
-const step = fc.record({
-  at: fc.nat(MOST_TIME_MS),
-  for: fc.integer({ min: 50, max: MOST_COPY_AGE_MS }),
+/** A fault or a change, with its start and duration. */
+const stepArbitrary = fc.record({
+  at: fc.nat(MAX_STEP_START_MS),
+  for: fc.integer({ min: 50, max: MAX_BACKUP_AGE_MS }),
   kind: fc.constantFrom(
     "restore",
     "restore",
@@ -42,24 +45,29 @@
   endpoint: fc.constantFrom(...ENDPOINTS),
   zone: fc.constantFrom(...ZONES),
   mode: fc.constantFrom(...STORE_MODES),
-  away: fc.integer({ min: 0, max: 2_000 }),
+  unavailableMs: fc.integer({ min: 0, max: 2_000 }),
 });
 
-type Step = typeof step extends fc.Arbitrary<infer Value> ? Value : never;
+type Step = typeof stepArbitrary extends fc.Arbitrary<infer Value> ? Value
+  : never;
 
-/** What the platform has acknowledged, which is what a restore may lose. */
-class Acknowledged {
+/** Writes that the platform has acknowledged and that a restore may lose. */
+class AcknowledgedState {
   readonly endpoints = new Map(ENDPOINTS.map((name) => [name, "ready"]));
   readonly evacuated = new Set<string>();
   #joined = 0;
 
-  /** A change, as a line of the script. */
-  change({ kind, endpoint, zone }: Step): string[] {
+  /** Records a change and returns its script lines. */
+  applyChange({ kind, endpoint, zone }: Step): string[] {
     switch (kind) {
       case "drain":
-        return this.#leave(endpoint, "draining", `drain ${endpoint}`);
+        return this.#setEndpointState(
+          endpoint,
+          "draining",
+          `drain ${endpoint}`,
+        );
       case "remove":
-        return this.#leave(endpoint, "gone", `remove ${endpoint}`);
+        return this.#setEndpointState(endpoint, "gone", `remove ${endpoint}`);
       case "join": {
         const name = `new${++this.#joined}`;
         this.endpoints.set(name, "ready");
@@ -79,23 +87,23 @@
     }
   }
 
-  /** All of it once more. */
-  rewritten(): string[] {
-    const words: Record<string, string> = {
+  /** Returns script lines that repeat all acknowledged writes. */
+  rewriteLines(): string[] {
+    const verbs: Record<string, string> = {
       ready: "beat",
       draining: "drain",
       gone: "remove",
     };
     return [
       "publish",
-      ...[...this.endpoints].map(([name, state]) => `${words[state]} ${name}`),
+      ...[...this.endpoints].map(([name, state]) => `${verbs[state]} ${name}`),
       ...ZONES.map((zone) =>
         `${this.evacuated.has(zone) ? "evacuate" : "restore"} ${zone}`
       ),
     ];
   }
 
-  #leave(endpoint: string, state: string, line: string): string[] {
+  #setEndpointState(endpoint: string, state: string, line: string): string[] {
     if (this.endpoints.get(endpoint) === "gone") {
       return [];
     }
@@ -104,15 +112,18 @@
   }
 }
 
-interface Due {
+interface ScheduledLines {
   readonly at: number;
   readonly lines: () => readonly string[];
 }
 
-function duesOf(step: Step, acknowledged: Acknowledged): Due[] {
-  const { at, kind, entry, mode, away } = step;
+function scheduleStep(
+  step: Step,
+  acknowledged: AcknowledgedState,
+): ScheduledLines[] {
+  const { at, kind, entry, mode, unavailableMs } = step;
   const end = at + step.for;
-  const during = (begin: string, finish: string): Due[] => [
+  const during = (begin: string, finish: string): ScheduledLines[] => [
     { at, lines: () => [begin] },
     { at: end, lines: () => [finish] },
   ];
@@ -120,11 +131,11 @@
     case "restore":
       return [
         { at, lines: () => ["copy_store"] },
-        { at: end, lines: () => away < 100 ? [] : [`store ${mode}`] },
-        { at: end + away, lines: () => ["restore_store", "store up"] },
+        { at: end, lines: () => unavailableMs < 100 ? [] : [`store ${mode}`] },
+        { at: end + unavailableMs, lines: () => ["restore_store", "store up"] },
         {
-          at: end + away + REWRITTEN_MS,
-          lines: () => acknowledged.rewritten(),
+          at: end + unavailableMs + REWRITE_DELAY_MS,
+          lines: () => acknowledged.rewriteLines(),
         },
       ];
     case "cut":
@@ -140,42 +151,42 @@
     case "lose":
       return during("lose 0.2", "lose 0");
     default:
-      return [{ at, lines: () => acknowledged.change(step) }];
+      return [{ at, lines: () => acknowledged.applyChange(step) }];
   }
 }
 
-function script(steps: readonly Step[], keyed: boolean): string {
-  const acknowledged = new Acknowledged();
-  const dues = steps.flatMap((item) => duesOf(item, acknowledged))
+function buildScript(steps: readonly Step[], hasCustomer: boolean): string {
+  const acknowledged = new AcknowledgedState();
+  const schedule = steps.flatMap((item) => scheduleStep(item, acknowledged))
     .sort((left, right) => left.at - right.at);
-  const calm = Math.max(...dues.map(({ at }) => at));
-  const last = calm + LAST_CHANGE_MS;
-  const lines = dues.flatMap((due) =>
-    due.lines().map((line) => `at ${due.at}ms ${line}`)
+  const faultsEndAt = Math.max(...schedule.map(({ at }) => at));
+  const lastChangeAt = faultsEndAt + LAST_CHANGE_DELAY_MS;
+  const lines = schedule.flatMap((item) =>
+    item.lines().map((line) => `at ${item.at}ms ${line}`)
   );
   return [
     "use three_regions",
-    ...keyed ? ["customer clinic keys k1"] : [],
+    ...hasCustomer ? ["customer clinic keys k1"] : [],
     ...lines,
-    `at ${calm}ms heal`,
-    `at ${calm}ms store up`,
-    `at ${last}ms publish`,
-    `at ${last}ms drain ew1`,
-    `at ${last}ms evacuate west-a`,
-    `at ${calm + IN_TOUCH_MS}ms expect in_force ${ENTRIES.join()}`,
+    `at ${faultsEndAt}ms heal`,
+    `at ${faultsEndAt}ms store up`,
+    `at ${lastChangeAt}ms publish`,
+    `at ${lastChangeAt}ms drain ew1`,
+    `at ${lastChangeAt}ms evacuate west-a`,
+    `at ${faultsEndAt + CONVERGENCE_MS}ms expect in_force ${ENTRIES.join()}`,
   ].join("\n");
 }
 
-// Guards against any change that an entry in touch misses, over restores of the store and troubles of entries.
+// Guards against changes that a connected entry misses because the store was restored or entries had faults.
 describe("what the store holds", () => {
-  it("is in force at every entry in touch within its bound", () => {
+  it("is in force at every connected entry within its bound", () => {
     fc.assert(
       fc.property(
-        fc.array(step, { minLength: 2, maxLength: 8 }),
+        fc.array(stepArbitrary, { minLength: 2, maxLength: 8 }),
         fc.boolean(),
         fc.nat(100),
-        (steps, keyed, seed) => {
-          const { failures } = runRoutes(script(steps, keyed), {
+        (steps, hasCustomer, seed) => {
+          const { failures } = runRoutes(buildScript(steps, hasCustomer), {
             seed,
             loadSetting: (name) =>
               readFileSync(new URL(`${name}.setting`, FOLDER), "utf8"),
--- a/playground/src/routes/crashes.ts
+++ b/playground/src/routes/crashes.ts
@@ -1,6 +1,6 @@
 /**
- * Endpoints that end: of themselves, or under a request that crashes whatever runs it. They are back
- * after a while as new endpoints at the same address.
+ * Simulates endpoint crashes: on their own, or caused by a request body that crashes every endpoint that
+ * runs it. After a downtime, a new endpoint takes over the address.
  *
  * @module
  */
@@ -9,156 +9,167 @@
 import { recordOf } from "./route_setting.ts";
 import type { VirtualGateway } from "./virtual_gateway.ts";
 
-/** Until the platform takes the record of an endpoint away that is silent. */
+/** Time after a crash until the platform removes the endpoint's record. */
 const RECORD_LIFETIME_MS = 3_000;
-/** Until an endpoint is back. */
-const DOWN_MS = 7_000;
-/** A request that crashes endpoints must be known for what it is this long after the third end. */
-const SETTLE_MS = 6_000;
-const ENDS_TO_KNOW = 3;
-/** Sends of a request that is known which are borne, all entries together. */
-export const SENDS_AFTERWARDS = 3;
-
-/** How an endpoint ends. */
-export type EndKind =
-  /** Its connections are closed, new ones refused. */
+/** Default time from a crash until a new endpoint listens at the address. */
+const DOWNTIME_MS = 7_000;
+/** A request that crashes endpoints must be detected within this time after its third crash. */
+const DETECTION_MS = 6_000;
+const CRASHES_TO_DETECT = 3;
+/** Number of sends of a detected request that are tolerated, over all entries. */
+export const MAX_LATE_SENDS = 3;
+
+/** How an endpoint crashes. */
+export type CrashKind =
+  /** Its connections are closed and new ones are refused. */
   | "close"
-  /** Its connections hang. */
+  /** Its connections hang and new ones time out. */
   | "dark"
-  /** It answers a failure and closes. */
+  /** It answers its open requests with a failure and refuses new connections. */
   | "failure"
-  /** As `close`, and it is back at once under its id. */
+  /** Like `close`, but it restarts at once under the same id. */
   | "reborn";
 
-/** One send of a body to an endpoint. */
-interface Arrival {
+/** One send of a poison body to an endpoint. */
+interface EndpointSend {
   readonly at: number;
-  /** Whether its entry had run for long enough to know what the others know. */
-  readonly inTouch: boolean;
+  /** Whether the sending entry had run long enough to have learned what its peers know. */
+  readonly upToDate: boolean;
 }
 
-/** A body that crashes what runs it. */
-interface Poison {
-  /** From the start of a run to its end. */
-  readonly after: number;
-  readonly how: EndKind;
-  readonly down: number;
-  /** Times at which endpoints ended under it. */
-  readonly ends: number[];
-  readonly arrivals: Arrival[];
+/** A request body that crashes every endpoint that runs it. */
+interface PoisonBody {
+  /** Time from the start of a run to the crash. */
+  readonly crashAfterMs: number;
+  readonly kind: CrashKind;
+  readonly downtimeMs: number;
+  /** Times at which it crashed an endpoint. */
+  readonly crashTimes: number[];
+  readonly sends: EndpointSend[];
 }
 
-/** Ends endpoints, and counts under what. */
-export class Crashes {
-  readonly poisons = new Map<string, Poison>();
+/** Crashes endpoints and records which request bodies caused it. */
+export class CrashSimulator {
+  readonly poisonBodies = new Map<string, PoisonBody>();
   readonly #world: RouteWorld;
-  readonly #cured = new Set<string>();
-  #lives = 0;
+  readonly #fixedVersions = new Set<string>();
+  #restartCount = 0;
 
   constructor(world: RouteWorld) {
     this.#world = world;
   }
 
-  addPoison(
+  addPoisonBody(
     body: string,
-    { after, how, down = DOWN_MS }: {
-      after: number;
-      how: EndKind;
-      down?: number;
+    { crashAfterMs, kind, downtimeMs = DOWNTIME_MS }: {
+      crashAfterMs: number;
+      kind: CrashKind;
+      downtimeMs?: number;
     },
   ): void {
-    this.poisons.set(body, { after, how, down, ends: [], arrivals: [] });
+    this.poisonBodies.set(body, {
+      crashAfterMs,
+      kind,
+      downtimeMs,
+      crashTimes: [],
+      sends: [],
+    });
   }
 
-  /** Endpoints of this software do not crash. */
-  cure(version: string): void {
-    this.#cured.add(version);
+  /** Marks a software version as fixed: its endpoints no longer crash on poison bodies. */
+  markFixed(version: string): void {
+    this.#fixedVersions.add(version);
   }
 
-  /** A request has reached an endpoint that it may crash. */
-  noteArrival(
+  /** Records that a request has reached an endpoint that it may crash. */
+  recordSend(
     call: string,
     { from, at }: { from: VirtualGateway; at: FakeBackend },
   ): void {
-    if (this.#cured.has(at.version)) {
+    if (this.#fixedVersions.has(at.version)) {
       return;
     }
     const { now } = this.#world.time;
-    const inTouch = now - from.startedAt >= SETTLE_MS;
-    this.#poisonOf(call)?.arrivals.push({ at: now, inTouch });
+    const upToDate = now - from.startedAt >= DETECTION_MS;
+    this.#poisonBodyOf(call)?.sends.push({ at: now, upToDate });
   }
 
-  /** Time until a run of a request ends its endpoint, `undefined` where it does not. */
-  timeOf(call: string, { version }: FakeBackend): number | undefined {
-    return this.#cured.has(version) ? undefined : this.#poisonOf(call)?.after;
+  /** Returns the time until a run of a request crashes its endpoint, `undefined` if it doesn't. */
+  crashDelay(call: string, { version }: FakeBackend): number | undefined {
+    return this.#fixedVersions.has(version)
+      ? undefined
+      : this.#poisonBodyOf(call)?.crashAfterMs;
   }
 
-  /** The endpoint ends under a request. */
-  under(call: string, backend: FakeBackend): void {
-    const poison = this.#poisonOf(call)!;
-    poison.ends.push(this.#world.time.now);
-    this.end(backend, poison);
+  /** Crashes an endpoint because of a request that it runs. */
+  crashUnder(call: string, backend: FakeBackend): void {
+    const poison = this.#poisonBodyOf(call)!;
+    poison.crashTimes.push(this.#world.time.now);
+    this.crash(backend, poison);
   }
 
-  /** The endpoint ends, and is back after some time. */
-  end(
+  /** Crashes an endpoint; it is restarted or replaced after the downtime. */
+  crash(
     backend: FakeBackend,
-    { how, down = DOWN_MS }: { how: EndKind; down?: number },
+    { kind, downtimeMs = DOWNTIME_MS }: {
+      kind: CrashKind;
+      downtimeMs?: number;
+    },
   ): void {
     const { store, time } = this.#world;
-    backend.end(how === "dark" ? "dark" : "refuse", {
-      answers: how === "failure",
+    backend.terminate(kind === "dark" ? "dark" : "refuse", {
+      answers: kind === "failure",
     });
-    if (how === "reborn") {
-      return this.#startAgain(backend);
+    if (kind === "reborn") {
+      return this.#restart(backend);
     }
     time.after(RECORD_LIFETIME_MS, () => store.remove(backend.id));
-    time.after(down, () => this.#replace(backend));
+    time.after(downtimeMs, () => this.#replace(backend));
   }
 
-  /** Sends to endpoints of a body, by entries in touch, later than it had to be known. */
+  /** Counts the sends of a body by up-to-date entries after it should have been detected. */
   lateSends(body: string): number {
-    const { ends, arrivals } = this.poisons.get(body)!;
-    const third = ends[ENDS_TO_KNOW - 1] ?? Infinity;
-    return arrivals.filter(({ at, inTouch }) =>
-      inTouch && at > third + SETTLE_MS
+    const { crashTimes, sends } = this.poisonBodies.get(body)!;
+    const detectionStartsAt = crashTimes[CRASHES_TO_DETECT - 1] ?? Infinity;
+    return sends.filter(({ at, upToDate }) =>
+      upToDate && at > detectionStartsAt + DETECTION_MS
     ).length;
   }
 
-  #poisonOf(call: string): Poison | undefined {
-    return this.poisons.get(this.#world.bodyOf(call));
+  #poisonBodyOf(call: string): PoisonBody | undefined {
+    return this.poisonBodies.get(this.#world.bodyOf(call));
   }
 
   #replace(backend: FakeBackend): void {
     const [base] = backend.name.split("/");
-    this.#lives++;
-    const name = `${base}/${this.#lives}`;
-    const next = backend.successor({ name, id: `i-${name}` });
-    this.#world.backends.set(name, next);
-    this.#world.store.put(recordOf(next, { sequence: 1 }));
+    this.#restartCount++;
+    const name = `${base}/${this.#restartCount}`;
+    const replacement = backend.createReplacement({ name, id: `i-${name}` });
+    this.#world.backends.set(name, replacement);
+    this.#world.store.put(recordOf(replacement, { sequence: 1 }));
   }
 
-  #startAgain(backend: FakeBackend): void {
-    this.#lives++;
+  #restart(backend: FakeBackend): void {
+    this.#restartCount++;
     backend.mode = "answer";
-    backend.life = this.#world.time.now + this.#lives;
+    backend.life = this.#world.time.now + this.#restartCount;
     this.#world.store.put(recordOf(backend, { sequence: 1 }));
   }
 }
 
-/** What must hold of each body that crashes endpoints. */
-export function checkPoisons({ crashes }: RouteWorld): string[] {
-  return [...crashes.poisons.keys()].flatMap((body) => {
+/** Checks that no poison body was sent more often than tolerated after it should have been detected. */
+export function checkPoisonBodies({ crashes }: RouteWorld): string[] {
+  return [...crashes.poisonBodies.keys()].flatMap((body) => {
     const late = crashes.lateSends(body);
-    const { ends } = crashes.poisons.get(body)!;
-    return late <= SENDS_AFTERWARDS ? [] : [
-      `Body ${body} reached endpoints ${late} times after it had to be known; ${ends.length} ended`,
+    const { crashTimes } = crashes.poisonBodies.get(body)!;
+    return late <= MAX_LATE_SENDS ? [] : [
+      `Body ${body} reached endpoints ${late} times after it should have been detected; it crashed ${crashTimes.length}`,
     ];
   });
 }
 
-/** The backend that answers at an address now. */
-export function presentAt(world: RouteWorld, name: string): FakeBackend {
+/** Returns the backend that now has the address of the named one. */
+export function currentBackend(world: RouteWorld, name: string): FakeBackend {
   const backend = world.backends.get(name)!;
   return world.backendAt(addressOf(backend)) ?? backend;
 }
--- a/playground/src/routes/fake_backend.ts
+++ b/playground/src/routes/fake_backend.ts
@@ -1,5 +1,5 @@
 /**
- * An endpoint under virtual time: runs requests, and fails in the ways that endpoints do.
+ * A fake endpoint in virtual time. It runs requests and can be set to fail in various ways.
  *
  * @module
  */
@@ -14,33 +14,33 @@
 import type { VirtualGateway } from "./virtual_gateway.ts";
 import type { VirtualTime } from "../scenario/virtual_time.ts";
 
-/** How the endpoint treats requests. */
+/** How the endpoint handles requests. */
 export type BackendMode =
   | "answer"
-  /** Runs and says failure. */
+  /** Runs the request and answers with a failure. */
   | "fail"
-  /** Says that it did not run. */
+  /** Answers that the request was not run. */
   | "reject"
-  /** Runs and breaks the connection. */
+  /** Runs the request, then resets the connection. */
   | "reset_after"
-  /** Breaks the connection and does not run. */
+  /** Resets the connection without running the request. */
   | "reset_before"
-  /** Nothing comes back, connections hang. */
+  /** Never answers; connections hang. */
   | "dark"
-  /** Connections are refused. */
+  /** Refuses connections. */
   | "refuse"
-  /** Another endpoint has the address. */
+  /** Answers as if another endpoint had taken over the address. */
   | "misdirect"
-  /** Breaks streams off after some events. */
+  /** Resets streams after `EVENTS_BEFORE_RESET` events. */
   | "torn";
 
-/** Events before a torn stream breaks. */
-export const TORN_EVENTS = 3;
-const EVENT_MS = 40;
-const FAILED = 500;
+/** Number of events that a stream in mode `torn` delivers before its connection is reset. */
+export const EVENTS_BEFORE_RESET = 3;
+const EVENT_INTERVAL_MS = 40;
+const STATUS_FAILED = 500;
 const MS_PER_SECOND = 1_000;
 
-/** What an attempt sees of its request. */
+/** Callbacks through which the endpoint answers a request. */
 export interface BackendAnswer {
   head(status: number, notRun: boolean): void;
   event(id: number): void;
@@ -48,7 +48,7 @@
   lost(detail: string): void;
 }
 
-/** One request at the endpoint. */
+/** A request that an endpoint receives. */
 export interface BackendRequest {
   readonly call: string;
   readonly from: VirtualGateway;
@@ -62,29 +62,29 @@
   readonly answer: BackendAnswer;
 }
 
-/** What ends endpoints, as they see it. */
-export interface CrashRules {
-  /** A request has reached an endpoint. */
-  noteArrival(
+/** Decides which requests crash an endpoint. */
+export interface CrashPolicy {
+  /** Records that a request has reached an endpoint. */
+  recordSend(
     call: string,
-    way: { from: VirtualGateway; at: FakeBackend },
+    send: { from: VirtualGateway; at: FakeBackend },
   ): void;
-  /** Time until a run of a request ends its endpoint, `undefined` where it does not. */
-  timeOf(call: string, backend: FakeBackend): number | undefined;
-  /** The endpoint ends under a request. */
-  under(call: string, backend: FakeBackend): void;
+  /** Returns the time until a run of a request crashes its endpoint, `undefined` if it doesn't. */
+  crashDelay(call: string, backend: FakeBackend): number | undefined;
+  /** Crashes an endpoint because of a request that it runs. */
+  crashUnder(call: string, backend: FakeBackend): void;
 }
 
-/** One run of a request. */
+/** One run of a request at an endpoint. */
 export interface Run {
   readonly call: string;
   readonly backend: string;
   readonly at: number;
-  /** Whose request it was, as the endpoint was told. */
+  /** The customer that the gateway named to the endpoint. */
   readonly customer: string | undefined;
 }
 
-/** One endpoint. */
+/** A fake endpoint. */
 export class FakeBackend {
   readonly name: string;
   readonly id: EndpointId;
@@ -94,24 +94,28 @@
   readonly work: number;
   readonly version: string;
   mode: BackendMode = "answer";
-  /** Its present life, where it tells one. */
+  /** Its current life as its record states it, `undefined` if the record states none. */
   life: number | undefined;
-  /** Limits that it stated, in requests a second, and since when. */
+  /** Limits that it has stated, in requests per second, each with the time it was set. */
   readonly limits: { at: number; perSecond: number | undefined }[] = [];
-  /** Whether it says in its answers that it leaves. */
+  /** Whether its answers say that it is leaving. */
   leaving = false;
-  /** When each incarnation of an entry first had an answer that says so. */
-  readonly toldLeaving = new Map<Incarnation, number>();
-  /** Until when it turns requests away, and the seconds of rest that it then asks for. */
-  tired: { until: number; restS: number } | undefined;
-  /** Rests that it asked entries for. */
-  readonly rests: { entry: Incarnation; from: number; to: number }[] = [];
-  /** Times of requests that arrived. */
+  /** When each incarnation of an entry first received an answer saying that the endpoint is leaving. */
+  readonly leavingToldAt = new Map<Incarnation, number>();
+  /** Until when it rejects requests, and the backoff in seconds that it then asks for. */
+  overload: { until: number; backoffS: number } | undefined;
+  /** Backoffs that it has asked entries for. */
+  readonly backoffs: { entry: Incarnation; from: number; to: number }[] = [];
+  /** Arrival times of requests. */
   readonly arrivals: number[] = [];
-  /** Incarnations of the entries that sent them. */
+  /** For each arrival, the incarnation of the entry that sent the request. */
   readonly senders: Incarnation[] = [];
   protected readonly time: VirtualTime;
-  readonly #tools: { time: VirtualTime; runs: Run[]; crashes?: CrashRules };
+  readonly #dependencies: {
+    time: VirtualTime;
+    runs: Run[];
+    crashes?: CrashPolicy;
+  };
   readonly #cancelled = new Set<BackendAnswer>();
   readonly #open = new Set<BackendAnswer>();
   #busyUntil = 0;
@@ -126,7 +130,7 @@
       work: number;
       version?: string;
     },
-    tools: { time: VirtualTime; runs: Run[]; crashes?: CrashRules },
+    dependencies: { time: VirtualTime; runs: Run[]; crashes?: CrashPolicy },
   ) {
     this.name = name;
     this.id = id as EndpointId;
@@ -135,66 +139,69 @@
     this.slots = slots;
     this.work = work;
     this.version = version;
-    this.time = tools.time;
-    this.#tools = tools;
+    this.time = dependencies.time;
+    this.#dependencies = dependencies;
   }
 
-  /** What it states of itself in each answer. */
-  get stated(): Pick<AnswerHead, "limit" | "leaving" | "rest"> {
+  /** The limit, departure and backoff that each of its answers states. */
+  get answerFields(): Pick<AnswerHead, "limit" | "leaving" | "rest"> {
     const value = this.limits.at(-1)?.perSecond;
     return {
-      rest: this.isTired
-        ? { kind: "value", value: this.tired!.restS }
+      rest: this.isOverloaded
+        ? { kind: "value", value: this.overload!.backoffS }
         : undefined,
       limit: value === undefined ? undefined : { kind: "value", value },
       leaving: this.leaving,
     };
   }
 
-  get isTired(): boolean {
-    return this.tired !== undefined && this.time.now < this.tired.until;
+  get isOverloaded(): boolean {
+    return this.overload !== undefined && this.time.now < this.overload.until;
   }
 
-  /** An entry has an answer of this endpoint. */
-  noteTold(entry: Incarnation): void {
-    if (this.isTired) {
+  /** Records what an entry learns from an answer of this endpoint. */
+  recordAnswer(entry: Incarnation): void {
+    if (this.isOverloaded) {
       const { now } = this.time;
-      const to = now + this.tired!.restS * MS_PER_SECOND;
-      this.rests.push({ entry, from: now, to });
+      const to = now + this.overload!.backoffS * MS_PER_SECOND;
+      this.backoffs.push({ entry, from: now, to });
     }
-    if (this.leaving && !this.toldLeaving.has(entry)) {
-      this.toldLeaving.set(entry, this.time.now);
+    if (this.leaving && !this.leavingToldAt.has(entry)) {
+      this.leavingToldAt.set(entry, this.time.now);
     }
   }
 
-  /** Another endpoint of the same kind, at the same address. */
-  successor({ name, id }: { name: string; id: string }): FakeBackend {
+  /** Creates another endpoint with the same properties at the same address. */
+  createReplacement({ name, id }: { name: string; id: string }): FakeBackend {
     const { service, spot, slots, work, version } = this;
     return new FakeBackend(
       { name, id, service, spot, slots, work, version },
-      this.#tools,
+      this.#dependencies,
     );
   }
 
-  /** Its process ends: what it ran is lost. `answers`: it still says that it failed. */
-  end(mode: "dark" | "refuse", { answers }: { answers: boolean }): void {
+  /** Ends its process and loses its running requests, answering them with a failure if asked to. */
+  terminate(
+    mode: "dark" | "refuse",
+    { answers: answersOpenRequests }: { answers: boolean },
+  ): void {
     const open = [...this.#open].filter((answer) =>
       !this.#cancelled.has(answer)
     );
-    this.startAgain(this.life);
+    this.restart(this.life);
     this.mode = mode;
     if (mode === "refuse") {
       open.forEach((answer) =>
-        this.time.after(1, () => this.#breakOff(answer, answers))
+        this.time.after(1, () => this.#failAnswer(answer, answersOpenRequests))
       );
     }
   }
 
   /**
-   * Ends without a word and is there again under its id and address: what it ran is lost, and the
-   * connections to the former life stay silent.
+   * Restarts without notice under the same id and address. Its running requests are lost, and connections
+   * to the previous process stay silent.
    */
-  startAgain(life: number | undefined): void {
+  restart(life: number | undefined): void {
     this.life = life;
     this.#busyUntil = this.time.now;
     this.#open.forEach((answer) => this.#cancelled.add(answer));
@@ -207,73 +214,89 @@
 
   take(request: BackendRequest): void {
     this.arrivals.push(this.time.now);
-    this.#tools.crashes?.noteArrival(request.call, {
+    this.#dependencies.crashes?.recordSend(request.call, {
       from: request.from,
       at: this,
     });
-    if (this.isTired) {
-      return this.#head(request, 503, true);
+    if (this.isOverloaded) {
+      return this.#respond(request, 503, true);
     }
     this.#open.add(request.answer);
     switch (this.mode) {
       case "dark":
         return;
       case "reject":
-        return this.#head(request, 503, true);
+        return this.#respond(request, 503, true);
       case "misdirect":
-        return this.#head(request, 421, true);
+        return this.#respond(request, 421, true);
       case "reset_before":
-        return this.#later(1, request, () => request.answer.lost("reset"));
+        return this.#runUnlessCancelled(
+          1,
+          request,
+          () => request.answer.lost("reset"),
+        );
       default:
-        this.#tools.runs.push({
+        this.#dependencies.runs.push({
           call: request.call,
           backend: this.name,
           at: this.time.now,
           customer: request.customer,
         });
-        if (!this.#crashUnder(request)) {
+        if (!this.#scheduleCrash(request)) {
           this.run(request);
         }
     }
   }
 
-  #crashUnder(request: BackendRequest): boolean {
-    const { crashes } = this.#tools;
-    const after = crashes?.timeOf(request.call, this);
-    if (after === undefined) {
+  #scheduleCrash(request: BackendRequest): boolean {
+    const { crashes } = this.#dependencies;
+    const delay = crashes?.crashDelay(request.call, this);
+    if (delay === undefined) {
       return false;
     }
-    this.#later(after, request, () => crashes!.under(request.call, this));
+    this.#runUnlessCancelled(
+      delay,
+      request,
+      () => crashes!.crashUnder(request.call, this),
+    );
     return true;
   }
 
-  #breakOff(answer: BackendAnswer, answers: boolean): void {
-    if (answers) {
-      answer.head(FAILED, false);
+  #failAnswer(answer: BackendAnswer, sendFailure: boolean): void {
+    if (sendFailure) {
+      answer.head(STATUS_FAILED, false);
       answer.complete();
     } else {
       answer.lost("closed");
     }
   }
 
-  #head({ answer }: BackendRequest, status: number, notRun: boolean): void {
+  #respond({ answer }: BackendRequest, status: number, notRun: boolean): void {
     this.time.after(1, () => answer.head(status, notRun));
   }
 
-  /** Works on a request that was taken. */
+  /** Runs a request that the endpoint has accepted. */
   protected run(request: BackendRequest): void {
     const { answer } = request;
     const start = Math.max(this.time.now, this.#busyUntil);
     this.#busyUntil = start + request.prefill;
-    const ready = this.#busyUntil - this.time.now + this.work;
+    const readyAfterMs = this.#busyUntil - this.time.now + this.work;
     if (this.mode === "reset_after") {
-      return this.#later(ready, request, () => answer.lost("reset"));
+      return this.#runUnlessCancelled(
+        readyAfterMs,
+        request,
+        () => answer.lost("reset"),
+      );
     }
     if (request.streaming && this.mode !== "fail") {
-      return this.#later(ready, request, () => this.#stream(request));
+      return this.#runUnlessCancelled(
+        readyAfterMs,
+        request,
+        () => this.#stream(request),
+      );
     }
     const status = this.mode === "fail" ? 500 : 200;
-    this.#later(ready, request, () => {
+    this.#runUnlessCancelled(readyAfterMs, request, () => {
       this.#open.delete(answer);
       answer.head(status, false);
       answer.complete();
@@ -284,25 +307,39 @@
     const { answer, events, resumeAfter } = request;
     answer.head(200, false);
     const first = resumeAfter + 1;
-    const torn = this.mode === "torn";
-    const last = torn ? Math.min(events, first + TORN_EVENTS - 1) : events;
+    const resets = this.mode === "torn";
+    const last = resets
+      ? Math.min(events, first + EVENTS_BEFORE_RESET - 1)
+      : events;
     for (let id = first; id <= last; id++) {
-      this.#later((id - first) * EVENT_MS, request, () => {
-        if (this.mode !== "dark") {
-          answer.event(id);
-        }
-      });
+      this.#runUnlessCancelled(
+        (id - first) * EVENT_INTERVAL_MS,
+        request,
+        () => {
+          if (this.mode !== "dark") {
+            answer.event(id);
+          }
+        },
+      );
     }
-    this.#later((last - first + 1) * EVENT_MS, request, () => {
-      this.#open.delete(answer);
-      if (this.mode === "dark") {
-        return;
-      }
-      torn ? answer.lost("reset") : answer.complete();
-    });
+    this.#runUnlessCancelled(
+      (last - first + 1) * EVENT_INTERVAL_MS,
+      request,
+      () => {
+        this.#open.delete(answer);
+        if (this.mode === "dark") {
+          return;
+        }
+        resets ? answer.lost("reset") : answer.complete();
+      },
+    );
   }
 
-  #later(delay: number, { answer }: BackendRequest, run: () => void): void {
+  #runUnlessCancelled(
+    delay: number,
+    { answer }: BackendRequest,
+    run: () => void,
+  ): void {
     this.time.after(delay, () => {
       if (!this.#cancelled.has(answer)) {
         run();
--- a/playground/src/routes/fake_store.ts
+++ b/playground/src/routes/fake_store.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's published picture, with the ways in which it can fail its readers.
+ * A fake of the platform's catalogue store, with the failures that its readers may see.
  *
  * @module
  */
@@ -23,64 +23,64 @@
 import { milliseconds } from "@sassafrasstep/core";
 import type { VirtualTime } from "../scenario/virtual_time.ts";
 
-/** How the store treats a reader. */
+/** How the store responds to a reader. */
 export type StoreMode =
   | "up"
   | "silent"
   | "busy"
   | "stale"
-  /** Names no changes, and then drops them. */
+  /** Answers reads of changes without any change, so that the reader misses them. */
   | "deaf";
 
-const ANSWER_MS = 4;
-const HEADER_BYTES = 16_384;
-const BODY_BYTES = 4_194_304;
-const HEADER_MS = 3_000;
-const IDLE_MS = 15_000;
+const ANSWER_DELAY_MS = 4;
+const MAX_HEADER_BYTES = 16_384;
+const MAX_BODY_BYTES = 4_194_304;
+const HEADER_TIMEOUT_MS = 3_000;
+const IDLE_TIMEOUT_MS = 15_000;
 
 interface Watch {
   readonly after: number;
   readonly answer: (event: GatewayEvent) => void;
 }
 
-/** What the store held at a moment. */
-interface StoreCopy {
+/** Contents of the store when a backup was made. */
+interface StoreBackup {
   readonly revision: number;
   readonly document: RoutingDocument | undefined;
   readonly endpoints: readonly EndpointRecord[];
   readonly evacuated: readonly ZoneId[];
 }
 
-/** A store under virtual time. */
+/** A fake store in virtual time. */
 export class FakeStore {
   readonly routes = new Map<string, Route>();
   readonly services = new Map<string, RoutedService>();
   readonly customers = new Map<string, Customer>();
-  /** Mode for all readers, and for single ones. */
+  /** Mode for readers that `modes` doesn't list. */
   mode: StoreMode = "up";
   readonly modes = new Map<string, StoreMode>();
   reads = 0;
-  /** When each reader asked for everything. */
-  readonly wholeReads: { readonly reader: string; readonly at: number }[] = [];
+  /** Reads of the whole catalogue, with reader and time. */
+  readonly fullReads: { readonly reader: string; readonly at: number }[] = [];
   readonly #time: VirtualTime;
   readonly #endpoints = new Map<EndpointId, EndpointRecord>();
   readonly #evacuated = new Set<ZoneId>();
   readonly #log: { revision: number; change: CatalogueChange }[] = [];
   #watches: Watch[] = [];
   #document: RoutingDocument | undefined;
-  /** When each key was last taken away. */
-  readonly takenAt = new Map<KeyDigest, number>();
+  /** When each key was last removed. */
+  readonly keyRemovedAt = new Map<KeyDigest, number>();
   #revision = 1;
-  #oldest = 0;
+  #compactedRevision = 0;
   #epoch = 1;
-  #copy: StoreCopy | undefined;
-  #hidden = false;
+  #backup: StoreBackup | undefined;
+  #nextChangeHidden = false;
 
   constructor(time: VirtualTime) {
     this.#time = time;
   }
 
-  /** Publishes the routes and services as they are, under the next version. */
+  /** Publishes the current routes, services and customers under a version. */
   publishDocument(version: number): void {
     const document: RoutingDocument = {
       version: version as Revision,
@@ -92,86 +92,90 @@
         [...this.customers.values()].map((customer) => [customer.id, customer]),
       ),
       limits: {
-        headerBytes: HEADER_BYTES,
-        bodyBytes: BODY_BYTES,
-        headerTime: milliseconds(HEADER_MS),
-        idleTime: milliseconds(IDLE_MS),
+        headerBytes: MAX_HEADER_BYTES,
+        bodyBytes: MAX_BODY_BYTES,
+        headerTime: milliseconds(HEADER_TIMEOUT_MS),
+        idleTime: milliseconds(IDLE_TIMEOUT_MS),
       },
     };
-    this.#noteKeys(document);
+    this.#recordRemovedKeys(document);
     this.#document = document;
-    this.#note({ kind: "document", document });
+    this.#recordChange({ kind: "document", document });
   }
 
-  #noteKeys(document: RoutingDocument): void {
-    const keysOf = (of: RoutingDocument | undefined): KeyDigest[] =>
-      [...of?.customers.values() ?? []].flatMap(({ keyDigests }) => keyDigests);
-    const present = new Set(keysOf(document));
+  #recordRemovedKeys(document: RoutingDocument): void {
+    const keysOf = (source: RoutingDocument | undefined): KeyDigest[] =>
+      [...source?.customers.values() ?? []].flatMap(({ keyDigests }) =>
+        keyDigests
+      );
+    const presentKeys = new Set(keysOf(document));
     for (const key of keysOf(this.#document)) {
-      if (!present.has(key) && !this.takenAt.has(key)) {
-        this.takenAt.set(key, this.#time.now);
+      if (!presentKeys.has(key) && !this.keyRemovedAt.has(key)) {
+        this.keyRemovedAt.set(key, this.#time.now);
       }
     }
-    present.forEach((key) => this.takenAt.delete(key));
+    presentKeys.forEach((key) => this.keyRemovedAt.delete(key));
   }
 
   put(record: EndpointRecord): void {
     this.#endpoints.set(record.id, record);
-    this.#note({ kind: "endpoint", record });
+    this.#recordChange({ kind: "endpoint", record });
   }
 
   remove(id: EndpointId): void {
     this.#endpoints.delete(id);
-    this.#note({ kind: "endpointRemoved", id });
+    this.#recordChange({ kind: "endpointRemoved", id });
   }
 
   evacuate(zone: ZoneId, evacuated: boolean): void {
     if (evacuated) {
       this.#evacuated.add(zone);
-      this.#note({ kind: "evacuated", zone });
+      this.#recordChange({ kind: "evacuated", zone });
     } else {
       this.#evacuated.delete(zone);
-      this.#note({ kind: "evacuationEnded", zone });
+      this.#recordChange({ kind: "evacuationEnded", zone });
     }
   }
 
-  /** Forgets which changes led here. */
+  /** Drops the change log, so that readers of earlier revisions must read the whole catalogue. */
   compact(): void {
-    this.#oldest = this.#revision;
+    this.#compactedRevision = this.#revision;
     this.#log.length = 0;
   }
 
-  /** What an entry holds otherwise than it is here, `undefined` where all is in force. */
-  missingAt(
+  /** Describes how an entry's catalogue differs from the store, `undefined` if it doesn't. */
+  findDifference(
     { document, endpoints, evacuatedZones }: CatalogueView,
   ): string | undefined {
     const version = this.#document?.version ?? 0;
     if ((document?.version ?? 0) < version) {
       return `version ${document?.version}, published ${version}`;
     }
-    const held = statesOf(endpoints.values());
-    const published = statesOf(this.#endpoints.values());
+    const held = describeStates(endpoints.values());
+    const published = describeStates(this.#endpoints.values());
     if (held !== published) {
       return `endpoints ${held}, published ${published}`;
     }
-    const zones = [...evacuatedZones].sort().join();
-    const emptied = [...this.#evacuated].sort().join();
-    return zones === emptied ? undefined : `zones ${zones}, not ${emptied}`;
+    const heldZones = [...evacuatedZones].sort().join();
+    const publishedZones = [...this.#evacuated].sort().join();
+    return heldZones === publishedZones
+      ? undefined
+      : `zones ${heldZones}, not ${publishedZones}`;
   }
 
-  /** The next change is in the picture, and no read of changes names it. */
-  hideNext(): void {
-    this.#hidden = true;
+  /** Omits the next change from the change log; only reads of the whole catalogue show it. */
+  hideNextChange(): void {
+    this.#nextChangeHidden = true;
   }
 
-  /** Takes a copy, which `restore` comes back from. */
-  copy(): void {
-    this.#copy = this.#snapshot();
+  /** Makes the backup that `restoreBackup` restores. */
+  createBackup(): void {
+    this.#backup = this.#snapshot();
   }
 
-  /** What was written since the copy is lost, its revisions are given out again, and watches are cut. */
-  restore(): void {
-    const { revision, document, endpoints, evacuated } = this.#copy!;
+  /** Restores the backup: later writes are lost, their revisions are assigned again, and watches fail. */
+  restoreBackup(): void {
+    const { revision, document, endpoints, evacuated } = this.#backup!;
     this.#epoch++;
     this.#revision = revision;
     this.#document = document;
@@ -180,13 +184,15 @@
     this.#evacuated.clear();
     evacuated.forEach((zone) => this.#evacuated.add(zone));
     this.compact();
-    const cut = this.#watches;
+    const interrupted = this.#watches;
     this.#watches = [];
-    const detail = "Watch was cut";
-    cut.forEach(({ answer }) => answer({ kind: "catalogueFailed", detail }));
+    const detail = "Watch was interrupted";
+    interrupted.forEach(({ answer }) =>
+      answer({ kind: "catalogueFailed", detail })
+    );
   }
 
-  /** Answers one read, or leaves it without an answer. */
+  /** Answers a read, or leaves it unanswered in mode `silent`. */
   read(
     reader: string,
     { after, wait, proof }: {
@@ -198,42 +204,42 @@
   ): void {
     this.reads++;
     if (after === undefined) {
-      this.wholeReads.push({ reader, at: this.#time.now });
+      this.fullReads.push({ reader, at: this.#time.now });
     }
     const mode = this.modes.get(reader) ?? this.mode;
     if (mode === "silent") {
       return;
     }
-    this.#time.after(ANSWER_MS, () => {
+    this.#time.after(ANSWER_DELAY_MS, () => {
       if (mode === "busy") {
         answer({ kind: "catalogueFailed", detail: "Store is busy" });
       } else if (after === undefined) {
         answer({ kind: "catalogueRead", snapshot: this.#snapshot() });
-      } else if (after < this.#oldest || after > this.#revision) {
-        answer({ kind: "catalogueCompacted", ...this.#stated });
+      } else if (after < this.#compactedRevision || after > this.#revision) {
+        answer({ kind: "catalogueCompacted", ...this.#epochFields });
       } else if (mode === "deaf") {
-        answer(this.#deaf({ after, proof }));
+        answer(this.#answerWithoutChanges({ after, proof }));
       } else if (proof.kind === "newest" && after === this.#revision) {
-        answer({ kind: "catalogueConfirmed", ...this.#stated });
+        answer({ kind: "catalogueConfirmed", ...this.#epochFields });
       } else {
         this.#watch({ after, answer }, wait);
       }
     });
   }
 
-  /** What a reader makes of an answer that names no change, though there were some. */
-  #deaf(
+  /** Returns what a reader concludes from an answer that lists no changes, whether or not there were some. */
+  #answerWithoutChanges(
     { after, proof }: { after: number; proof: RequiredProof },
   ): GatewayEvent {
     if (proof.kind !== "none") {
       return after === this.#revision
-        ? { kind: "catalogueConfirmed", ...this.#stated }
-        : { kind: "catalogueCompacted", ...this.#stated };
+        ? { kind: "catalogueConfirmed", ...this.#epochFields }
+        : { kind: "catalogueCompacted", ...this.#epochFields };
     }
     const revision = after as Revision;
     return {
       kind: "catalogueChanged",
-      changes: { ...this.#stated, revision, changes: [] },
+      changes: { ...this.#epochFields, revision, changes: [] },
     };
   }
 
@@ -254,7 +260,7 @@
     answer({
       kind: "catalogueChanged",
       changes: {
-        ...this.#stated,
+        ...this.#epochFields,
         revision: this.#revision as Revision,
         changes: this.#log.filter(({ revision }) => revision > after)
           .map(({ change }) => change),
@@ -262,13 +268,13 @@
     });
   }
 
-  get #stated(): { epoch: CatalogueEpoch } {
+  get #epochFields(): { epoch: CatalogueEpoch } {
     return { epoch: this.#epoch as CatalogueEpoch };
   }
 
   #snapshot(): CatalogueSnapshot {
     return {
-      ...this.#stated,
+      ...this.#epochFields,
       revision: this.#revision as Revision,
       document: this.#document,
       endpoints: [...this.#endpoints.values()],
@@ -276,20 +282,20 @@
     };
   }
 
-  #note(change: CatalogueChange): void {
+  #recordChange(change: CatalogueChange): void {
     this.#revision++;
-    if (!this.#hidden) {
+    if (!this.#nextChangeHidden) {
       this.#log.push({ revision: this.#revision, change });
     }
-    this.#hidden = false;
-    const waiting = this.#watches;
+    this.#nextChangeHidden = false;
+    const watches = this.#watches;
     this.#watches = [];
-    for (const watch of waiting) {
+    for (const watch of watches) {
       this.#time.after(1, () => this.#answer(watch));
     }
   }
 }
 
-function statesOf(records: Iterable<EndpointRecord>): string {
+function describeStates(records: Iterable<EndpointRecord>): string {
   return [...records].map(({ id, state }) => `${id} ${state}`).sort().join();
 }
--- a/playground/src/routes/route_actions.ts
+++ b/playground/src/routes/route_actions.ts
@@ -1,5 +1,5 @@
 /**
- * What happens in a scenario.
+ * Actions that the steps of a scenario may perform.
  *
  * @module
  */
@@ -11,7 +11,7 @@
   ScriptError,
   word,
 } from "../scenario/script.ts";
-import { type EndKind, presentAt } from "./crashes.ts";
+import { type CrashKind, currentBackend } from "./crashes.ts";
 import type { BackendMode, FakeBackend } from "./fake_backend.ts";
 import type { StoreMode } from "./fake_store.ts";
 import {
@@ -22,7 +22,7 @@
 } from "./route_setting.ts";
 import type { RouteWorld } from "./route_world.ts";
 
-/** State that actions keep beside the world. */
+/** State that actions share: the world, and the last document version and record sequence used. */
 export interface RouteStage {
   readonly world: RouteWorld;
   version: number;
@@ -32,47 +32,48 @@
 type Action = (stage: RouteStage, line: Line) => void;
 
 const ACTIONS: Readonly<Record<string, Action>> = {
-  call: ({ world }, line) => call(world, line),
-  load: ({ world }, line) => load(world, line),
+  call: ({ world }, line) => sendCall(world, line),
+  load: ({ world }, line) => sendLoad(world, line),
   leave: ({ world }, line) => {
-    const seen = world.calls.get(word(line, 1, "a call"));
-    seen?.entry.leave(seen.id!);
+    const call = world.calls.get(word(line, 1, "a call"));
+    call?.entry.leave(call.id!);
   },
   mode: ({ world }, line) => {
-    backendOf(world, line).mode = word(line, 2, "a mode") as BackendMode;
+    findBackend(world, line).mode = word(line, 2, "a mode") as BackendMode;
   },
-  /** `limit NAME N|none`: it states so many requests a second in its answers, or no limit any more. */
+  /** `limit NAME N|none`: the backend states a limit in requests per second in its answers, or none. */
   limit: ({ world }, line) => {
     const text = word(line, 2, "a rate");
     const perSecond = text === "none" ? undefined : Number(text);
-    backendOf(world, line).limits.push({ at: world.time.now, perSecond });
+    findBackend(world, line).limits.push({ at: world.time.now, perSecond });
   },
-  /** `tired NAME T rest T`: for so long it turns requests away, and asks each sender for so much rest. */
+  /** `tired NAME T rest T`: for time T the backend rejects requests and asks each sender for a backoff. */
   tired: ({ world }, line) => {
     const until = world.time.now + parseTime(line, word(line, 2, "a time"));
-    const restS = parseTime(line, option(line, "rest", "1s")) / 1_000;
-    backendOf(world, line).tired = { until, restS };
+    const backoffS = parseTime(line, option(line, "rest", "1s")) / 1_000;
+    findBackend(world, line).overload = { until, backoffS };
   },
-  /** `leaving NAME`: it says in its answers that it leaves; its record stays as it is. */
+  /** `leaving NAME`: the backend's answers say that it is leaving; its record doesn't change. */
   leaving: ({ world }, line) => {
-    backendOf(world, line).leaving = true;
+    findBackend(world, line).leaving = true;
   },
-  kill: ({ world }, line) => entryOf(world, line).kill(),
+  kill: ({ world }, line) => findEntry(world, line).kill(),
   start: ({ world }, line) => world.startEntry(word(line, 1, "an entry")),
-  stop: ({ world }, line) => entryOf(world, line).stop(),
-  freeze: ({ world }, line) => entryOf(world, line).freeze(),
-  thaw: ({ world }, line) => entryOf(world, line).thaw(),
-  cut: ({ world }, line) => world.cut(word(line, 1, "an entry")),
+  stop: ({ world }, line) => findEntry(world, line).stop(),
+  freeze: ({ world }, line) => findEntry(world, line).freeze(),
+  thaw: ({ world }, line) => findEntry(world, line).thaw(),
+  cut: ({ world }, line) => world.isolateEntry(word(line, 1, "an entry")),
   isolate: ({ world }, line) => world.network.isolate(line.words.slice(1)),
   heal: ({ world }) => world.heal(),
-  lose: ({ world }, line) => world.loss = Number(word(line, 1, "a part")),
-  store: ({ world }, line) => storeMode(world, line),
+  lose: ({ world }, line) =>
+    world.datagramLossRate = Number(word(line, 1, "a fraction")),
+  store: ({ world }, line) => setStoreMode(world, line),
   compact: ({ world }) => world.store.compact(),
-  /** `hide_next`: the next change is in the picture, and no read of changes names it. */
-  hide_next: ({ world }) => world.store.hideNext(),
-  /** `copy_store`, and `restore_store`: it comes back as it was then, with another epoch. */
-  copy_store: ({ world }) => world.store.copy(),
-  restore_store: ({ world }) => world.store.restore(),
+  /** `hide_next`: reads of changes omit the next change; only reads of the whole catalogue show it. */
+  hide_next: ({ world }) => world.store.hideNextChange(),
+  /** `copy_store` makes a backup of the store; `restore_store` restores it under a new epoch. */
+  copy_store: ({ world }) => world.store.createBackup(),
+  restore_store: ({ world }) => world.store.restoreBackup(),
   publish: (stage) => {
     stage.version += 3;
     stage.world.store.publishDocument(stage.version);
@@ -86,43 +87,43 @@
   uncustomer: ({ world }, line) =>
     void world.store.customers.delete(word(line, 1, "a name")),
   sleep: ({ world }, line) =>
-    entryOf(world, line).sleep(parseTime(line, word(line, 2, "a time"))),
+    findEntry(world, line).sleep(parseTime(line, word(line, 2, "a time"))),
   unroute: ({ world }, line) =>
     void world.store.routes.delete(word(line, 1, "a name")),
   backend: ({ world }, line) => addBackend(world, line),
   drain: (stage, line) => {
     stage.sequence++;
-    const backend = backendOf(stage.world, line);
+    const backend = findBackend(stage.world, line);
     const { sequence } = stage;
     stage.world.store.put(recordOf(backend, { sequence, state: "draining" }));
   },
   beat: (stage, line) => {
     stage.sequence++;
-    stage.world.store.put(recordOf(backendOf(stage.world, line), {
+    stage.world.store.put(recordOf(findBackend(stage.world, line), {
       sequence: stage.sequence,
       coldFor: parseTime(line, option(line, "cold", "0ms")),
     }));
   },
-  reborn: ({ world }, line) => reborn(world, line),
-  poison: ({ world }, line) => poison(world, line),
-  end: ({ world }, line) => end(world, line),
+  reborn: ({ world }, line) => restartBackend(world, line),
+  poison: ({ world }, line) => addPoisonBody(world, line),
+  end: ({ world }, line) => crashBackends(world, line),
   cure: ({ world: { crashes } }, line) =>
-    crashes.cure(word(line, 1, "a version")),
+    crashes.markFixed(word(line, 1, "a version")),
   late_record: ({ world }, line) => {
     const life = Number(option(line, "life", "1"));
     const sequence = Number(option(line, "sequence", "1"));
-    const backend = backendOf(world, line);
+    const backend = findBackend(world, line);
     world.store.put(recordOf(backend, { sequence, life }));
   },
   remove: ({ world }, line) =>
-    world.store.remove(backendOf(world, line).id as EndpointId),
+    world.store.remove(findBackend(world, line).id as EndpointId),
   evacuate: ({ world }, line) =>
     world.store.evacuate(word(line, 1, "a zone") as ZoneId, true),
   restore: ({ world }, line) =>
     world.store.evacuate(word(line, 1, "a zone") as ZoneId, false),
 };
 
-/** Does one step. */
+/** Performs one step. */
 export function act(stage: RouteStage, line: Line): void {
   const action = ACTIONS[line.words[0]!];
   if (action === undefined) {
@@ -132,19 +133,19 @@
 }
 
 /** `call NAME ROUTE via ENTRY [time T] [prompt N] [shared ID:N] [events N] [body B] [from CALLER] [key K]` */
-function call(world: RouteWorld, line: Line): void {
-  send(world, line, { name: word(line, 1, "a name"), index: 0 });
+function sendCall(world: RouteWorld, line: Line): void {
+  sendRequest(world, line, { name: word(line, 1, "a name"), index: 0 });
 }
 
-/** `load NAME ROUTE via ENTRY,... count N every T ...`: calls `NAME-1` to `NAME-N`, at the entries in turn. */
-function load(world: RouteWorld, line: Line): void {
+/** `load NAME ROUTE via ENTRY,... count N every T ...`: sends calls `NAME-1` to `NAME-N`, rotating the entries. */
+function sendLoad(world: RouteWorld, line: Line): void {
   const count = Number(option(line, "count", "1"));
   const every = parseTime(line, option(line, "every", "10ms"));
   for (let index = 1; index <= count; index++) {
     world.time.after(
       (index - 1) * every,
       () =>
-        send(world, line, {
+        sendRequest(world, line, {
           name: `${word(line, 1, "a name")}-${index}`,
           index,
         }),
@@ -152,7 +153,7 @@
   }
 }
 
-function send(
+function sendRequest(
   world: RouteWorld,
   line: Line,
   { name, index }: { name: string; index: number },
@@ -164,8 +165,8 @@
     name,
     route: word(line, 2, "a route"),
     entry: entries[index % entries.length]!,
-    timeLeft: time === "" ? undefined : parseTime(line, time),
-    prompt: promptOf(line, name),
+    timeLeftMs: time === "" ? undefined : parseTime(line, time),
+    prompt: readPrompt(line, name),
     events: Number(option(line, "events", "5")),
     body: option(line, "body", name),
     caller: callers[index % callers.length]!,
@@ -173,58 +174,65 @@
   });
 }
 
-function promptOf(line: Line, name: string): Prompt | undefined {
+function readPrompt(line: Line, name: string): Prompt | undefined {
   const tokens = Number(option(line, "prompt", "0"));
   if (tokens === 0) {
     return undefined;
   }
-  const [id, count] = option(line, "shared", "").split(":");
-  const shared = count === undefined
+  const [id, sharedTokens] = option(line, "shared", "").split(":");
+  const shared = sharedTokens === undefined
     ? []
-    : [{ id: id!, tokens: Number(count) }];
-  const total = shared.reduce((sum, part) => sum + part.tokens, tokens);
+    : [{ id: id!, tokens: Number(sharedTokens) }];
+  const totalTokens = shared.reduce((sum, part) => sum + part.tokens, tokens);
   return {
     model: "m",
-    promptTokens: total,
+    promptTokens: totalTokens,
     outputTokens: 50,
     outputHint: undefined,
     parts: [...shared, { id: name, tokens }],
   };
 }
 
-/** `poison BODY [after T] [how close|dark|failure|reborn] [down T]`: it crashes each endpoint that runs it. */
-function poison(world: RouteWorld, line: Line): void {
-  world.crashes.addPoison(word(line, 1, "a body"), {
-    after: parseTime(line, option(line, "after", "100ms")),
-    how: option(line, "how", "close") as EndKind,
-    down: parseTime(line, option(line, "down", "7s")),
+/**
+ * `poison BODY [after T] [how close|dark|failure|reborn] [down T]`: the body crashes each endpoint that
+ * runs it.
+ */
+function addPoisonBody(world: RouteWorld, line: Line): void {
+  world.crashes.addPoisonBody(word(line, 1, "a body"), {
+    crashAfterMs: parseTime(line, option(line, "after", "100ms")),
+    kind: option(line, "how", "close") as CrashKind,
+    downtimeMs: parseTime(line, option(line, "down", "7s")),
   });
 }
 
-/** `end NAME,... every T [how ...] [down T]`: endpoints end one after the other, under nothing of ours. */
-function end(world: RouteWorld, line: Line): void {
+/** `end NAME,... every T [how ...] [down T]`: endpoints crash in turn, not because of a request. */
+function crashBackends(world: RouteWorld, line: Line): void {
   const names = word(line, 1, "backends").split(",");
   const every = parseTime(line, option(line, "every", "0ms"));
-  const how = option(line, "how", "close") as EndKind;
-  const down = parseTime(line, option(line, "down", "7s"));
+  const kind = option(line, "how", "close") as CrashKind;
+  const downtimeMs = parseTime(line, option(line, "down", "7s"));
   names.forEach((name, index) =>
     world.time.after(
       index * every,
-      () => world.crashes.end(presentAt(world, name), { how, down }),
+      () =>
+        world.crashes.crash(currentBackend(world, name), { kind, downtimeMs }),
     )
   );
 }
 
-/** `reborn NAME life N [cold T]`: starts again under its id; what it ran is lost, its counts start anew. */
-function reborn(world: RouteWorld, line: Line): void {
-  const backend = backendOf(world, line);
-  backend.startAgain(Number(option(line, "life", "1")));
+/**
+ * `reborn NAME life N [cold T]`: restarts a backend under its id. Its running requests are lost, and the
+ * sequence of its records starts at 1 again.
+ */
+function restartBackend(world: RouteWorld, line: Line): void {
+  const backend = findBackend(world, line);
+  backend.restart(Number(option(line, "life", "1")));
   const coldFor = parseTime(line, option(line, "cold", "0ms"));
   world.store.put(recordOf(backend, { sequence: 1, coldFor }));
 }
 
-/** `store MODE [ENTRY...]` */
-function storeMode({ store }: RouteWorld, line: Line): void {
+/** `store MODE [ENTRY...]`: sets the store's mode for some entries, or for all if none is named. */
+function setStoreMode({ store }: RouteWorld, line: Line): void {
   const mode = word(line, 1, "a mode") as StoreMode;
   const entries = line.words.slice(2);
   if (entries.length === 0) {
@@ -234,7 +242,7 @@
   entries.forEach((entry) => store.modes.set(entry, mode));
 }
 
-function entryOf(
+function findEntry(
   { entries }: RouteWorld,
   line: Line,
 ): NonNullable<ReturnType<RouteWorld["entries"]["get"]>> {
@@ -245,7 +253,7 @@
   return entry;
 }
 
-function backendOf({ backends }: RouteWorld, line: Line): FakeBackend {
+function findBackend({ backends }: RouteWorld, line: Line): FakeBackend {
   const backend = backends.get(word(line, 1, "a backend"));
   if (backend === undefined) {
     throw new ScriptError(line, "a backend of the setting");
--- a/playground/src/routes/route_expectations.ts
+++ b/playground/src/routes/route_expectations.ts
@@ -1,5 +1,5 @@
 /**
- * What a scenario expects, and what must hold in every one.
+ * Checks of the expectations in a scenario, and of the invariants that hold in every scenario.
  *
  * @module
  */
@@ -17,8 +17,8 @@
   word,
 } from "../scenario/script.ts";
 import { mostWithin } from "../client/most_within.ts";
-import { checkPoisons } from "./crashes.ts";
-import type { SeenCall } from "./route_types.ts";
+import { checkPoisonBodies } from "./crashes.ts";
+import type { ObservedCall } from "./route_types.ts";
 import type { RouteWorld } from "./route_world.ts";
 import { checkTerms } from "./terms_expectations.ts";
 
@@ -31,9 +31,9 @@
 const CHECKS: Readonly<Record<string, Check>> = {
   /** `expect call NAME [status N] [runs N] [by BACKEND] [events N] [complete|broken|open] [within T] [retry]` */
   call: (world, line) => checkCall(world, line),
-  /** `expect load NAME served N` or `refused N`: at least so many. */
+  /** `expect load NAME [served N] [cut N]`: the least number served and the most answers that broke off. */
   load: (world, line) => checkLoad(world, line),
-  /** `expect refused NAME N within T`: so many of a load were refused in that time, with one to come back. */
+  /** `expect refused NAME N within T`: at least N calls of a load were refused within T with a retry time. */
   refused: (world, line) => {
     const prefix = `${word(line, 1, "a load")}-`;
     const time = parseTime(line, option(line, "within", ""));
@@ -43,125 +43,130 @@
       name.startsWith(prefix) && status === 503 && (retryAfter ?? 0) > 0 &&
       (endedAt ?? Infinity) - sentAt <= time
     ).length;
-    const least = Number(word(line, 2, "a number"));
-    return found >= least ? undefined : `${found} refused, at least ${least}`;
+    const min = Number(word(line, 2, "a number"));
+    return found >= min ? undefined : `${found} refused, at least ${min}`;
   },
-  /** `expect names ENTRY ZONE HOST LIST` */
+  /** `expect names ENTRY ZONE HOST LIST`: the entries named to a caller in a zone, or `none`. */
   names: (world, line) => {
-    const found = world.named(word(line, 1, "an entry"), {
+    const found = world.resolveEntries(word(line, 1, "an entry"), {
       zone: word(line, 2, "a zone"),
       host: word(line, 3, "a host"),
     }).join(",") || "none";
-    return differs("names", found, word(line, 4, "a list"));
+    return describeMismatch("names", found, word(line, 4, "a list"));
   },
-  /** `expect version ENTRY N` */
+  /** `expect version ENTRY N`: the document version that an entry holds, 0 if it holds none. */
   version: (world, line) => {
     const gateway = world.entries.get(word(line, 1, "an entry"))?.gateway;
     const found = String(gateway?.catalogue.document?.version ?? 0);
-    return differs("version", found, word(line, 2, "a version"));
+    return describeMismatch("version", found, word(line, 2, "a version"));
   },
-  /** `expect in_force ENTRY,...`: each holds what the store holds. */
+  /** `expect in_force ENTRY,...`: the catalogue of each entry equals the store's. */
   in_force: (world, line) => {
     for (const name of word(line, 1, "entries").split(",")) {
       const gateway = world.entries.get(name)!.gateway!;
-      const missing = world.store.missingAt(gateway.catalogue);
-      if (missing !== undefined) {
-        return `${name} holds ${missing}`;
+      const difference = world.store.findDifference(gateway.catalogue);
+      if (difference !== undefined) {
+        return `${name} holds ${difference}`;
       }
     }
     return undefined;
   },
-  /** `expect burst BACKEND N`: at most so many requests in any second. */
+  /** `expect burst BACKEND N`: at most N requests arrived in any second. */
   burst: (world, line) => {
     const backend = world.backends.get(word(line, 1, "a backend"))!;
-    const most = Number(word(line, 2, "a number"));
+    const max = Number(word(line, 2, "a number"));
     const found = largestBurst(backend.arrivals);
-    return found <= most ? undefined : `burst ${found}, at most ${most}`;
+    return found <= max ? undefined : `burst ${found}, at most ${max}`;
   },
-  /** `expect rate BACKEND N from T to T`: at most so many requests in any second of that span. */
+  /** `expect rate BACKEND N from T to T`: at most N requests arrived in any second of a time span. */
   rate: (world, line) => {
     const backend = world.backends.get(word(line, 1, "a backend"))!;
-    const most = Number(word(line, 2, "a number"));
-    const found = largestBurst(backend.arrivals.filter(within(world, line)));
-    return found <= most ? undefined : `${found} in a second`;
+    const max = Number(word(line, 2, "a number"));
+    const found = largestBurst(
+      backend.arrivals.filter(isWithinSpan(world, line)),
+    );
+    return found <= max ? undefined : `${found} requests in one second`;
   },
-  /** `expect used BACKEND N from T to T`: at least so many requests in that span. */
+  /** `expect used BACKEND N from T to T`: at least N requests arrived in a time span. */
   used: (world, line) => {
     const backend = world.backends.get(word(line, 1, "a backend"))!;
-    const found = backend.arrivals.filter(within(world, line)).length;
-    const least = Number(word(line, 2, "a number"));
-    return found >= least ? undefined : `${found} came, at least ${least}`;
+    const found = backend.arrivals.filter(isWithinSpan(world, line)).length;
+    const min = Number(word(line, 2, "a number"));
+    return found >= min ? undefined : `${found} arrived, at least ${min}`;
   },
-  /** `expect quiet BACKEND since T [most N]`: nothing arrived later, or so many at the most. */
+  /** `expect quiet BACKEND since T [most N]`: at most N requests, by default none, arrived after T. */
   quiet: (world, line) => {
     const backend = world.backends.get(word(line, 1, "a backend"))!;
     const since = world.startOfScript +
       parseTime(line, option(line, "since", ""));
     const late = backend.arrivals.filter((at) => at > since).length;
-    const most = Number(option(line, "most", "0"));
-    return late <= most ? undefined : `${late} requests came later`;
+    const max = Number(option(line, "most", "0"));
+    return late <= max ? undefined : `${late} requests arrived later`;
   },
-  /** `expect arrivals BACKEND... between A B` */
+  /** `expect arrivals BACKEND... between A B`: the backends together received from A to B requests. */
   arrivals: (world, line) => {
     const end = line.words.indexOf("between");
     const found = line.words.slice(1, end).reduce(
       (sum, name) => sum + world.backends.get(name)!.arrivals.length,
       0,
     );
-    const [least, most] = line.words.slice(end + 1).map(Number);
-    return found >= least! && found <= most!
+    const [min, max] = line.words.slice(end + 1).map(Number);
+    return found >= min! && found <= max!
       ? undefined
-      : `${found} arrivals, from ${least} to ${most} expected`;
+      : `${found} arrivals, from ${min} to ${max} expected`;
   },
-  /** `expect poison BODY sends N ends N`: at most so many, after it had to be known and in all. */
+  /** `expect poison BODY [sends N] [ends N]`: the most sends after it should be detected, and crashes in all. */
   poison: ({ crashes }, line) => {
     const body = word(line, 1, "a body");
     const sends = crashes.lateSends(body);
-    const ends = crashes.poisons.get(body)!.ends.length;
+    const crashCount = crashes.poisonBodies.get(body)!.crashTimes.length;
     const tooMany = sends > Number(option(line, "sends", "Infinity")) ||
-      ends > Number(option(line, "ends", "Infinity"));
-    return tooMany ? `${sends} sends, ${ends} ends` : undefined;
+      crashCount > Number(option(line, "ends", "Infinity"));
+    return tooMany ? `${sends} sends, ${crashCount} crashes` : undefined;
   },
-  /** `expect held NAME... N`: so many of the calls that begin so were refused as held back. */
+  /** `expect held PREFIX... N`: exactly N calls with names of these prefixes were refused as held. */
   held: (world, line) => {
     const names = line.words.slice(1, -1);
     const found = heldCalls(world).filter((call) =>
       names.some((name) => call.startsWith(name))
     );
-    const wanted = Number(line.words.at(-1));
-    return found.length === wanted
+    const expected = Number(line.words.at(-1));
+    return found.length === expected
       ? undefined
-      : `${found.length} held back: ${found.join()}`;
+      : `${found.length} held: ${found.join()}`;
   },
-  /** `expect later CALL T`: it was told to come back no earlier. */
+  /** `expect later CALL T`: the call was told to retry no earlier than after T. */
   later: (world, line) => {
     const found = world.calls.get(word(line, 1, "a call"))?.retryAfter ?? 0;
     return found >= parseTime(line, line.words[2])
       ? undefined
-      : `told to come back after ${found} ms`;
+      : `told to retry after ${found} ms`;
   },
-  /** `expect ended ENTRY`: its process is over. */
+  /** `expect ended ENTRY`: the entry's process has ended. */
   ended: (world, line) =>
     world.entries.get(word(line, 1, "an entry"))?.alive === false
       ? undefined
-      : "the entry still runs",
+      : "the entry is still running",
 };
 
-/** Tells what is wrong, `undefined` where the expectation holds. */
-export function checkRoutes(world: RouteWorld, line: Line): string | undefined {
+/** Describes why an expectation fails, `undefined` if it holds. */
+export function checkExpectation(
+  world: RouteWorld,
+  line: Line,
+): string | undefined {
   const words = line.words.slice(1);
   const check = CHECKS[words[0] ?? ""];
   if (check === undefined) {
     throw new ScriptError(line, `expect ${Object.keys(CHECKS).join(", ")}`);
   }
-  const wrong = check(world, { number: line.number, words });
-  return wrong === undefined
+  const problem = check(world, { number: line.number, words });
+  return problem === undefined
     ? undefined
-    : `Line ${line.number} "${line.words.join(" ")}": ${wrong}`;
+    : `Line ${line.number} "${line.words.join(" ")}": ${problem}`;
 }
 
-/** Whether an instant lies in the span `from T to T`. */
-function within(
+/** Returns a predicate that tells whether an instant lies in the span `from T to T`. */
+function isWithinSpan(
   { startOfScript }: RouteWorld,
   line: Line,
 ): (at: number) => boolean {
@@ -170,23 +175,23 @@
   return (at) => at >= from && at < to;
 }
 
-/** What must hold whatever happens. */
+/** Checks the invariants of every scenario and describes each violation. */
 export function findViolations(world: RouteWorld): string[] {
   const calls = [...world.calls.values()].flatMap((call) => [
-    ...checkOnce(world, call),
+    ...checkNotRepeated(world, call),
     ...checkRefusal(world, call),
-    ...checkHome(world, call),
-    ...checkOrder(call),
+    ...checkRegion(world, call),
+    ...checkEventOrder(call),
     ...checkAttempts(world, call),
-    ...checkKey(world, call),
+    ...checkCustomerKey(world, call),
   ]);
   const terms = [...world.backends.values()].flatMap((backend) =>
     checkTerms(backend, world.time.now)
   );
-  return [...calls, ...checkPoisons(world), ...terms];
+  return [...calls, ...checkPoisonBodies(world), ...terms];
 }
 
-/** Calls that an entry refused because what they carry is held back. */
+/** Returns the calls that an entry refused because their body is held in quarantine. */
 export function heldCalls({ log }: RouteWorld): string[] {
   const refused = log.filter(({ text, fields }) =>
     text === "call: Request is refused." && fields.reason === "held"
@@ -201,25 +206,27 @@
     return "no such call";
   }
   const runs = world.runs.filter((run) => run.call === name);
-  const took = (call.endedAt ?? Infinity) - call.sentAt;
+  const durationMs = (call.endedAt ?? Infinity) - call.sentAt;
   const state = call.ended ?? "open";
-  const wanted = line.words.find((item) =>
+  const expectedState = line.words.find((item) =>
     item === "complete" || item === "broken" || item === "open"
   );
   const retry = line.words.includes("retry");
   return [
-    compare(line, "status", String(call.status ?? "none")),
-    compare(line, "runs", String(runs.length)),
-    compare(line, "customer", runs.at(-1)?.customer ?? "none"),
-    compare(line, "by", runs.at(-1)?.backend ?? "none"),
-    compare(line, "events", String(call.events.length)),
-    wanted === undefined ? undefined : differs("state", state, wanted),
+    compareOption(line, "status", String(call.status ?? "none")),
+    compareOption(line, "runs", String(runs.length)),
+    compareOption(line, "customer", runs.at(-1)?.customer ?? "none"),
+    compareOption(line, "by", runs.at(-1)?.backend ?? "none"),
+    compareOption(line, "events", String(call.events.length)),
+    expectedState === undefined
+      ? undefined
+      : describeMismatch("state", state, expectedState),
     line.words.includes("within") &&
-      took > parseTime(line, option(line, "within", ""))
-      ? `took ${took} ms`
+      durationMs > parseTime(line, option(line, "within", ""))
+      ? `took ${durationMs} ms`
       : undefined,
-    retry && !((call.retryAfter ?? 0) > 0) ? "no time to come back" : undefined,
-  ].find((wrong) => wrong !== undefined);
+    retry && !((call.retryAfter ?? 0) > 0) ? "no retry time" : undefined,
+  ].find((problem) => problem !== undefined);
 }
 
 function checkLoad(world: RouteWorld, line: Line): string | undefined {
@@ -227,86 +234,103 @@
   const calls = [...world.calls.values()].filter(({ name }) =>
     name.startsWith(prefix)
   );
-  const served =
+  const servedCount =
     calls.filter(({ status, ended }) => status === 200 && ended === "complete")
       .length;
-  const least = Number(option(line, "served", "0"));
-  const cut = calls.filter(({ ended }) => ended === "broken").length;
-  const mostCut = Number(option(line, "cut", "Infinity"));
-  return served < least
-    ? `${served} of ${calls.length} served`
-    : cut > mostCut
-    ? `${cut} cut off`
+  const min = Number(option(line, "served", "0"));
+  const brokenCount = calls.filter(({ ended }) => ended === "broken").length;
+  const maxBroken = Number(option(line, "cut", "Infinity"));
+  return servedCount < min
+    ? `${servedCount} of ${calls.length} served`
+    : brokenCount > maxBroken
+    ? `${brokenCount} broken off`
     : undefined;
 }
 
-function compare(line: Line, key: string, found: string): string | undefined {
+function compareOption(
+  line: Line,
+  key: string,
+  actual: string,
+): string | undefined {
   return line.words.includes(key)
-    ? differs(key, found, option(line, key, ""))
+    ? describeMismatch(key, actual, option(line, key, ""))
     : undefined;
 }
 
-function differs(
-  what: string,
-  found: string,
+function describeMismatch(
+  subject: string,
+  actual: string,
   expected: string,
 ): string | undefined {
-  return found === expected
+  return actual === expected
     ? undefined
-    : `${what} ${found}, expected ${expected}`;
+    : `${subject} ${actual}, expected ${expected}`;
 }
 
-function checkOnce(world: RouteWorld, { name, route }: SeenCall): string[] {
-  const known = world.store.routes.get(route);
+function checkNotRepeated(
+  world: RouteWorld,
+  { name, route }: ObservedCall,
+): string[] {
+  const routeConfig = world.store.routes.get(route);
   const runs = world.runs.filter(({ call }) => call === name).length;
-  return known !== undefined && !mayRepeat(known) && runs > 1
+  return routeConfig !== undefined && !mayRepeat(routeConfig) && runs > 1
     ? [`Call ${name} ran ${runs} times`]
     : [];
 }
 
-function checkRefusal(world: RouteWorld, call: SeenCall): string[] {
+function checkRefusal(world: RouteWorld, call: ObservedCall): string[] {
   const ran = world.runs.some(({ call: name }) => name === call.name);
-  const known = world.store.routes.get(call.route);
-  return ran && known !== undefined && !mayRepeat(known) &&
+  const routeConfig = world.store.routes.get(call.route);
+  return ran && routeConfig !== undefined && !mayRepeat(routeConfig) &&
       NOT_RUN_STATUSES.has(call.status ?? 0)
     ? [`Call ${call.name} was refused with ${call.status} and ran`]
     : [];
 }
 
-function checkHome(world: RouteWorld, { name, route }: SeenCall): string[] {
-  const known = world.store.routes.get(route);
+function checkRegion(
+  world: RouteWorld,
+  { name, route }: ObservedCall,
+): string[] {
+  const routeConfig = world.store.routes.get(route);
   return world.runs.filter(({ call }) => call === name).flatMap((run) => {
     const { region } = world.backends.get(run.backend)!.spot;
-    return known === undefined || mayServe(known, region as RegionId)
+    return routeConfig === undefined ||
+        mayServe(routeConfig, region as RegionId)
       ? []
       : [`Call ${name} ran in ${region}`];
   });
 }
 
-/** A key that was taken away opens nothing after its time, and endpoints are told its customer alone. */
-function checkKey(
+/**
+ * Checks that a removed key admits no request after its lifetime, and that endpoints get the customer's
+ * name instead of the key.
+ */
+function checkCustomerKey(
   world: RouteWorld,
-  { name, key, sentAt }: SeenCall,
+  { name, key, sentAt }: ObservedCall,
 ): string[] {
   if (key === undefined) {
     return [];
   }
-  const takenAt = world.store.takenAt.get(keyDigest(key)) ?? Infinity;
+  const removedAt = world.store.keyRemovedAt.get(keyDigest(key)) ?? Infinity;
   const runs = world.runs.filter(({ call }) => call === name);
-  return runs.length > 0 && sentAt > takenAt + KEY_LIFETIME_MS
-    ? [`Call ${name} ran ${sentAt - takenAt} ms after its key was taken away`]
+  return runs.length > 0 && sentAt > removedAt + KEY_LIFETIME_MS
+    ? [`Call ${name} ran ${sentAt - removedAt} ms after its key was removed`]
     : runs.some(({ customer }) => customer === undefined || customer === key)
     ? [`Call ${name} ran without its customer's name`]
     : [];
 }
 
-function checkOrder({ name, events }: SeenCall): string[] {
+function checkEventOrder({ name, events }: ObservedCall): string[] {
   return events.every((id, index) => id === index + 1)
     ? []
     : [`Call ${name} got events ${events.join()}`];
 }
 
-function checkAttempts(world: RouteWorld, { name, route }: SeenCall): string[] {
+function checkAttempts(
+  world: RouteWorld,
+  { name, route }: ObservedCall,
+): string[] {
   const allowed = world.store.routes.get(route)?.attempts ?? Infinity;
   const used = world.runs.filter(({ call }) => call === name).length;
   return used <= allowed ? [] : [`Call ${name} ran ${used} times`];
--- a/playground/src/routes/route_links.ts
+++ b/playground/src/routes/route_links.ts
@@ -1,5 +1,5 @@
 /**
- * What travels between entries, endpoints and the store, and what does not arrive.
+ * The connections between entries, endpoints and the store, with delays, partitions and lost datagrams.
  *
  * @module
  */
@@ -12,14 +12,14 @@
 } from "@sassafrasstep/core";
 import { PLATFORM, type Spot } from "../scenario/network.ts";
 import type { BackendAnswer } from "./fake_backend.ts";
-import type { ToBackend, ToPeer } from "./route_types.ts";
+import type { BackendAttempt, PeerAttempt } from "./route_types.ts";
 import type { RouteWorld } from "./route_world.ts";
 import type { VirtualGateway } from "./virtual_gateway.ts";
 
-/** Prompt tokens that an endpoint reads in a millisecond. */
-const PREFILL_RATE = 38;
+/** Prompt tokens that an endpoint prefills per millisecond. */
+const PREFILL_TOKENS_PER_MS = 38;
 
-/** The links of one world. */
+/** The connections of one world. */
 export class RouteLinks {
   readonly #world: RouteWorld;
 
@@ -27,11 +27,11 @@
     this.#world = world;
   }
 
-  /** Brings a datagram to an entry, unless it is lost. */
-  datagram(from: VirtualGateway, to: string, message: FleetMessage): void {
+  /** Delivers a datagram to an entry, unless it is lost. */
+  sendDatagram(from: VirtualGateway, to: string, message: FleetMessage): void {
     const target = this.#entryAt(to);
-    const lost = this.#world.loss > 0 &&
-      this.#world.random.next() < this.#world.loss;
+    const lost = this.#world.datagramLossRate > 0 &&
+      this.#world.random.next() < this.#world.datagramLossRate;
     if (target === undefined || lost || !this.#reaches(from, target)) {
       return;
     }
@@ -40,14 +40,14 @@
       this.#world.network.delay(from.spot, target.spot),
       () => {
         if (target.alive) {
-          target.tell({ kind: "datagram", message: copy });
+          target.handle({ kind: "datagram", message: copy });
         }
       },
     );
   }
 
-  /** Asks an entry for its catalogue, `undefined` where nobody answers. */
-  copy(
+  /** Asks an entry for its catalogue; `done` gets `undefined` if there is no answer. */
+  fetchCatalogue(
     from: VirtualGateway,
     address: string,
     done: (snapshot: CatalogueSnapshot | undefined) => void,
@@ -62,13 +62,13 @@
     });
   }
 
-  /** Whether an entry reaches the platform's store. */
+  /** Tells whether an entry can reach the platform's store. */
   reachesStore({ spot }: VirtualGateway): boolean {
     return this.#world.network.reaches(spot, PLATFORM);
   }
 
-  /** Whether a connection comes about. */
-  connects(
+  /** Returns the result of a connection attempt: established, refused, or no answer. */
+  connectionResult(
     from: VirtualGateway,
     target: CallTarget,
   ): "yes" | "refused" | "silence" {
@@ -90,28 +90,31 @@
     return backend.mode === "refuse" ? "refused" : "yes";
   }
 
-  /** Whether an entry learns that nothing listens at an endpoint's address. */
-  isClosed(from: VirtualGateway, address: string): boolean {
+  /** Tells whether an entry's connection attempt shows that no process listens at an address. */
+  isPortClosed(from: VirtualGateway, address: string): boolean {
     const backend = this.#world.backendAt(address);
     return backend?.mode === "refuse" &&
       this.#world.network.reaches(from.spot, backend.spot);
   }
 
-  /** Hands a request to an endpoint; what is returned takes it back. */
-  toBackend(
+  /** Sends a request to an endpoint and returns a function that cancels it. */
+  sendToBackend(
     from: VirtualGateway,
-    { target, head, customer, resumeAfter, recipient }: ToBackend,
+    { target, head, customer, resumeAfter, recipient }: BackendAttempt,
   ): () => void {
     const backend = this.#world.backendAt(target.address)!;
     if (backend.id !== target.endpoint) {
-      this.#world.time.after(1, () => recipient.head(answerOf(421, true)));
+      this.#world.time.after(1, () => recipient.head(answerHead(421, true)));
       return () => {};
     }
     const { incarnation } = from.gateway!.self;
     const answer: BackendAnswer = {
       head: (status, notRun) => {
-        backend.noteTold(incarnation);
-        recipient.head({ ...answerOf(status, notRun), ...backend.stated });
+        backend.recordAnswer(incarnation);
+        recipient.head({
+          ...answerHead(status, notRun),
+          ...backend.answerFields,
+        });
       },
       event: (id) => recipient.event(id),
       complete: () => recipient.complete(),
@@ -122,10 +125,10 @@
       call: head.call,
       from,
       streaming: head.prompt !== undefined,
-      events: this.#world.eventsOf(head.call),
+      events: this.#world.eventCountOf(head.call),
       resumeAfter: Number(resumeAfter ?? head.lastEventId ?? 0),
       customer,
-      prefill: (head.prompt?.promptTokens ?? 0) / PREFILL_RATE,
+      prefill: (head.prompt?.promptTokens ?? 0) / PREFILL_TOKENS_PER_MS,
       head,
       target,
       answer,
@@ -133,16 +136,16 @@
     return () => backend.cancel(answer);
   }
 
-  /** Passes a request on to an entry; what is returned takes it back. */
-  toPeer(
+  /** Relays a request to a peer and returns a function that cancels it. */
+  sendToPeer(
     from: VirtualGateway,
-    { target, head, customer, resumeAfter, recipient }: ToPeer,
+    { target, head, customer, resumeAfter, recipient }: PeerAttempt,
   ): () => void {
     const peer = this.#entryAt(target.address)!;
     const delay = this.#world.network.delay(from.spot, peer.spot);
     let id: RequestId | undefined;
     let cancelled = false;
-    const back = (run: () => void): void => {
+    const sendBack = (run: () => void): void => {
       this.#world.time.after(delay, () => {
         if (!cancelled && this.#reaches(peer, from)) {
           run();
@@ -161,10 +164,10 @@
             customer,
           },
         }, {
-          head: (answer) => back(() => recipient.head(answer)),
-          event: (event) => back(() => recipient.event(event)),
-          complete: () => back(() => recipient.complete()),
-          broken: () => back(() => recipient.broken()),
+          head: (answer) => sendBack(() => recipient.head(answer)),
+          event: (event) => sendBack(() => recipient.event(event)),
+          complete: () => sendBack(() => recipient.complete()),
+          broken: () => sendBack(() => recipient.broken()),
         });
       }
     });
@@ -190,13 +193,13 @@
   }
 
   #spotOf({ name, spot }: VirtualGateway): Spot {
-    return this.#world.cutOff.has(name)
+    return this.#world.isolatedEntries.has(name)
       ? { zone: name, region: spot.region }
       : spot;
   }
 }
 
-function answerOf(status: number, notRun: boolean): AnswerHead {
+function answerHead(status: number, notRun: boolean): AnswerHead {
   return {
     status,
     notRun,
--- a/playground/src/routes/route_setting.ts
+++ b/playground/src/routes/route_setting.ts
@@ -1,5 +1,5 @@
 /**
- * Builds a world from the lines before the steps.
+ * Parses the setting of a scenario, which are the lines before its steps, and sets up the world from it.
  *
  * @module
  */
@@ -29,8 +29,8 @@
 import { FakeBackend } from "./fake_backend.ts";
 import { addressOf, type RouteWorld } from "./route_world.ts";
 
-const ENGINE_SLOTS = 64;
-const CACHE_TOKENS = 240_000;
+const DEFAULT_ENGINE_SLOTS = 64;
+const DEFAULT_CACHE_TOKENS = 240_000;
 const COLD_PERIOD_MS = 3_000;
 
 /** Applies one line of a setting. */
@@ -43,7 +43,7 @@
       );
       return;
     case "entry":
-      world.addEntry(name, spotOf(world, line));
+      world.addEntry(name, findSpot(world, line));
       return;
     case "service":
       return addService(world, line);
@@ -85,7 +85,7 @@
   };
 }
 
-/** `customer NAME keys K,K [rank N] [homes R,R] [limit N] [burst N]`, the limit in requests a second */
+/** `customer NAME keys K,K [rank N] [homes R,R] [limit N] [burst N]`, with the limit in requests per second */
 export function readCustomer(line: Line): Customer {
   const list = (key: string): string[] =>
     option(line, key, "").split(",").filter((item) => item !== "");
@@ -110,7 +110,7 @@
   return text === "" ? undefined : milliseconds(parseTime(line, text));
 }
 
-/** `service NAME [engine [slots N] [cache N] [fetches]] [cold RATE]` */
+/** `service NAME [connections N] [engine [slots N] [cache N] [fetches]] [cold RATE]` */
 function addService(world: RouteWorld, line: Line): void {
   const name = word(line, 1, "a name");
   world.store.services.set(name, {
@@ -121,22 +121,27 @@
     coldPeriod: milliseconds(COLD_PERIOD_MS),
     engine: line.words.includes("engine")
       ? {
-        slots: Number(option(line, "slots", String(ENGINE_SLOTS))),
-        cacheTokens: Number(option(line, "cache", String(CACHE_TOKENS))),
+        slots: Number(option(line, "slots", String(DEFAULT_ENGINE_SLOTS))),
+        cacheTokens: Number(
+          option(line, "cache", String(DEFAULT_CACHE_TOKENS)),
+        ),
         fetches: line.words.includes("fetches"),
       }
       : undefined,
   });
 }
 
-/** `backend NAME ZONE SERVICE [slots N] [work T] [cold T] [id ID] [life N] [version V]`: a new endpoint, published at once. */
+/**
+ * `backend NAME ZONE SERVICE [slots N] [work T] [cold T] [id ID] [life N] [version V]`: adds an endpoint
+ * and publishes its record.
+ */
 export function addBackend(world: RouteWorld, line: Line): void {
   const name = word(line, 1, "a name");
   const backend = new FakeBackend({
     name,
     id: option(line, "id", `i-${name}`),
     service: word(line, 3, "a service"),
-    spot: spotOf(world, line),
+    spot: findSpot(world, line),
     slots: Number(option(line, "slots", "8")),
     work: parseTime(line, option(line, "work", "20ms")),
     version: option(line, "version", "v1"),
@@ -152,7 +157,7 @@
   );
 }
 
-/** The record that a backend publishes. */
+/** Returns the record that a backend publishes. */
 export function recordOf(
   backend: FakeBackend,
   { sequence, coldFor = 0, state = "ready", life = backend.life }: {
@@ -177,7 +182,7 @@
   };
 }
 
-function spotOf({ spots }: RouteWorld, line: Line): Spot {
+function findSpot({ spots }: RouteWorld, line: Line): Spot {
   const spot = spots.get(word(line, 2, "a zone"));
   if (spot === undefined) {
     throw new ScriptError(line, "a zone of a region above");
--- a/playground/src/routes/route_types.ts
+++ b/playground/src/routes/route_types.ts
@@ -1,5 +1,5 @@
 /**
- * What callers, entries and endpoints of a scenario tell each other.
+ * Types that describe the calls, attempts and log lines of a scenario.
  *
  * @module
  */
@@ -13,8 +13,8 @@
 import type { Recipient } from "./virtual_attempts.ts";
 import type { VirtualGateway } from "./virtual_gateway.ts";
 
-/** A request as its caller sees it. */
-export interface SeenCall {
+/** A request and its answer as the caller sees them. */
+export interface ObservedCall {
   readonly name: string;
   readonly route: string;
   readonly key: string | undefined;
@@ -28,23 +28,23 @@
   endedAt: number | undefined;
 }
 
-/** How a request is sent. */
+/** How a caller sends a request. */
 export interface CallPlan {
   readonly name: string;
   readonly route: string;
   readonly entry: string;
-  readonly timeLeft: number | undefined;
+  readonly timeLeftMs: number | undefined;
   readonly prompt: Prompt | undefined;
   readonly events: number;
-  /** Two requests with the same one are alike. */
+  /** Requests with the same body have the same content digest. */
   readonly body: string;
   readonly caller: string;
-  /** Of its customer, `undefined` where it names none. */
+  /** The customer's key, `undefined` if the request carries none. */
   readonly key: string | undefined;
 }
 
-/** An attempt on its way. */
-export interface ToBackend {
+/** An attempt that is sent to an endpoint. */
+export interface BackendAttempt {
   readonly target: Extract<CallTarget, { kind: "endpoint" }>;
   readonly head: CallHead;
   readonly customer: CustomerId | undefined;
@@ -52,8 +52,8 @@
   readonly recipient: Recipient;
 }
 
-/** An attempt on its way. */
-export interface ToPeer {
+/** An attempt that is relayed to a peer. */
+export interface PeerAttempt {
   readonly target: Extract<CallTarget, { kind: "peer" }>;
   readonly head: CallHead;
   readonly customer: CustomerId | undefined;
@@ -61,7 +61,7 @@
   readonly recipient: Recipient;
 }
 
-/** One line of an entry's log. */
+/** A line of an entry's log. */
 export interface WorldLogLine {
   readonly at: number;
   readonly entry: string;
--- a/playground/src/routes/route_world.ts
+++ b/playground/src/routes/route_world.ts
@@ -1,5 +1,5 @@
 /**
- * A fleet of entries with callers, endpoints, store and network, under virtual time.
+ * A fleet of entries with callers, endpoints, a store and a network, in virtual time.
  *
  * @module
  */
@@ -20,10 +20,10 @@
 } from "@sassafrasstep/core";
 import { Network, type Spot } from "../scenario/network.ts";
 import { VirtualTime } from "../scenario/virtual_time.ts";
-import { Crashes } from "./crashes.ts";
+import { CrashSimulator } from "./crashes.ts";
 import type { FakeBackend, Run } from "./fake_backend.ts";
 import { FakeStore } from "./fake_store.ts";
-import type { CallPlan, SeenCall, WorldLogLine } from "./route_types.ts";
+import type { CallPlan, ObservedCall, WorldLogLine } from "./route_types.ts";
 import { RouteLinks } from "./route_links.ts";
 import type { Recipient } from "./virtual_attempts.ts";
 import { VirtualGateway } from "./virtual_gateway.ts";
@@ -46,21 +46,21 @@
   readonly store = new FakeStore(this.time);
   readonly entries = new Map<string, VirtualGateway>();
   readonly backends = new Map<string, FakeBackend>();
-  readonly calls = new Map<string, SeenCall>();
+  readonly calls = new Map<string, ObservedCall>();
   readonly runs: Run[] = [];
   readonly links = new RouteLinks(this);
-  readonly crashes = new Crashes(this);
+  readonly crashes = new CrashSimulator(this);
   readonly log: WorldLogLine[] = [];
   readonly spots = new Map<string, Spot>();
   readonly random: SeededRandomness;
-  /** Entries that are cut off from all others, alone. */
-  readonly cutOff = new Set<string>();
-  /** When steps began, in virtual milliseconds. */
+  /** Entries that are each isolated from all other entries, also from those in their zone. */
+  readonly isolatedEntries = new Set<string>();
+  /** When the steps of the scenario began, in virtual milliseconds. */
   startOfScript = 0;
-  /** Part of datagrams that is lost. */
-  loss = 0;
+  /** Fraction of datagrams that is lost. */
+  datagramLossRate = 0;
   readonly #seed: number;
-  readonly #events = new Map<string, number>();
+  readonly #eventCounts = new Map<string, number>();
   readonly #bodies = new Map<string, string>();
 
   constructor(seed: number) {
@@ -77,29 +77,29 @@
 
   startEntry(name: string): void {
     const entry = this.entries.get(name)!;
-    entry.start(this.#selfOf(entry));
+    entry.start(this.#identityOf(entry));
   }
 
-  /** Says how many events the answer to a request has. */
+  /** Sets the number of events in the answer to a request. */
   expectEvents(call: string, events: number): void {
-    this.#events.set(call, events);
+    this.#eventCounts.set(call, events);
   }
 
-  /** Events of the answer to a request. */
-  eventsOf(call: string): number {
-    return this.#events.get(call) ?? 0;
+  /** Returns the number of events in the answer to a request. */
+  eventCountOf(call: string): number {
+    return this.#eventCounts.get(call) ?? 0;
   }
 
-  /** What a request carries: a body of its own, unless it was said otherwise. */
+  /** Returns the body of a request; by default each request has its own. */
   bodyOf(call: string): string {
     return this.#bodies.get(call) ?? call;
   }
 
-  /** Sends a request of a caller. */
+  /** Sends a caller's request to an entry. */
   call(plan: CallPlan): void {
     const entry = this.entries.get(plan.entry)!;
     const route = this.store.routes.get(plan.route);
-    const seen: SeenCall = {
+    const call: ObservedCall = {
       name: plan.name,
       route: plan.route,
       key: plan.key,
@@ -112,38 +112,38 @@
       ended: undefined,
       endedAt: undefined,
     };
-    this.calls.set(plan.name, seen);
+    this.calls.set(plan.name, call);
     this.expectEvents(plan.name, plan.events);
     this.#bodies.set(plan.name, plan.body);
-    seen.id = entry.arrive({
+    call.id = entry.arrive({
       call: plan.name as CallId,
       host: route?.host ?? "nowhere",
       target: `${route?.pathPrefix ?? "/nothing/"}x`,
-      timeLeft: plan.timeLeft === undefined
+      timeLeft: plan.timeLeftMs === undefined
         ? undefined
-        : milliseconds(plan.timeLeft),
+        : milliseconds(plan.timeLeftMs),
       prompt: plan.prompt,
       key: plan.key === undefined ? undefined : keyDigest(plan.key),
       lastEventId: undefined,
       bodyBytes: 0,
       fingerprint: fingerprintOf(plan.body, plan.caller),
       relay: undefined,
-    }, this.#callerOf(seen));
+    }, this.#recipientOf(call));
   }
 
-  /** Cuts one entry off from the others. */
-  cut(entry: string): void {
-    this.cutOff.add(entry);
+  /** Isolates an entry from all others. */
+  isolateEntry(entry: string): void {
+    this.isolatedEntries.add(entry);
     this.network.isolate([entry]);
   }
 
   heal(): void {
-    this.cutOff.clear();
+    this.isolatedEntries.clear();
     this.network.heal();
   }
 
-  /** Entries that one entry names to a caller of a zone. */
-  named(
+  /** Returns the entries that one entry names to a caller in a zone. */
+  resolveEntries(
     entry: string,
     { host, zone }: { host: string; zone: string },
   ): string[] {
@@ -158,23 +158,23 @@
       .sort();
   }
 
-  #callerOf(seen: SeenCall): Recipient {
-    const end = (how: "complete" | "broken"): void => {
-      seen.ended ??= how;
-      seen.endedAt ??= this.time.now;
+  #recipientOf(call: ObservedCall): Recipient {
+    const end = (outcome: "complete" | "broken"): void => {
+      call.ended ??= outcome;
+      call.endedAt ??= this.time.now;
     };
     return {
       head: ({ status, retryAfter }) => {
-        seen.status = status;
-        seen.retryAfter = retryAfter;
+        call.status = status;
+        call.retryAfter = retryAfter;
       },
-      event: (id) => seen.events.push(id),
+      event: (id) => call.events.push(id),
       complete: () => end("complete"),
       broken: () => end("broken"),
     };
   }
 
-  #selfOf(
+  #identityOf(
     { name, spot }: VirtualGateway,
   ): Omit<GatewayIdentity, "incarnation"> {
     return {
@@ -194,16 +194,16 @@
     };
   }
 
-  /** Who answers at an address, `undefined` for nobody. */
+  /** Returns the backend at an address, `undefined` if there is none. */
   backendAt(address: string): FakeBackend | undefined {
-    // The one that came last has the address now.
+    // Of several backends with the same address, the last one added owns it.
     return [...this.backends.values()].findLast((backend) =>
       addressOf(backend) === address
     );
   }
 }
 
-/** What a request is known by. */
+/** Returns the fingerprint by which the gateway recognizes a repeated request. */
 export function fingerprintOf(
   body: string,
   caller: string,
@@ -211,7 +211,7 @@
   return { content: body as ContentDigest, caller: caller as CallerDigest };
 }
 
-/** Address of a backend: those of the same name before the slash share it. */
+/** Returns the address of a backend. Backends whose names are equal before the slash share it. */
 export function addressOf({ name }: FakeBackend): string {
   return `${name.split("/")[0]}:70`;
 }
--- a/playground/src/routes/run_routes.ts
+++ b/playground/src/routes/run_routes.ts
@@ -1,36 +1,36 @@
 /**
- * Runs one scenario of entries before routes. The language is that of the other scenarios: one step a
- * line, `at TIME ACTION`, `at TIME expect ...`; the words are in `route_setting.ts`, `route_actions.ts`
- * and `route_expectations.ts`.
+ * Runs a scenario in which entries route requests to endpoints. The script has one step per line,
+ * `at TIME ACTION` or `at TIME expect ...`, like the other scenarios. `route_setting.ts`,
+ * `route_actions.ts` and `route_expectations.ts` define the commands.
  *
  * @module
  */
 import { runSteps } from "../scenario/run_steps.ts";
 import { parseScript, settingOf } from "../scenario/script.ts";
 import { act, type RouteStage } from "./route_actions.ts";
-import { checkRoutes, findViolations } from "./route_expectations.ts";
+import { checkExpectation, findViolations } from "./route_expectations.ts";
 import { setUp } from "./route_setting.ts";
 import { RouteWorld } from "./route_world.ts";
 
-/** What a run came to: nothing wrong, or what. */
+/** Result of a run; `failures` is empty if all expectations and invariants held. */
 export interface RoutesOutcome {
   readonly title: string;
   readonly failures: readonly string[];
   readonly world: RouteWorld;
 }
 
-/** Steps begin when the fleet has found itself. */
+/** Steps begin after this time, when the entries have discovered each other. */
 const START_MS = 5_000;
-const TAIL_MS = 6_000;
+const TIME_AFTER_LAST_STEP_MS = 6_000;
 const FIRST_VERSION = 4;
 
-/** How a script is run. */
+/** Options of a run. */
 export interface RoutesOptions {
   readonly seed?: number;
   readonly loadSetting?: (name: string) => string;
 }
 
-/** Runs a script to some seconds after its last step. */
+/** Runs a script until `TIME_AFTER_LAST_STEP_MS` after its last step. */
 export function runRoutes(
   text: string,
   { seed = 1, loadSetting = () => "" }: RoutesOptions = {},
@@ -48,9 +48,9 @@
     time: world.time,
     startAt: START_MS,
     act: (step) => act(stage, step),
-    check: (step) => checkRoutes(world, step),
+    check: (step) => checkExpectation(world, step),
   });
-  world.time.runUntil(world.time.now + TAIL_MS);
+  world.time.runUntil(world.time.now + TIME_AFTER_LAST_STEP_MS);
   return {
     title: script.title,
     failures: [...failures, ...findViolations(world)],
--- a/playground/src/routes/terms_expectations.ts
+++ b/playground/src/routes/terms_expectations.ts
@@ -1,58 +1,58 @@
 /**
- * What endpoints may get by what they state of themselves.
+ * Checks that entries respect the limits, departures and backoffs that endpoints state in their answers.
  *
  * @module
  */
 import { mostWithin } from "../client/most_within.ts";
 import type { FakeBackend } from "./fake_backend.ts";
 
-/** An endpoint bears its limit times this, and the slack, in any such window. */
+/** In any window of this length, an endpoint may receive its limit times the overshoot, plus the slack. */
 const LIMIT_WINDOW_MS = 4_000;
 const LIMIT_OVERSHOOT = 1.5;
 const LIMIT_SLACK = 5;
 const LIMIT_SETTLE_MS = 2_000;
-/** What was on its way when an answer was given may still arrive for so long. */
-const CROSSING_MS = 500;
-const MOST_IN_REST = 2;
+/** Requests that were in flight when an answer was sent may still arrive for this long. */
+const IN_FLIGHT_MS = 500;
+const MAX_REQUESTS_IN_BACKOFF = 2;
 
-/** What an endpoint got against its word. */
+/** Describes each limit, departure or backoff of an endpoint that was not respected. */
 export function checkTerms(backend: FakeBackend, now: number): string[] {
   return [
     ...checkLimits(backend, now),
     ...checkLeaving(backend),
-    ...checkRests(backend),
+    ...checkBackoffs(backend),
   ];
 }
 
-/** An entry that an endpoint asked for rest sends it next to nothing until its end. */
-function checkRests(
-  { name, arrivals, senders, rests }: FakeBackend,
+/** An entry sends an endpoint at most `MAX_REQUESTS_IN_BACKOFF` requests during a backoff it was asked for. */
+function checkBackoffs(
+  { name, arrivals, senders, backoffs }: FakeBackend,
 ): string[] {
-  const most = rests.reduce((found, { entry, from, to }) => {
-    const disturbing = arrivals.filter((at, index) =>
-      senders[index] === entry && at > from + CROSSING_MS && at < to
+  const largest = backoffs.reduce((found, { entry, from, to }) => {
+    const early = arrivals.filter((at, index) =>
+      senders[index] === entry && at > from + IN_FLIGHT_MS && at < to
     );
-    return Math.max(found, disturbing.length);
+    return Math.max(found, early.length);
   }, 0);
-  return most <= MOST_IN_REST
-    ? []
-    : [`Endpoint ${name} got ${most} requests of one entry in its rest`];
+  return largest <= MAX_REQUESTS_IN_BACKOFF ? [] : [
+    `Endpoint ${name} got ${largest} requests from one entry during its backoff`,
+  ];
 }
 
-/** An entry that was told by an endpoint that it leaves sends it nothing more. */
+/** An entry that learned from an endpoint's answer that it is leaving sends it no more requests. */
 function checkLeaving(
-  { name, arrivals, senders, toldLeaving }: FakeBackend,
+  { name, arrivals, senders, leavingToldAt }: FakeBackend,
 ): string[] {
   const late =
     arrivals.filter((at, index) =>
-      at > (toldLeaving.get(senders[index]!) ?? Infinity) + CROSSING_MS
+      at > (leavingToldAt.get(senders[index]!) ?? Infinity) + IN_FLIGHT_MS
     ).length;
   return late === 0 ? [] : [
-    `Endpoint ${name} got ${late} requests from entries told that it leaves`,
+    `Endpoint ${name} got ${late} requests from entries that knew it was leaving`,
   ];
 }
 
-/** A limit that an endpoint stated holds for all entries together, once they had the time to learn of it. */
+/** A stated limit holds for all entries together, once they have had `LIMIT_SETTLE_MS` to learn it. */
 function checkLimits(
   { name, arrivals, limits }: FakeBackend,
   now: number,
@@ -62,14 +62,14 @@
       return [];
     }
     const end = limits[index + 1]?.at ?? now;
-    const kept = arrivals.filter((arrival) =>
+    const settled = arrivals.filter((arrival) =>
       arrival >= at + LIMIT_SETTLE_MS && arrival < end
     );
-    const most = mostWithin(kept, LIMIT_WINDOW_MS);
+    const largest = mostWithin(settled, LIMIT_WINDOW_MS);
     const allowed = LIMIT_OVERSHOOT * perSecond * LIMIT_WINDOW_MS / 1_000 +
       LIMIT_SLACK;
-    return most <= allowed
-      ? []
-      : [`Endpoint ${name} got ${most} within its limit of ${perSecond}`];
+    return largest <= allowed ? [] : [
+      `Endpoint ${name} got ${largest} requests in a window, despite its limit of ${perSecond} per second`,
+    ];
   });
 }
--- a/playground/src/routes/virtual_attempts.ts
+++ b/playground/src/routes/virtual_attempts.ts
@@ -1,5 +1,5 @@
 /**
- * What one entry under virtual time sends to endpoints and other entries, and what comes back.
+ * The attempts that one entry sends to endpoints and peers in virtual time, and their answers.
  *
  * @module
  */
@@ -15,17 +15,17 @@
 import type { RouteWorld } from "./route_world.ts";
 import type { VirtualGateway } from "./virtual_gateway.ts";
 
-/** Virtual time until a port answers, or is found closed. */
+/** Virtual time until a port accepts or refuses a connection. */
 export const CONNECT_MS = 1;
-/** Virtual time after which nobody is held to answer. */
+/** Virtual time until a connection attempt without an answer times out. */
 const CONNECT_TIMEOUT_MS = 400;
 
-/** Who gets the answer to a request: a caller, or the entry that passed it on. */
+/** Receives the answer to a request: a caller, or the entry that relayed the request. */
 export interface Recipient {
   head(answer: AnswerHead): void;
   event(id: number): void;
   complete(): void;
-  /** The answer broke off, or the entry died. */
+  /** The answer broke off, or the entry crashed. */
   broken(): void;
 }
 
@@ -56,37 +56,40 @@
     this.#heads = heads;
   }
 
-  /** Takes one back. */
+  /** Cancels an attempt. */
   abort(id: AttemptId): void {
     this.#open.get(id)?.cancel?.();
     this.#open.delete(id);
   }
 
-  /** The process has ended. */
+  /** Cancels all attempts when the entry's process ends. */
   abortAll(): void {
     this.#open.forEach(({ cancel }) => cancel?.());
     this.#open.clear();
   }
 
-  /** Connects, and sends where the gateway still wants that. */
+  /** Connects, and sends the request if the gateway still confirms the attempt. */
   send(attempt: CallAttempt): void {
     const open: OpenAttempt = { attempt, cancel: undefined };
     this.#open.set(attempt.id, open);
-    const reaches = this.#world.links.connects(this.#entry, attempt.target);
-    const delay = reaches === "yes" || reaches === "refused"
+    const connection = this.#world.links.connectionResult(
+      this.#entry,
+      attempt.target,
+    );
+    const delay = connection === "yes" || connection === "refused"
       ? CONNECT_MS
       : CONNECT_TIMEOUT_MS;
     this.#world.time.after(delay, () => {
       if (!this.#open.has(attempt.id)) {
         return;
       }
-      if (reaches === "yes") {
+      if (connection === "yes") {
         this.#commit(open);
       } else {
         this.#end(attempt.id, {
           kind: "unsent",
           detail: "No connection",
-          refused: reaches === "refused",
+          refused: connection === "refused",
         });
       }
     });
@@ -94,7 +97,7 @@
 
   #commit(open: OpenAttempt): void {
     const { id, request, target, customer, resumeAfter } = open.attempt;
-    const effects = this.#entry.tell({ kind: "commit", attempt: id });
+    const effects = this.#entry.handle({ kind: "commit", attempt: id });
     const proceed = effects.find((effect) =>
       effect.kind === "proceed" && effect.attempt === id
     );
@@ -105,14 +108,14 @@
     }
     const recipient = this.#recipientOf(id);
     open.cancel = target.kind === "endpoint"
-      ? this.#world.links.toBackend(this.#entry, {
+      ? this.#world.links.sendToBackend(this.#entry, {
         target,
         head,
         customer,
         resumeAfter,
         recipient,
       })
-      : this.#world.links.toPeer(this.#entry, {
+      : this.#world.links.sendToPeer(this.#entry, {
         target,
         head: { ...head, timeLeft: milliseconds(proceed.timeLeft) },
         customer,
@@ -122,14 +125,14 @@
   }
 
   #recipientOf(id: AttemptId): Recipient {
-    const current = (): boolean => this.#open.has(id);
+    const isOpen = (): boolean => this.#open.has(id);
     return {
       head: (answer) => {
-        if (!current()) {
+        if (!isOpen()) {
           return;
         }
         const { request, streaming: events } = this.#open.get(id)!.attempt;
-        const effects = this.#entry.tell({
+        const effects = this.#entry.handle({
           kind: "answered",
           attempt: id,
           answer: { ...answer, events },
@@ -137,19 +140,19 @@
         const forwarded = effects.some((effect) =>
           effect.kind === "forward" && effect.attempt === id
         );
-        const goesOn = effects.some((effect) =>
+        const continuesStream = effects.some((effect) =>
           effect.kind === "goOn" && effect.attempt === id
         );
         if (forwarded) {
           this.#recipients.get(request)?.head(answer);
-        } else if (!goesOn) {
+        } else if (!continuesStream) {
           this.#open.delete(id);
         }
       },
       event: (event) => {
-        if (current()) {
+        if (isOpen()) {
           const { request } = this.#open.get(id)!.attempt;
-          this.#entry.tell({
+          this.#entry.handle({
             kind: "progress",
             attempt: id,
             lastEventId: String(event),
@@ -160,7 +163,7 @@
         }
       },
       complete: () => this.#end(id, { kind: "complete" }),
-      broken: () => this.#end(id, { kind: "lost", detail: "Broke off" }),
+      broken: () => this.#end(id, { kind: "lost", detail: "Answer broke off" }),
     };
   }
 
@@ -169,7 +172,7 @@
     end: Extract<GatewayEvent, { kind: "ended" }>["end"],
   ): void {
     if (this.#open.delete(id)) {
-      this.#entry.tell({ kind: "ended", attempt: id, end });
+      this.#entry.handle({ kind: "ended", attempt: id, end });
     }
   }
 }
--- a/playground/src/routes/virtual_gateway.ts
+++ b/playground/src/routes/virtual_gateway.ts
@@ -1,5 +1,5 @@
 /**
- * One entry under virtual time: the gateway's decisions with fakes for its sockets.
+ * One entry in virtual time: the real gateway logic with fake sockets.
  *
  * @module
  */
@@ -24,7 +24,7 @@
   VirtualAttempts,
 } from "./virtual_attempts.ts";
 
-/** One entry. */
+/** An entry in virtual time, which may be started, stopped, suspended and killed. */
 export class VirtualGateway {
   readonly name: string;
   readonly spot: Spot;
@@ -34,15 +34,15 @@
   readonly #heads = new Map<RequestId, CallHead>();
   readonly #attempts: VirtualAttempts;
   #gateway: Gateway | undefined;
-  #life = 0;
-  /** Time that its clock did not count. */
-  #slept = 0;
-  /** When its present life began. */
+  #incarnationNumber = 0;
+  /** Total time in suspension, which the process's clock did not count. */
+  #sleptMs = 0;
+  /** When the current process was started. */
   startedAt = 0;
   #nextTickAt = 0;
-  #requests = 0;
+  #requestCount = 0;
   #frozenAt: number | undefined;
-  #held: (() => void)[] = [];
+  #pendingEvents: (() => void)[] = [];
 
   constructor(
     name: string,
@@ -71,21 +71,21 @@
     return this.#frozenAt !== undefined;
   }
 
-  /** Begins a new life. */
+  /** Starts the process under a new incarnation. */
   start(self: Omit<GatewayIdentity, "incarnation">): void {
-    this.#life++;
+    this.#incarnationNumber++;
     this.startedAt = this.#world.time.now;
     this.#gateway = new Gateway({
       self: {
         ...self,
-        incarnation: `${this.name}-${this.#life}` as Incarnation,
+        incarnation: `${this.name}-${this.#incarnationNumber}` as Incarnation,
       },
-      random: new SeededRandomness(this.#seed + this.#life),
+      random: new SeededRandomness(this.#seed + this.#incarnationNumber),
     }, this.#now());
-    this.#tick(this.#life);
+    this.#tick(this.#incarnationNumber);
   }
 
-  /** Ends without a word. */
+  /** Ends the process without notice; answers to open requests break off. */
   kill(): void {
     this.#gateway = undefined;
     this.#attempts.abortAll();
@@ -95,10 +95,10 @@
   }
 
   stop(): void {
-    this.tell({ kind: "stop" });
+    this.handle({ kind: "stop" });
   }
 
-  /** The process stands still; what arrives waits in its sockets. */
+  /** Pauses the process; events that arrive meanwhile are queued. */
   freeze(): void {
     this.#frozenAt = this.#world.time.now;
   }
@@ -108,109 +108,112 @@
       return;
     }
     this.#frozenAt = undefined;
-    const held = this.#held;
-    this.#held = [];
-    this.tell({ kind: "tick" });
-    held.forEach((run) => run());
+    const pending = this.#pendingEvents;
+    this.#pendingEvents = [];
+    this.handle({ kind: "tick" });
+    pending.forEach((run) => run());
   }
 
-  /** The machine is suspended, and the process's own clock with it. */
-  sleep(time: number): void {
+  /** Suspends the VM; the process's clock stops too. */
+  sleep(durationMs: number): void {
     this.freeze();
-    this.#world.time.after(time, () => {
-      this.#slept += time;
+    this.#world.time.after(durationMs, () => {
+      this.#sleptMs += durationMs;
       this.#frozenAt = undefined;
-      this.tell({ kind: "slept", time: milliseconds(time) });
+      this.handle({ kind: "slept", time: milliseconds(durationMs) });
       this.#frozenAt = this.#world.time.now;
       this.thaw();
     });
   }
 
-  /** A request arrives with its whole body. */
+  /** Receives a request with its whole body. */
   arrive(head: Omit<CallHead, "id">, recipient: Recipient): RequestId {
-    this.#requests++;
-    const id = `${this.name}.${this.#life}.${this.#requests}` as RequestId;
+    this.#requestCount++;
+    const id =
+      `${this.name}.${this.#incarnationNumber}.${this.#requestCount}` as RequestId;
     this.#recipients.set(id, recipient);
-    const whole = { ...head, id };
-    this.#heads.set(id, whole);
-    this.tell({ kind: "arrived", head: whole });
-    this.#hasten();
+    const fullHead = { ...head, id };
+    this.#heads.set(id, fullHead);
+    this.handle({ kind: "arrived", head: fullHead });
+    this.#bringTickForward();
     return id;
   }
 
-  /** The caller closes its connection. */
+  /** Closes the caller's connection of a request. */
   leave(id: RequestId): void {
     this.#recipients.delete(id);
-    this.tell({ kind: "callerGone", request: id });
+    this.handle({ kind: "callerGone", request: id });
   }
 
-  /** Tells the gateway, now or when it wakes. */
-  tell(event: GatewayEvent): readonly GatewayEffect[] {
+  /** Passes an event to the gateway and applies the effects, or queues it while the process is paused. */
+  handle(event: GatewayEvent): readonly GatewayEffect[] {
     if (this.#frozenAt !== undefined) {
-      this.#held.push(() => this.tell(event));
+      this.#pendingEvents.push(() => this.handle(event));
       return [];
     }
     const effects = this.#gateway?.handle(event, this.#now()) ?? [];
-    effects.forEach((effect) => this.#run(effect));
+    effects.forEach((effect) => this.#applyEffect(effect));
     return effects;
   }
 
   #now(): Instant {
-    return instant(this.#world.time.now - this.#slept);
+    return instant(this.#world.time.now - this.#sleptMs);
   }
 
-  #tick(life: number): void {
-    if (life !== this.#life || this.#gateway === undefined) {
+  #tick(incarnation: number): void {
+    if (
+      incarnation !== this.#incarnationNumber || this.#gateway === undefined
+    ) {
       return;
     }
     if (this.#frozenAt === undefined) {
-      this.tell({ kind: "tick" });
+      this.handle({ kind: "tick" });
     }
-    this.#schedule(life);
+    this.#scheduleTick(incarnation);
   }
 
-  #schedule(life: number): void {
-    const pause = this.#gateway?.tickInterval ?? 0;
-    this.#nextTickAt = this.#world.time.now + pause;
-    this.#world.time.after(pause, () => {
+  #scheduleTick(incarnation: number): void {
+    const interval = this.#gateway?.tickInterval ?? 0;
+    this.#nextTickAt = this.#world.time.now + interval;
+    this.#world.time.after(interval, () => {
       if (this.#world.time.now >= this.#nextTickAt) {
-        this.#tick(life);
+        this.#tick(incarnation);
       }
     });
   }
 
-  /** Something came that can't wait for the tick that is set. */
-  #hasten(): void {
-    const pause = this.#gateway?.tickInterval ?? 0;
-    if (this.#world.time.now + pause < this.#nextTickAt) {
-      this.#schedule(this.#life);
+  /** Schedules an earlier tick if the gateway's tick interval has become shorter than the remaining wait. */
+  #bringTickForward(): void {
+    const interval = this.#gateway?.tickInterval ?? 0;
+    if (this.#world.time.now + interval < this.#nextTickAt) {
+      this.#scheduleTick(this.#incarnationNumber);
     }
   }
 
-  #run(effect: GatewayEffect): void {
+  #applyEffect(effect: GatewayEffect): void {
     switch (effect.kind) {
       case "datagram":
-        return this.#world.links.datagram(this, effect.to, effect.message);
+        return this.#world.links.sendDatagram(this, effect.to, effect.message);
       case "readCatalogue":
-        return this.#read(effect);
+        return this.#readCatalogue(effect);
       case "copyCatalogue":
-        return this.#world.links.copy(
+        return this.#world.links.fetchCatalogue(
           this,
           effect.address,
-          (snapshot) => this.tell({ kind: "catalogueCopied", snapshot }),
+          (snapshot) => this.handle({ kind: "catalogueCopied", snapshot }),
         );
       case "send":
         return this.#attempts.send(effect.attempt);
       case "abort":
         return this.#attempts.abort(effect.attempt);
       case "knock":
-        return this.#knock(effect);
+        return this.#probePort(effect);
       case "refuse":
         return this.#refuse(effect);
       case "breakOff":
-        return this.#finish(effect.request, (to) => to.broken());
+        return this.#endRequest(effect.request, (to) => to.broken());
       case "complete":
-        return this.#finish(effect.request, (to) => to.complete());
+        return this.#endRequest(effect.request, (to) => to.complete());
       case "exit":
         return this.kill();
       case "log":
@@ -223,38 +226,40 @@
     }
   }
 
-  #knock(
+  #probePort(
     { endpoint, life, address }: Extract<GatewayEffect, { kind: "knock" }>,
   ): void {
     this.#world.time.after(CONNECT_MS, () => {
-      if (this.#world.links.isClosed(this, address)) {
-        this.tell({ kind: "portClosed", endpoint, life });
+      if (this.#world.links.isPortClosed(this, address)) {
+        this.handle({ kind: "portClosed", endpoint, life });
       }
     });
   }
 
-  #read(effect: Extract<GatewayEffect, { kind: "readCatalogue" }>): void {
-    const life = this.#life;
+  #readCatalogue(
+    effect: Extract<GatewayEffect, { kind: "readCatalogue" }>,
+  ): void {
+    const incarnation = this.#incarnationNumber;
     let open = true;
-    const once = (event: GatewayEvent): void => {
-      if (open && life === this.#life) {
+    const handleOnce = (event: GatewayEvent): void => {
+      if (open && incarnation === this.#incarnationNumber) {
         open = false;
-        this.tell(event);
+        this.handle(event);
       }
     };
     if (this.#world.links.reachesStore(this)) {
-      this.#world.store.read(this.name, effect, once);
+      this.#world.store.read(this.name, effect, handleOnce);
     }
     this.#world.time.after(
       effect.timeout,
-      () => once({ kind: "catalogueFailed", detail: "Read timed out" }),
+      () => handleOnce({ kind: "catalogueFailed", detail: "Read timed out" }),
     );
   }
 
   #refuse(
     { request, refusal }: Extract<GatewayEffect, { kind: "refuse" }>,
   ): void {
-    this.#finish(request, (to) => {
+    this.#endRequest(request, (to) => {
       to.head({
         status: refusal.status,
         notRun: refusal.verdict.kind === "not_run",
@@ -270,7 +275,7 @@
     });
   }
 
-  #finish(id: RequestId, end: (to: Recipient) => void): void {
+  #endRequest(id: RequestId, end: (to: Recipient) => void): void {
     const recipient = this.#recipients.get(id);
     this.#recipients.delete(id);
     this.#heads.delete(id);
