--- a/playground/src/scenario/caller_results.ts
+++ b/playground/src/scenario/caller_results.ts
@@ -1,13 +1,13 @@
 /**
- * What scenarios' callers send and get, held against what the endpoints counted.
+ * The requests of a scenario's callers and their results, checked against the runs that endpoints counted.
  *
  * @module
  */
 import type { FinalAnswer } from "@sassafrasstep/core";
 import type { World } from "./world.ts";
 
-/** What a scenario's caller sends. */
-export interface CallerSend {
+/** A request of a scenario's caller. */
+export interface CallerRequest {
   readonly name: string;
   readonly customer: string;
   readonly service: string;
@@ -20,7 +20,7 @@
   readonly hops: readonly string[];
 }
 
-/** What came of it. */
+/** What a caller received. `expect` lines refer to these fields by name. */
 export interface CallerResult {
   readonly name: string;
   readonly at: number;
@@ -34,70 +34,70 @@
   readonly goTo: readonly string[];
 }
 
-/** How a request ended for whoever sent it: a stream's tokens were passed on before. */
-export type WayEnd = FinalAnswer | { readonly kind: "streamed" };
+/** What the sender of a request receives in the end. A stream's tokens have been passed on before. */
+export type RequestOutcome = FinalAnswer | { readonly kind: "streamed" };
 
-/** Keeps one result a caller. */
+/** Records one result per caller and checks it. */
 export class CallerResults {
   readonly byCaller = new Map<string, CallerResult>();
   readonly #world: World;
-  readonly #gone = new Set<string>();
+  readonly #hungUp = new Set<string>();
 
   constructor(world: World) {
     this.#world = world;
   }
 
-  /** A caller hangs up: what comes later it does not see. */
+  /** Marks a caller as hung up. Later answers to it are not recorded. */
   hangUp(name: string): void {
-    this.#gone.add(name);
+    this.#hungUp.add(name);
   }
 
-  /** Whether a caller still waits. */
-  isOpen(name: string): boolean {
-    return !this.byCaller.has(name) && !this.#gone.has(name);
+  /** Whether a caller has neither received an answer nor hung up. */
+  isWaiting(name: string): boolean {
+    return !this.byCaller.has(name) && !this.#hungUp.has(name);
   }
 
-  /** An entry has answered. */
-  answer(
-    send: CallerSend,
-    answer: WayEnd,
+  /** Records an entry's answer to a caller. */
+  recordOutcome(
+    request: CallerRequest,
+    outcome: RequestOutcome,
   ): void {
-    if (this.#gone.has(send.name)) {
+    if (this.#hungUp.has(request.name)) {
       return;
     }
-    if (answer.kind === "streamed") {
-      this.record(send, { status: 200, verdict: "ran" });
-    } else if (answer.kind === "refused") {
+    if (outcome.kind === "streamed") {
+      this.record(request, { status: 200, verdict: "ran" });
+    } else if (outcome.kind === "refused") {
       const { status, verdict, thisSend, reason, retryAfter, goTo } =
-        answer.refusal;
-      this.record(send, {
+        outcome.refusal;
+      this.record(request, {
         status,
-        verdict: verdictName(verdict),
-        thisSend: thisSend === undefined ? "" : verdictName(thisSend),
+        verdict: formatVerdict(verdict),
+        thisSend: thisSend === undefined ? "" : formatVerdict(thisSend),
         reason,
         retryAfterMs: retryAfter ?? 0,
         goTo: goTo ?? [],
       });
     } else {
-      const body = Buffer.from(answer.answer.body, "base64").toString();
-      const { verdict, replayed } = answer;
-      this.record(send, {
-        status: answer.answer.status,
-        verdict: verdictName(verdict),
+      const body = Buffer.from(outcome.answer.body, "base64").toString();
+      const { verdict, replayed } = outcome;
+      this.record(request, {
+        status: outcome.answer.status,
+        verdict: formatVerdict(verdict),
         body,
         replayed,
       });
     }
   }
 
-  /** Notes what a caller saw. */
-  record(send: CallerSend, result: Partial<CallerResult>): void {
+  /** Records a caller's result. A second result for the same caller is a violation. */
+  record(request: CallerRequest, result: Partial<CallerResult>): void {
     const { time, violations } = this.#world;
-    if (this.byCaller.has(send.name)) {
-      violations.note(time.now, `caller ${send.name} got a second answer`);
+    if (this.byCaller.has(request.name)) {
+      violations.note(time.now, `caller ${request.name} got a second answer`);
     }
-    const whole: CallerResult = {
-      name: send.name,
+    const fullResult: CallerResult = {
+      name: request.name,
       at: time.now,
       status: 0,
       verdict: "",
@@ -109,42 +109,44 @@
       goTo: [],
       ...result,
     };
-    this.byCaller.set(send.name, whole);
-    this.#checkVerdict(send, whole);
+    this.byCaller.set(request.name, fullResult);
+    this.#checkVerdict(request, fullResult);
   }
 
-  /** Holds what a caller was told against what the endpoints counted. */
+  /** Checks a caller's verdict and body against the runs that endpoints counted. */
   #checkVerdict(
-    send: CallerSend,
+    request: CallerRequest,
     { status, verdict, body }: CallerResult,
   ): void {
     const { time, violations } = this.#world;
-    const runs = send.key === undefined ? 0 : this.#world.runsOf(send.key);
+    const runs = request.key === undefined
+      ? 0
+      : this.#world.countRuns(request.key);
     if (status !== 0 && verdict === "not_run" && runs > 0) {
       violations.note(
         time.now,
-        `caller ${send.name} was told not_run of a key that ran ${runs} times`,
+        `caller ${request.name} was told not_run for a key that ran ${runs} times`,
       );
     }
-    if (verdict === "ran" && send.key !== undefined && runs === 0) {
+    if (verdict === "ran" && request.key !== undefined && runs === 0) {
       violations.note(
         time.now,
-        `caller ${send.name} was told ran of a key that never ran`,
+        `caller ${request.name} was told ran for a key that never ran`,
       );
     }
     if (
-      status === 200 && send.key !== undefined &&
-      body !== `answer for ${send.key}`
+      status === 200 && request.key !== undefined &&
+      body !== `answer for ${request.key}`
     ) {
       violations.note(
         time.now,
-        `caller ${send.name} got "${body}", which is not its own answer`,
+        `caller ${request.name} got "${body}", which is not its own answer`,
       );
     }
   }
 }
 
-function verdictName(verdict: { kind: string; settled?: boolean }): string {
+function formatVerdict(verdict: { kind: string; settled?: boolean }): string {
   return verdict.kind === "may_have_run"
     ? `may_have_run_${verdict.settled === true ? "settled" : "open"}`
     : verdict.kind;
--- a/playground/src/scenario/disorder.ts
+++ b/playground/src/scenario/disorder.ts
@@ -1,5 +1,6 @@
 /**
- * Random scenarios: any mix of calls, deaths, freezes, cuts and changes, in any order.
+ * Random scenarios for property tests: calls, crashes, freezes, partitions and configuration changes in
+ * any order.
  *
  * @module
  */
@@ -7,9 +8,9 @@
 
 const ENTRIES = ["n1", "n2", "n3", "s1", "s2"];
 const ENDPOINTS = ["pn1", "pn2", "ps1", "en1", "en2", "es1"];
-const PLAINS = ["pn1", "pn2", "ps1"];
+const PLAIN_ENDPOINTS = ["pn1", "pn2", "ps1"];
 const KEYS = ["k1", "k2", "k3", "k4"];
-const MODES = [
+const ENDPOINT_MODES = [
   "normal",
   "normal",
   "refuse",
@@ -19,17 +20,17 @@
   "hang_before",
   "hang_after",
 ];
-const LENGTH_MS = 40_000;
-const GRAIN_MS = 10;
+const SCRIPT_LENGTH_MS = 40_000;
+const TIME_STEP_MS = 10;
 
 const entry = fc.constantFrom(...ENTRIES);
 const endpoint = fc.constantFrom(...ENDPOINTS);
-const place = fc.constantFrom("n1", "n2", "n3");
+const keyOwner = fc.constantFrom("n1", "n2", "n3");
 
-/** Sends of few keys at many entries, so that they meet. */
+/** Calls with few keys through many entries, so that calls with the same key overlap. */
 const call = fc.record({
   via: entry,
-  owner: place,
+  owner: keyOwner,
   key: fc.constantFrom(...KEYS),
   deadline: fc.constantFrom("300ms", "2s", "8s"),
 }).map(({ via, owner, key, deadline }) =>
@@ -42,7 +43,7 @@
 })
   .map(({ via, customer }) => `ask @ ${customer} via ${via}`);
 
-const trouble = fc.oneof(
+const disruption = fc.oneof(
   entry.map((name) => `kill ${name}`),
   entry.map((name) => `restart ${name}`),
   entry.map((name) => `stop ${name}`),
@@ -57,12 +58,12 @@
   endpoint.map((name) => `drain ${name}`),
   endpoint.map((name) => `leave ${name}`),
   fc.record({
-    name: fc.constantFrom(...PLAINS),
-    mode: fc.constantFrom(...MODES),
+    name: fc.constantFrom(...PLAIN_ENDPOINTS),
+    mode: fc.constantFrom(...ENDPOINT_MODES),
   })
     .map(({ name, mode }) => `mode ${name} ${mode}`),
   fc.record({
-    name: fc.constantFrom(...PLAINS),
+    name: fc.constantFrom(...PLAIN_ENDPOINTS),
     time: fc.constantFrom("5ms", "400ms", "3s"),
   })
     .map(({ name, time }) => `hold ${name} ${time}`),
@@ -78,16 +79,16 @@
   fc.constant("lose-hand-overs"),
 );
 
-/** Scripts on the two-region setting. `@` becomes a name of its own. */
-export const disorder: fc.Arbitrary<string> = fc.array(
+/** Scripts for the two-region setting. `@` in an action is replaced by a unique caller name. */
+export const randomScenario: fc.Arbitrary<string> = fc.array(
   fc.record({
-    at: fc.integer({ min: 0, max: LENGTH_MS / GRAIN_MS }).map((step) =>
-      step * GRAIN_MS
-    ),
+    at: fc.integer({ min: 0, max: SCRIPT_LENGTH_MS / TIME_STEP_MS }).map((
+      step,
+    ) => step * TIME_STEP_MS),
     action: fc.oneof({ arbitrary: call, weight: 5 }, {
       arbitrary: ask,
       weight: 2,
-    }, { arbitrary: trouble, weight: 5 }),
+    }, { arbitrary: disruption, weight: 5 }),
   }),
   { minLength: 5, maxLength: 60 },
 ).map((steps) => {
@@ -99,6 +100,6 @@
     "use two_regions",
     "epoch 15s",
     ...lines,
-    `at ${LENGTH_MS + 10_000}ms heal`,
+    `at ${SCRIPT_LENGTH_MS + 10_000}ms heal`,
   ].join("\n");
 });
--- a/playground/src/scenario/endpoint_fakes.ts
+++ b/playground/src/scenario/endpoint_fakes.ts
@@ -1,6 +1,5 @@
 /**
- * Fakes of endpoints, in virtual time. They count what ran, which is the truth that verdicts are held
- * against.
+ * Fake endpoints in virtual time. They count the calls that ran; verdicts are checked against these counts.
  *
  * @module
  */
@@ -13,12 +12,15 @@
 } from "@sassafrasstep/core";
 import type { Spot } from "./network.ts";
 
-/** What a fake endpoint does with a call. */
+/**
+ * What a fake endpoint does with a call. A `..._before` behaviour applies before the call runs, an
+ * `..._after` behaviour after it ran.
+ */
 export type FakeBehaviour =
   | "normal"
-  /** 503 before anything ran. */
+  /** Answers 503 without running the call. */
   | "refuse"
-  /** Runs, then answers 500. */
+  /** Runs the call, then answers 500. */
   | "fail"
   | "reset_before"
   | "reset_after"
@@ -27,17 +29,17 @@
   /** Breaks a stream after half its tokens. */
   | "cut_stream";
 
-/** A call as it arrives. */
+/** A call that arrives at a fake endpoint. */
 export interface FakeCall {
   readonly attempt: string;
-  /** The request that the first entry gave an id to. */
-  readonly origin: string;
+  /** The id that the first entry assigned to the request. */
+  readonly originId: string;
   readonly key: string | undefined;
   readonly customer: string;
   readonly resumeOffset: number;
 }
 
-/** How a call ends, after how long. */
+/** How a call ends and after what delay. */
 export interface FakeReply {
   readonly afterMs: number;
   readonly end:
@@ -49,26 +51,26 @@
     | {
       readonly kind: "stream";
       readonly tokens: number;
-      readonly whole: boolean;
+      readonly complete: boolean;
     }
     | { readonly kind: "reset" }
     | { readonly kind: "none" };
 }
 
-/** Tokens of every fake answer. */
-export const FAKE_TOKENS = 20;
+/** Number of tokens in every fake stream. */
+export const FAKE_ANSWER_TOKENS = 20;
 
-/** One endpoint VM. */
+/** A fake endpoint on its own VM. */
 export class FakeEndpoint implements Spot {
   behaviour: FakeBehaviour = "normal";
   dead = false;
   draining = false;
-  /** Whether the VM list leaves it out although it runs. */
+  /** Whether the VM list omits this endpoint although it runs. */
   unlisted = false;
-  /** Whether the VM list, once it shows, calls it leaving. */
+  /** Whether the VM list shows this endpoint as leaving. */
   listedAsLeaving = false;
-  /** When an entry of each zone first got a sign that it leaves. */
-  readonly signs = new Map<string, number>();
+  /** When an entry of each zone was first told that this endpoint is leaving, by zone. */
+  readonly leavingNoticeTimes = new Map<string, number>();
   holdMs: number;
   slots: number;
   model: string;
@@ -84,15 +86,15 @@
   readonly zone: ZoneId;
   readonly region: RegionId;
   readonly pool: string;
-  /** A replaced VM may have the address of the former one. */
+  /** A replacement VM may reuse the address of the former one. */
   readonly url: string;
-  /** Runs by key, or by the request's origin where there is no key. */
+  /** Number of runs by idempotency key, or by the request's original id if it has no key. */
   readonly runs = new Map<string, number>();
   readonly callers = new Set<string>();
   #running = 0;
 
   constructor(
-    spot: Spot,
+    location: Spot,
     { id, kind, pool, slots, holdMs, model, url = `http://${id}` }: {
       id: string;
       url?: string;
@@ -105,8 +107,8 @@
   ) {
     this.id = id as EndpointId;
     this.kind = kind;
-    this.zone = spot.zone as ZoneId;
-    this.region = spot.region as RegionId;
+    this.zone = location.zone as ZoneId;
+    this.region = location.region as RegionId;
     this.pool = pool;
     this.url = url;
     this.slots = slots;
@@ -118,8 +120,8 @@
     return this.#running;
   }
 
-  /** Takes a call and says how it ends. `ended` must be called then. */
-  take(call: FakeCall): FakeReply {
+  /** Accepts a call and returns how it ends. `finishCall` must be called when it ends. */
+  handleCall(call: FakeCall): FakeReply {
     this.#running++;
     this.callers.add(call.customer);
     if (this.behaviour === "refuse" || this.draining) {
@@ -131,18 +133,18 @@
     if (this.behaviour === "hang_before") {
       return { afterMs: 0, end: { kind: "none" } };
     }
-    this.#countRun(call.key ?? call.origin);
-    return { afterMs: this.holdMs, end: this.#endOf(call) };
+    this.#countRun(call.key ?? call.originId);
+    return { afterMs: this.holdMs, end: this.#chooseEnd(call) };
   }
 
-  /** Notes that an entry of a zone was told that it leaves. */
-  noteSign(zone: string, now: number): void {
-    if (!this.signs.has(zone)) {
-      this.signs.set(zone, now);
+  /** Records that an entry of a zone was told that this endpoint is leaving. */
+  recordLeavingNotice(zone: string, now: number): void {
+    if (!this.leavingNoticeTimes.has(zone)) {
+      this.leavingNoticeTimes.set(zone, now);
     }
   }
 
-  ended(): void {
+  finishCall(): void {
     this.#running--;
   }
 
@@ -156,14 +158,14 @@
       holdTime: this.holdMs as Milliseconds,
       draining: this.draining,
       model: this.model,
-      // An engine that ignores fencing does not report it either.
+      // An engine that ignores fencing numbers does not report one either.
       fence: this.fenced ? this.fence : 0,
       evicted: [],
       cacheGap: false,
     };
   }
 
-  /** Takes an order as an engine would. */
+  /** Loads a model as an engine would; returns whether the order was accepted. */
   order(
     { model, fence, expected }: {
       model: string;
@@ -181,7 +183,7 @@
     return true;
   }
 
-  #endOf(call: FakeCall): FakeReply["end"] {
+  #chooseEnd(call: FakeCall): FakeReply["end"] {
     switch (this.behaviour) {
       case "fail":
         return { kind: "answer", status: 500, body: "failed" };
@@ -192,16 +194,16 @@
       case "cut_stream":
         return {
           kind: "stream",
-          tokens: call.resumeOffset + FAKE_TOKENS / 2,
-          whole: false,
+          tokens: call.resumeOffset + FAKE_ANSWER_TOKENS / 2,
+          complete: false,
         };
       default:
         return this.kind === "engine"
-          ? { kind: "stream", tokens: FAKE_TOKENS, whole: true }
+          ? { kind: "stream", tokens: FAKE_ANSWER_TOKENS, complete: true }
           : {
             kind: "answer",
             status: 200,
-            body: `answer for ${call.key ?? call.origin}`,
+            body: `answer for ${call.key ?? call.originId}`,
           };
     }
   }
--- a/playground/src/scenario/endpoint_way.ts
+++ b/playground/src/scenario/endpoint_way.ts
@@ -1,64 +1,70 @@
 /**
- * The way of an attempt to an endpoint and back, in virtual time.
+ * Carries attempts to endpoints and their answers back, in virtual time.
  *
  * @module
  */
 import type { Attempt, AttemptEnd, RequestId } from "@sassafrasstep/core";
-import type { CallerSend } from "./caller_results.ts";
+import type { CallerRequest } from "./caller_results.ts";
 import type { FakeEndpoint, FakeReply } from "./endpoint_fakes.ts";
 import type { VirtualEntry } from "./virtual_entry.ts";
 import {
   CONNECT_REFUSED,
   CONNECT_TIMEOUT_MS,
-  endingOf,
+  createEndReporter,
   isWanted,
-  type Open,
+  type OpenRequest,
   RESET,
   storedAnswer,
 } from "./way.ts";
 import type { World } from "./world.ts";
 
-/** What the way works with. */
-export interface EndpointWayTools {
+/** Dependencies of the endpoint transport. */
+export interface EndpointTransportOptions {
   readonly world: World;
-  /** The request has its answer; `false` if it had one before. */
-  readonly close: (request: RequestId) => boolean;
+  /** Marks a request as answered; returns `false` if it was already answered or is gone. */
+  readonly closeRequest: (request: RequestId) => boolean;
 }
 
 /** Carries attempts to endpoints. */
-export class EndpointWay {
-  readonly #tools: EndpointWayTools;
+export class EndpointTransport {
+  readonly #options: EndpointTransportOptions;
 
-  constructor(tools: EndpointWayTools) {
-    this.#tools = tools;
+  constructor(options: EndpointTransportOptions) {
+    this.#options = options;
   }
 
-  /** Connects, asks whether the attempt is still wanted, and sends it. */
+  /** Connects to the endpoint, asks the entry whether it still wants the attempt, and sends it. */
   send(
     entry: VirtualEntry,
-    { attempt, open, endpoint }: {
+    { attempt, openRequest, endpoint }: {
       attempt: Attempt;
-      open: Open;
+      openRequest: OpenRequest;
       endpoint: FakeEndpoint | undefined;
     },
   ): void {
-    const { network, time } = this.#tools.world;
-    const end = endingOf(entry, attempt);
+    const { network, time } = this.#options.world;
+    const reportEnd = createEndReporter(entry, attempt);
     if (endpoint === undefined || !network.reaches(entry, endpoint)) {
-      time.after(CONNECT_TIMEOUT_MS, () => end(CONNECT_REFUSED));
+      time.after(CONNECT_TIMEOUT_MS, () => reportEnd(CONNECT_REFUSED));
       return;
     }
     const delay = network.delay(entry, endpoint);
     time.after(2 * delay, () => {
       if (endpoint.dead) {
-        end(CONNECT_REFUSED);
+        reportEnd(CONNECT_REFUSED);
         return;
       }
-      entry.deliver(() => {
+      entry.runWhenActive(() => {
         if (isWanted(entry, attempt)) {
           time.after(
             delay,
-            () => this.#runAtEndpoint(entry, { attempt, open, endpoint, end }),
+            () =>
+              this.#runAtEndpoint(entry, {
+                attempt,
+                openRequest,
+                endpoint,
+                reportEnd,
+              }),
           );
         }
       });
@@ -67,40 +73,43 @@
 
   #runAtEndpoint(
     entry: VirtualEntry,
-    { attempt, open, endpoint, end }: {
+    { attempt, openRequest, endpoint, reportEnd }: {
       attempt: Attempt;
-      open: Open;
+      openRequest: OpenRequest;
       endpoint: FakeEndpoint;
-      end: (result: AttemptEnd) => void;
+      reportEnd: (result: AttemptEnd) => void;
     },
   ): void {
-    const { time, violations, network } = this.#tools.world;
+    const { time, violations, network } = this.#options.world;
     if (endpoint.dead) {
-      end(RESET);
+      reportEnd(RESET);
       return;
     }
-    const { customer } = open.send;
-    this.#tools.world.checkHome(endpoint.region, { what: "call", customer });
+    const { customer } = openRequest.request;
+    this.#options.world.checkHome(endpoint.region, { what: "call", customer });
     violations.checkLeaving(time.now, {
       id: endpoint.id,
-      signs: endpoint.signs,
+      leavingNoticeTimes: endpoint.leavingNoticeTimes,
       zone: entry.zone,
     });
-    const reply = endpoint.take({
+    const reply = endpoint.handleCall({
       attempt: attempt.id,
-      origin: open.origin,
-      key: open.send.key,
+      originId: openRequest.originId,
+      key: openRequest.request.key,
       customer,
       resumeOffset: attempt.resumeOffset,
     });
-    this.#checkRuns(open.send);
-    const crashes = this.#tools.world.poisons.strikes(open.send.body, {
-      endpoint,
-      ended: () => {
-        endpoint.ended();
-        end(RESET);
+    this.#checkRuns(openRequest.request);
+    const crashes = this.#options.world.poisons.handleArrival(
+      openRequest.request.body,
+      {
+        endpoint,
+        onRunEnd: () => {
+          endpoint.finishCall();
+          reportEnd(RESET);
+        },
       },
-    });
+    );
     if (crashes) {
       return;
     }
@@ -108,51 +117,51 @@
       return;
     }
     time.after(reply.afterMs, () => {
-      endpoint.ended();
+      endpoint.finishCall();
       if (endpoint.dead || !network.reaches(endpoint, entry)) {
-        end(RESET);
+        reportEnd(RESET);
         return;
       }
-      this.#deliverReply(entry, { attempt, open, reply, end });
+      this.#deliverReply(entry, { attempt, openRequest, reply, reportEnd });
     });
   }
 
   #deliverReply(
     entry: VirtualEntry,
-    { attempt, open, reply, end }: {
+    { attempt, openRequest, reply, reportEnd }: {
       attempt: Attempt;
-      open: Open;
+      openRequest: OpenRequest;
       reply: FakeReply;
-      end: (result: AttemptEnd) => void;
+      reportEnd: (result: AttemptEnd) => void;
     },
   ): void {
     if (reply.end.kind === "answer") {
-      end({ kind: "answered", answer: storedAnswer(reply.end) });
+      reportEnd({ kind: "answered", answer: storedAnswer(reply.end) });
     } else if (reply.end.kind === "stream") {
-      entry.tell({ kind: "firstToken", attempt: attempt.id });
-      entry.tell({
+      entry.sendEvent({ kind: "firstToken", attempt: attempt.id });
+      entry.sendEvent({
         kind: "progress",
         attempt: attempt.id,
         offset: reply.end.tokens,
       });
-      const { whole } = reply.end;
-      entry.deliver(() => {
-        if (whole && this.#tools.close(attempt.request)) {
-          open.reply({ kind: "streamed" });
+      const { complete } = reply.end;
+      entry.runWhenActive(() => {
+        if (complete && this.#options.closeRequest(attempt.request)) {
+          openRequest.reply({ kind: "streamed" });
         }
       });
-      end(whole ? { kind: "streamed" } : RESET);
+      reportEnd(complete ? { kind: "streamed" } : RESET);
     } else {
-      end(RESET);
+      reportEnd(RESET);
     }
   }
 
-  #checkRuns({ key: actionKey }: CallerSend): void {
+  #checkRuns({ key: actionKey }: CallerRequest): void {
     if (actionKey !== undefined) {
-      this.#tools.world.violations.checkRuns(
-        this.#tools.world.time.now,
+      this.#options.world.violations.checkRuns(
+        this.#options.world.time.now,
         actionKey,
-        this.#tools.world.runsOf(actionKey),
+        this.#options.world.countRuns(actionKey),
       );
     }
   }
--- a/playground/src/scenario/exchanges.ts
+++ b/playground/src/scenario/exchanges.ts
@@ -1,5 +1,5 @@
 /**
- * The ways of requests in virtual time: callers to entries, entries to endpoints and to peers.
+ * Carries requests in virtual time: from callers to entries, and from entries to endpoints and peers.
  *
  * @module
  */
@@ -15,53 +15,53 @@
   sha256,
 } from "@sassafrasstep/core";
 import {
+  type CallerRequest,
   type CallerResult,
   CallerResults,
-  type CallerSend,
-  type WayEnd,
+  type RequestOutcome,
 } from "./caller_results.ts";
-import { EndpointWay } from "./endpoint_way.ts";
+import { EndpointTransport } from "./endpoint_way.ts";
 import { ANSWER_SLACK_MS } from "./violations.ts";
 import type { VirtualEntry } from "./virtual_entry.ts";
 import {
   CONNECT_REFUSED,
   CONNECT_TIMEOUT_MS,
-  endingOf,
+  createEndReporter,
   isWanted,
-  type Open,
+  type OpenRequest,
   RESET,
   storedAnswer,
 } from "./way.ts";
 import type { World } from "./world.ts";
 
-/** Carries requests. */
-export class Exchanges {
+/** Carries requests and keeps those that are still open. */
+export class RequestTransport {
   readonly #world: World;
-  readonly #open = new Map<string, Open>();
-  readonly #callers: CallerResults;
-  readonly #endpoints: EndpointWay;
-  #counter = 0;
+  readonly #openRequests = new Map<string, OpenRequest>();
+  readonly #callerResults: CallerResults;
+  readonly #endpointTransport: EndpointTransport;
+  #requestCount = 0;
 
   constructor(world: World) {
     this.#world = world;
-    this.#callers = new CallerResults(world);
-    this.#endpoints = new EndpointWay({
+    this.#callerResults = new CallerResults(world);
+    this.#endpointTransport = new EndpointTransport({
       world,
-      close: (request) => this.#open.delete(request),
+      closeRequest: (request) => this.#openRequests.delete(request),
     });
   }
 
-  /** What callers got so far. */
+  /** Results so far, by caller name. */
   get results(): ReadonlyMap<string, CallerResult> {
-    return this.#callers.byCaller;
+    return this.#callerResults.byCaller;
   }
 
-  /** A caller sends; its connection is refused by a dead entry. */
-  send(send: CallerSend): void {
-    const entry = this.#world.entry(send.entry);
+  /** Sends a caller's request. A crashed entry refuses the connection. */
+  send(request: CallerRequest): void {
+    const entry = this.#world.entry(request.entry);
     const { time, violations } = this.#world;
     if (entry === undefined || entry.dead) {
-      this.#callers.record(send, {
+      this.#callerResults.record(request, {
         status: 0,
         verdict: "not_run",
         reason: "connect refused",
@@ -69,72 +69,76 @@
       return;
     }
     const sentAt = time.now;
-    time.after(send.deadlineMs + ANSWER_SLACK_MS, () => {
+    time.after(request.deadlineMs + ANSWER_SLACK_MS, () => {
       if (
-        this.#callers.isOpen(send.name) && !entry.dead && !entry.frozen &&
-        !this.#world.wasFrozen(entry.id, sentAt)
+        this.#callerResults.isWaiting(request.name) && !entry.dead &&
+        !entry.frozen &&
+        !this.#world.wasFrozenSince(entry.id, sentAt)
       ) {
         violations.note(
           time.now,
-          `caller ${send.name} got no answer by its deadline`,
+          `caller ${request.name} got no answer by its deadline`,
         );
       }
     });
-    this.#counter++;
-    const id = `${entry.id}-${this.#counter}`;
-    this.#arrive({
+    this.#requestCount++;
+    const id = `${entry.id}-${this.#requestCount}`;
+    this.#receive({
       entry,
-      send,
-      origin: id,
+      request,
+      originId: id,
       hops: 0,
-      reply: (answer) => this.#callers.answer(send, answer),
+      reply: (outcome) => this.#callerResults.recordOutcome(request, outcome),
     }, {
       id,
       forwarded: false,
-      deadlineMs: send.deadlineMs,
+      deadlineMs: request.deadlineMs,
       resumeOffset: 0,
-      hops: send.hops,
+      hops: request.hops,
     });
   }
 
-  /** A caller hangs up. */
+  /** Closes a caller's connection and tells the entry that holds it. */
   hangUp(name: string): void {
-    this.#callers.hangUp(name);
-    for (const [id, open] of this.#open) {
-      if (open.send.name === name && open.hops === 0) {
-        open.entry.tell({ kind: "callerGone", request: id as RequestId });
+    this.#callerResults.hangUp(name);
+    for (const [id, openRequest] of this.#openRequests) {
+      if (openRequest.request.name === name && openRequest.hops === 0) {
+        openRequest.entry.sendEvent({
+          kind: "callerGone",
+          request: id as RequestId,
+        });
       }
     }
   }
 
-  /** An entry asks for the body of an open request. */
+  /** Delivers the body of an open request to the entry that asks for it. */
   readBody(entry: VirtualEntry, request: RequestId): void {
-    const open = this.#open.get(request);
-    if (open === undefined) {
+    const openRequest = this.#openRequests.get(request);
+    if (openRequest === undefined) {
       return;
     }
-    const { customer, body, service, promptTokens } = open.send;
+    const { customer, body, service, promptTokens } = openRequest.request;
     this.#world.checkHome(entry.region, { what: "body", customer });
     const facts: BodyFacts = {
       digest: sha256(`${service} ${body}`),
       promptTokens,
       blocks: [],
     };
-    entry.tell({ kind: "body", request, facts });
+    entry.sendEvent({ kind: "body", request, facts });
   }
 
-  /** An entry gives its final answer. */
+  /** Passes an entry's final answer to the request's sender. */
   finish(request: RequestId, answer: FinalAnswer): void {
-    const open = this.#open.get(request);
-    this.#open.delete(request);
-    open?.reply(answer);
+    const openRequest = this.#openRequests.get(request);
+    this.#openRequests.delete(request);
+    openRequest?.reply(answer);
   }
 
-  /** An entry makes an attempt. */
+  /** Sends an entry's attempt to an endpoint or a peer. */
   dispatch(entry: VirtualEntry, attempt: Attempt): void {
-    const open = this.#open.get(attempt.request);
-    if (open === undefined) {
-      entry.tell({
+    const openRequest = this.#openRequests.get(attempt.request);
+    if (openRequest === undefined) {
+      entry.sendEvent({
         kind: "attemptEnded",
         attempt: attempt.id,
         end: CONNECT_REFUSED,
@@ -142,40 +146,40 @@
       return;
     }
     if (attempt.target.kind === "endpoint") {
-      this.#endpoints.send(entry, {
+      this.#endpointTransport.send(entry, {
         attempt,
-        open,
+        openRequest,
         endpoint: this.#world.endpoint(attempt.target.endpoint),
       });
     } else {
-      this.#toPeer(entry, {
+      this.#sendToPeer(entry, {
         attempt,
-        open,
+        openRequest,
         peer: this.#world.entryAt(attempt.target.url),
       });
     }
   }
 
-  /** An entry that dies takes its connections with it. */
-  entryDied(entry: VirtualEntry): void {
-    for (const [id, open] of this.#open) {
-      if (open.entry === entry) {
-        this.#open.delete(id);
-        if (open.hops === 0) {
-          this.#callers.record(open.send, {
+  /** Breaks all connections to an entry that has crashed. */
+  closeConnectionsOf(entry: VirtualEntry): void {
+    for (const [id, openRequest] of this.#openRequests) {
+      if (openRequest.entry === entry) {
+        this.#openRequests.delete(id);
+        if (openRequest.hops === 0) {
+          this.#callerResults.record(openRequest.request, {
             status: 0,
             verdict: "",
             reason: "connection reset",
           });
         } else {
-          open.reply({ kind: "refused", refusal: LOST_PEER });
+          openRequest.reply({ kind: "refused", refusal: PEER_CONNECTION_LOST });
         }
       }
     }
   }
 
-  #arrive(
-    open: Open,
+  #receive(
+    openRequest: OpenRequest,
     { id, forwarded, deadlineMs, resumeOffset, hops }: {
       id: string;
       forwarded: boolean;
@@ -184,72 +188,77 @@
       hops: readonly string[];
     },
   ): void {
-    const { entry, send } = open;
-    this.#open.set(id, open);
+    const { entry, request } = openRequest;
+    this.#openRequests.set(id, openRequest);
     this.#world.violations.checkHops(this.#world.time.now, {
-      request: open.origin,
-      hops: open.hops,
+      request: openRequest.originId,
+      hops: openRequest.hops,
     });
     const head: RequestHead = {
       id: id as RequestId,
-      tokenDigest: sha256(`demo-${send.customer}`),
-      service: send.service,
-      requestClass: send.requestClass,
+      tokenDigest: sha256(`demo-${request.customer}`),
+      service: request.service,
+      requestClass: request.requestClass,
       deadline: milliseconds(deadlineMs),
-      key: send.key,
+      key: request.key,
       hops,
       forwarded,
       resumeOffset,
     };
-    entry.tell({ kind: "request", head });
+    entry.sendEvent({ kind: "request", head });
   }
 
-  #toPeer(
+  #sendToPeer(
     entry: VirtualEntry,
-    { attempt, open, peer }: {
+    { attempt, openRequest, peer }: {
       attempt: Attempt;
-      open: Open;
+      openRequest: OpenRequest;
       peer: VirtualEntry | undefined;
     },
   ): void {
     const { network, time } = this.#world;
-    const end = endingOf(entry, attempt);
+    const reportEnd = createEndReporter(entry, attempt);
     if (peer === undefined || peer.dead || !network.reaches(entry, peer)) {
       time.after(
         peer === undefined || peer.dead ? 2 : CONNECT_TIMEOUT_MS,
-        () => end(CONNECT_REFUSED),
+        () => reportEnd(CONNECT_REFUSED),
       );
       return;
     }
     const delay = network.delay(entry, peer);
-    entry.deliver(() => {
+    entry.runWhenActive(() => {
       if (!isWanted(entry, attempt)) {
         return;
       }
       this.#world.checkHome(peer.region, {
         what: "forwarded body",
-        customer: open.send.customer,
+        customer: openRequest.request.customer,
       });
       const reply = (
-        answer: WayEnd,
+        outcome: RequestOutcome,
       ): void =>
         time.after(
           delay,
           () =>
             network.reaches(peer, entry)
-              ? this.#relay(entry, { attempt, open, answer, end })
-              : end(RESET),
+              ? this.#returnOutcome(entry, {
+                attempt,
+                openRequest,
+                outcome,
+                reportEnd,
+              })
+              : reportEnd(RESET),
         );
       time.after(delay, () => {
         if (peer.dead) {
-          end(RESET);
+          reportEnd(RESET);
           return;
         }
-        this.#arrive({
+        this.#receive({
           entry: peer,
-          send: open.send,
-          origin: open.origin,
-          hops: open.hops + 1,
+          request: openRequest.request,
+          originId: openRequest.originId,
+          hops: openRequest.hops + 1,
           reply,
         }, {
           id: attempt.id,
@@ -262,43 +271,47 @@
     });
   }
 
-  #relay(
+  #returnOutcome(
     entry: VirtualEntry,
-    { attempt, open, answer, end }: {
+    { attempt, openRequest, outcome, reportEnd }: {
       attempt: Attempt;
-      open: Open;
-      answer: WayEnd;
-      end: (result: AttemptEnd) => void;
+      openRequest: OpenRequest;
+      outcome: RequestOutcome;
+      reportEnd: (result: AttemptEnd) => void;
     },
   ): void {
-    if (answer.kind === "streamed") {
-      entry.tell({ kind: "firstToken", attempt: attempt.id });
-      entry.deliver(() => {
-        if (this.#open.delete(attempt.request)) {
-          open.reply(answer);
+    if (outcome.kind === "streamed") {
+      entry.sendEvent({ kind: "firstToken", attempt: attempt.id });
+      entry.runWhenActive(() => {
+        if (this.#openRequests.delete(attempt.request)) {
+          openRequest.reply(outcome);
         }
       });
-      end({ kind: "streamed" });
-    } else if (answer.kind === "refused") {
-      if (answer.refusal === LOST_PEER) {
-        end(RESET);
+      reportEnd({ kind: "streamed" });
+    } else if (outcome.kind === "refused") {
+      if (outcome.refusal === PEER_CONNECTION_LOST) {
+        reportEnd(RESET);
         return;
       }
-      const { status, verdict, reason, retryAfter } = answer.refusal;
+      const { status, verdict, reason, retryAfter } = outcome.refusal;
       const stored = storedAnswer({ status, body: JSON.stringify({ reason }) });
-      end({
+      reportEnd({
         kind: "answered",
         answer: stored,
         verdict,
         ...(retryAfter === undefined ? {} : { retryAfter }),
       });
     } else {
-      end({ kind: "answered", answer: answer.answer, verdict: answer.verdict });
+      reportEnd({
+        kind: "answered",
+        answer: outcome.answer,
+        verdict: outcome.verdict,
+      });
     }
   }
 }
 
-const LOST_PEER = {
+const PEER_CONNECTION_LOST = {
   reason: "endpoint_failed",
   status: 0,
   detail: "",
--- a/playground/src/scenario/expectations.ts
+++ b/playground/src/scenario/expectations.ts
@@ -1,19 +1,19 @@
 /**
- * What scenarios expect.
+ * The expectations that a scenario's `expect` steps can state.
  *
  * @module
  */
 import { type Line, option, parseTime, ScriptError, word } from "./script.ts";
 import type { World } from "./world.ts";
 
-/** Checks one `expect` line; returns what is wrong, or `undefined`. */
+/** Checks one `expect` line; returns a description of the failure, or `undefined` if it holds. */
 export function checkExpectation(world: World, line: Line): string | undefined {
   const subject = word(line, 1, "a subject");
   const check = CHECKS[subject] ?? checkResult;
-  const wrong = check(world, line);
-  return wrong === undefined
+  const failure = check(world, line);
+  return failure === undefined
     ? undefined
-    : `line ${line.number} "${line.words.join(" ")}": ${wrong}`;
+    : `line ${line.number} "${line.words.join(" ")}": ${failure}`;
 }
 
 type Check = (world: World, line: Line) => string | undefined;
@@ -30,10 +30,13 @@
   poison: checkPoison,
 };
 
-/** `expect NAME[*] FIELD VALUE...`: what callers were told. */
+/**
+ * `expect NAME[*] FIELD VALUE...`: fields of callers' results. `VALUE` may list alternatives separated
+ * by `|`. `before TIME` limits the time of the answer; `expect NAME unanswered` allows none.
+ */
 function checkResult(world: World, line: Line): string | undefined {
   const name = word(line, 1, "a caller");
-  const { results } = world.exchanges;
+  const { results } = world.requests;
   const found = name.endsWith("*")
     ? [...results.values()].filter((result) =>
       result.name.startsWith(name.slice(0, -1))
@@ -69,15 +72,15 @@
   return undefined;
 }
 
-/** `expect runs KEY N`. */
+/** `expect runs KEY N`: the key ran N times. */
 function checkRuns(world: World, line: Line): string | undefined {
-  const runs = world.runsOf(world.keyNamed(word(line, 2, "a key")));
+  const runs = world.countRuns(world.idempotencyKey(word(line, 2, "a key")));
   return String(runs) === word(line, 3, "a number")
     ? undefined
     : `it ran ${runs} times`;
 }
 
-/** `expect endpoint NAME runs N`, `... model NAME`, `... callers NAME`. */
+/** `expect endpoint NAME runs N`, `... model NAME`, `... loads N`. */
 function checkEndpoint(world: World, line: Line): string | undefined {
   const endpoint = world.endpoints.get(word(line, 2, "an endpoint"));
   if (endpoint === undefined) {
@@ -98,52 +101,52 @@
     : `its ${field} is ${actual[field]}`;
 }
 
-/** `expect revision NAME|all N`. */
+/** `expect revision NAME|all N`: the entries hold configuration revision N. */
 function checkRevision(world: World, line: Line): string | undefined {
   const name = word(line, 2, "an entry or all");
   const expected = word(line, 3, "a revision");
   const entries = world.entries().filter(({ id, dead }) =>
     !dead && (name === "all" || id === name)
   );
-  const wrong = entries.filter(({ core }) =>
+  const mismatched = entries.filter(({ core }) =>
     String(core.board.configuration.revision) !== expected
   );
-  return wrong.length === 0
+  return mismatched.length === 0
     ? undefined
-    : wrong.map(({ id, core }) =>
+    : mismatched.map(({ id, core }) =>
       `${id} holds ${core.board.configuration.revision}`
     ).join(", ");
 }
 
-/** `expect newest all`: the text that the configuration service holds is in force. */
+/** `expect newest NAME|all`: the entries apply the newest text of the configuration service. */
 function checkNewest(world: World, line: Line): string | undefined {
   const name = word(line, 2, "an entry or all");
-  const wrong = world.entries().filter(({ id, dead, core }) =>
+  const mismatched = world.entries().filter(({ id, dead, core }) =>
     !dead && (name === "all" || id === name) &&
     core.board.configuration.text !== world.configuration.newest
   );
-  return wrong.length === 0
+  return mismatched.length === 0
     ? undefined
-    : `${wrong.map(({ id }) => id).join()} hold another text`;
+    : `${mismatched.map(({ id }) => id).join()} hold another text`;
 }
 
-/** `expect rejected all N`: every entry has rejected revision N. */
+/** `expect rejected all N`: all entries have rejected revision N. */
 function checkRejected(world: World, line: Line): string | undefined {
   const expected = word(line, 3, "a revision");
-  const wrong = world.entries().filter(({ dead, core }) =>
+  const mismatched = world.entries().filter(({ dead, core }) =>
     !dead &&
     String(core.board.configuration.rejected?.revision) !== expected
   );
-  return wrong.length === 0
+  return mismatched.length === 0
     ? undefined
-    : `${wrong.map(({ id }) => id).join(", ")} did not reject it`;
+    : `${mismatched.map(({ id }) => id).join(", ")} did not reject it`;
 }
 
-/** `expect calls under N a second since TIME`: calls of the configuration service. */
+/** `expect calls under N a second since TIME`: rate of calls to the configuration service. */
 function checkCalls(world: World, line: Line): string | undefined {
   const limit = Number(option(line, "under", "0"));
   const since = parseTime(line, option(line, "since", "0s"));
-  const counted = world.configuration.calls - world.callsAt(since);
+  const counted = world.configuration.calls - world.configurationCallsAt(since);
   const perSecond = counted /
     Math.max(1, (world.time.now - world.startOfScript - since) / 1_000);
   return perSecond < limit
@@ -151,7 +154,7 @@
     : `there were ${perSecond} calls a second`;
 }
 
-/** `expect entry NAME dead|live|phase`. */
+/** `expect entry NAME dead|PHASE`: the entry has crashed, or is in a phase of its lifecycle. */
 function checkEntry(world: World, line: Line): string | undefined {
   const entry = world.entry(word(line, 2, "an entry"));
   const expected = word(line, 3, "dead or a phase");
@@ -161,22 +164,27 @@
   return actual === expected ? undefined : `it is ${actual}`;
 }
 
-/** `expect poison BODY sends N ends N`: at most so many, after it had to be known and in all. */
+/**
+ * `expect poison BODY sends N ends N`: at most N sends after the time limit for its detection, and at most
+ * N crashes in total.
+ */
 function checkPoison({ poisons }: World, line: Line): string | undefined {
-  const { sends, ends } = poisons.figures(word(line, 2, "a body"));
+  const { sends, crashes } = poisons.counts(word(line, 2, "a body"));
   const tooMany = sends > Number(option(line, "sends", "Infinity")) ||
-    ends > Number(option(line, "ends", "Infinity"));
-  return tooMany ? `${sends} sends, ${ends} ends` : undefined;
+    crashes > Number(option(line, "ends", "Infinity"));
+  return tooMany
+    ? `${sends} sends after detection, ${crashes} crashes`
+    : undefined;
 }
 
-/** `expect count PREFIX FIELD VALUE at least|at most N`. */
+/** `expect count PREFIX FIELD VALUE at least|at most N`: callers with this value, by name prefix. */
 function checkCount(world: World, line: Line): string | undefined {
   const prefix = word(line, 2, "a prefix of callers");
   const [field, value] = [word(line, 3, "a field"), word(line, 4, "a value")];
   const least = Number(option(line, "least", "0"));
   const most = Number(option(line, "most", "1000000"));
   const count =
-    [...world.exchanges.results.values()].filter((result) =>
+    [...world.requests.results.values()].filter((result) =>
       result.name.startsWith(prefix) &&
       String((result as unknown as Record<string, unknown>)[field]) === value
     ).length;
--- a/playground/src/scenario/main.ts
+++ b/playground/src/scenario/main.ts
@@ -1,5 +1,5 @@
 /**
- * Runs scenario files by hand: `node playground/dist/scenario/main.js FILE...`.
+ * Runs scenario files from the command line: `node playground/dist/scenario/main.js FILE...`.
  *
  * @module
  */
--- a/playground/src/scenario/network.ts
+++ b/playground/src/scenario/network.ts
@@ -1,44 +1,44 @@
 /**
- * Delays and partitions between zones. The platform is a place of its own.
+ * Delays and partitions between zones. The platform counts as a zone and region of its own.
  *
  * @module
  */
 
-/** Where something stands. The platform has zone and region `platform`. */
+/** The zone and region of an entry, an endpoint or the platform. */
 export interface Spot {
   readonly zone: string;
   readonly region: string;
 }
 
-/** Where the platform's services stand. */
+/** Location of the platform's services. */
 export const PLATFORM: Spot = { zone: "platform", region: "platform" };
 
-const NEAR_MS = 1;
-const FAR_MS = 90;
+const SAME_REGION_DELAY_MS = 1;
+const CROSS_REGION_DELAY_MS = 90;
 
-/** Which zones reach each other. */
+/** Decides which zones can reach each other and with what delay. */
 export class Network {
-  readonly #groups: ReadonlySet<string>[] = [];
+  readonly #isolatedGroups: ReadonlySet<string>[] = [];
 
-  /** Cuts the zones of a group off from everything else. */
+  /** Disconnects a group of zones from all others. Zones of the group still reach each other. */
   isolate(zones: readonly string[]): void {
-    this.#groups.push(new Set(zones));
+    this.#isolatedGroups.push(new Set(zones));
   }
 
   heal(): void {
-    this.#groups.length = 0;
+    this.#isolatedGroups.length = 0;
   }
 
   reaches(from: Spot, to: Spot): boolean {
-    return this.#groups.every((group) =>
+    return this.#isolatedGroups.every((group) =>
       group.has(from.zone) === group.has(to.zone)
     );
   }
 
-  /** One way, in milliseconds. */
+  /** One-way delay in milliseconds. */
   delay(from: Spot, to: Spot): number {
     return from.region === to.region || from === PLATFORM || to === PLATFORM
-      ? NEAR_MS
-      : FAR_MS;
+      ? SAME_REGION_DELAY_MS
+      : CROSS_REGION_DELAY_MS;
   }
 }
--- a/playground/src/scenario/platform_fakes.ts
+++ b/playground/src/scenario/platform_fakes.ts
@@ -1,47 +1,50 @@
 /**
- * Fakes of the platform, in virtual time.
+ * Fakes of the platform's services, in virtual time.
  *
  * @module
  */
 import type { ListedVm, Revision } from "@sassafrasstep/core";
 
-/** How the fake configuration service behaves. `backwards` serves ever older revisions. */
-export type FakeMode = "normal" | "outage" | "stale" | "backwards";
+/**
+ * How the fake configuration service behaves: `stale` always serves revision 1, `backwards` an older
+ * revision at each read.
+ */
+export type FakeConfigurationMode = "normal" | "outage" | "stale" | "backwards";
 
-/** Texts by revision. */
+/** Configuration service that keeps all published texts; revision N is the Nth text. */
 export class FakeConfiguration {
-  mode: FakeMode = "normal";
+  mode: FakeConfigurationMode = "normal";
   calls = 0;
   readonly #texts: string[] = [];
   readonly #watchers = new Set<() => void>();
-  #backwards = 0;
+  #backwardsReads = 0;
 
   get revision(): number {
     return this.#texts.length;
   }
 
-  /** The newest text. */
+  /** The newest published text. */
   get newest(): string {
     return this.#texts.at(-1) ?? "";
   }
 
   publish(text: string): void {
     this.#texts.push(text);
-    this.wake();
+    this.wakeWatchers();
   }
 
-  /** Comes back from a copy: later revisions are lost, and given out again. */
+  /** Restores a backup: later revisions are lost, and their numbers are assigned again. */
   restore(revision: number): void {
     this.#texts.length = revision;
-    this.wake();
+    this.wakeWatchers();
   }
 
-  /** What a read gets now, `undefined` in an outage. */
+  /** The result of a read now; `undefined` during an outage or before the first publication. */
   read(): { revision: Revision; text: string } | undefined {
     if (this.mode === "outage" || this.#texts.length === 0) {
       return undefined;
     }
-    const revision = this.#shownRevision();
+    const revision = this.#servedRevision();
     return { revision: revision as Revision, text: this.#texts[revision - 1]! };
   }
 
@@ -50,25 +53,25 @@
     return () => this.#watchers.delete(wake);
   }
 
-  wake(): void {
+  wakeWatchers(): void {
     [...this.#watchers].forEach((wake) => wake());
   }
 
-  #shownRevision(): number {
+  #servedRevision(): number {
     if (this.mode === "stale") {
       return 1;
     }
     if (this.mode === "backwards") {
-      this.#backwards++;
-      return Math.max(1, this.#texts.length - this.#backwards);
+      this.#backwardsReads++;
+      return Math.max(1, this.#texts.length - this.#backwardsReads);
     }
     return this.#texts.length;
   }
 }
 
-/** The list of VMs, published after a lag. */
+/** The platform's VM list, which shows changes after a lag. */
 export class FakeVmList {
-  lag = 200;
+  lagMs = 200;
   frozenAt: number | undefined;
   down = false;
   empty = false;
@@ -81,10 +84,10 @@
     this.#versions.push({ at: now, vms });
   }
 
-  /** What is published at `now`. */
+  /** The list that readers see at `now`. */
   read(now: number): readonly ListedVm[] {
-    const horizon = this.frozenAt ?? now - this.lag;
-    const visible = this.#versions.filter(({ at }) => at <= horizon);
+    const publishedUntil = this.frozenAt ?? now - this.lagMs;
+    const visible = this.#versions.filter(({ at }) => at <= publishedUntil);
     return (visible.at(-1) ?? this.#versions[0])!.vms;
   }
 }
--- a/playground/src/scenario/platform_way.ts
+++ b/playground/src/scenario/platform_way.ts
@@ -1,5 +1,6 @@
 /**
- * What entries ask of the platform and of endpoints beside requests, in virtual time.
+ * Carries entries' calls to the platform, and their load polls and model orders to endpoints, in virtual
+ * time.
  *
  * @module
  */
@@ -12,15 +13,15 @@
 const POLL_TIMEOUT_MS = 1_000;
 const PLATFORM_TIMEOUT_MS = 3_000;
 
-/** Carries questions and orders. */
-export class PlatformWay {
+/** Carries calls to the platform and control calls to endpoints. */
+export class PlatformTransport {
   readonly #world: World;
 
   constructor(world: World) {
     this.#world = world;
   }
 
-  /** Reads the configuration service, or waits for news. */
+  /** Reads the configuration, or waits for a revision newer than `after`. */
   readConfiguration(
     entry: VirtualEntry,
     { after, wait }: Extract<Effect, { kind: "readConfiguration" }>,
@@ -29,7 +30,7 @@
     if (!network.reaches(entry, PLATFORM)) {
       time.after(
         PLATFORM_TIMEOUT_MS,
-        () => entry.tell({ kind: "configurationFailed" }),
+        () => entry.sendEvent({ kind: "configurationFailed" }),
       );
       return;
     }
@@ -61,37 +62,37 @@
     if (
       published === undefined || !this.#world.network.reaches(PLATFORM, entry)
     ) {
-      entry.tell({ kind: "configurationFailed" });
+      entry.sendEvent({ kind: "configurationFailed" });
     } else if (wait && published.revision === after) {
-      entry.tell({ kind: "configurationUnchanged" });
+      entry.sendEvent({ kind: "configurationUnchanged" });
     } else {
-      entry.tell({ kind: "configurationRead", ...published });
+      entry.sendEvent({ kind: "configurationRead", ...published });
     }
   }
 
-  /** Reads the list of VMs. */
+  /** Reads the VM list. */
   listVms(entry: VirtualEntry): void {
     const down = this.#world.vmList.down ||
       !this.#world.network.reaches(entry, PLATFORM);
     this.#world.time.after(down ? PLATFORM_TIMEOUT_MS : 1, () => {
       if (down) {
-        entry.tell({ kind: "vmListFailed" });
+        entry.sendEvent({ kind: "vmListFailed" });
         return;
       }
       const vms = this.#world.vmList.empty
         ? []
         : this.#world.vmList.read(this.#world.time.now);
       for (const { id } of vms.filter(({ state }) => state === "leaving")) {
-        this.#world.endpoints.get(id)?.noteSign(
+        this.#world.endpoints.get(id)?.recordLeavingNotice(
           entry.zone,
           this.#world.time.now,
         );
       }
-      entry.tell({ kind: "vmsListed", vms });
+      entry.sendEvent({ kind: "vmsListed", vms });
     });
   }
 
-  /** Asks an endpoint for its load. */
+  /** Polls an endpoint's load. */
   pollLoad(
     entry: VirtualEntry,
     { endpoint: id }: Extract<Effect, { kind: "pollLoad" }>,
@@ -103,16 +104,16 @@
     ) {
       this.#world.time.after(
         POLL_TIMEOUT_MS,
-        () => entry.tell({ kind: "loadFailed", endpoint: id }),
+        () => entry.sendEvent({ kind: "loadFailed", endpoint: id }),
       );
       return;
     }
     this.#world.time.after(2, () => {
       const report = endpoint.report();
       if (report.draining) {
-        endpoint.noteSign(entry.zone, this.#world.time.now);
+        endpoint.recordLeavingNotice(entry.zone, this.#world.time.now);
       }
-      entry.tell({ kind: "load", endpoint: id, report });
+      entry.sendEvent({ kind: "load", endpoint: id, report });
     });
   }
 
@@ -126,7 +127,11 @@
       this.#world.network.reaches(entry, endpoint);
     this.#world.time.after(this.#world.orderDelayMs, () => {
       const accepted = reached && endpoint.order(order, this.#world.time.now);
-      entry.tell({ kind: "orderDone", endpoint: order.endpoint, accepted });
+      entry.sendEvent({
+        kind: "orderDone",
+        endpoint: order.endpoint,
+        accepted,
+      });
     });
   }
 }
--- a/playground/src/scenario/poisons.ts
+++ b/playground/src/scenario/poisons.ts
@@ -1,25 +1,25 @@
 /**
- * Bodies that crash each endpoint that runs them, and what became of them.
+ * Poison bodies: request bodies that crash every endpoint that runs them.
  *
  * @module
  */
 import type { FakeEndpoint } from "./endpoint_fakes.ts";
 import type { World } from "./world.ts";
 
-/** Such a body must be known for what it is this long after the third end. */
-const SETTLE_MS = 6_000;
-const ENDS_TO_KNOW = 3;
+/** Time after the third crash by which the gateway must have detected a poison body. */
+const DETECTION_LIMIT_MS = 6_000;
+const CRASHES_TO_DETECT = 3;
 
 interface Poison {
-  /** From the start of a run to its end. */
-  readonly after: number;
-  /** Until the endpoint runs again. */
-  readonly down: number;
-  readonly ends: number[];
-  readonly arrivals: number[];
+  /** Time from the body's arrival to the crash. */
+  readonly crashAfterMs: number;
+  /** Time until the crashed endpoint runs again. */
+  readonly downtimeMs: number;
+  readonly crashTimes: number[];
+  readonly arrivalTimes: number[];
 }
 
-/** Keeps the bodies of a scenario. */
+/** Keeps a scenario's poison bodies and counts their arrivals and crashes. */
 export class Poisons {
   readonly #world: World;
   readonly #poisons = new Map<string, Poison>();
@@ -28,45 +28,57 @@
     this.#world = world;
   }
 
-  add(body: string, { after, down }: { after: number; down: number }): void {
-    this.#poisons.set(body, { after, down, ends: [], arrivals: [] });
+  add(
+    body: string,
+    { crashAfterMs, downtimeMs }: { crashAfterMs: number; downtimeMs: number },
+  ): void {
+    this.#poisons.set(body, {
+      crashAfterMs,
+      downtimeMs,
+      crashTimes: [],
+      arrivalTimes: [],
+    });
   }
 
-  /** A body reaches an endpoint; returns whether it crashes it, and calls `ended` when it has. */
-  strikes(
+  /**
+   * Records a body that arrives at an endpoint. Returns whether it is poison; `onRunEnd` is then called once
+   * the endpoint has crashed.
+   */
+  handleArrival(
     body: string,
-    { endpoint, ended }: { endpoint: FakeEndpoint; ended: () => void },
+    { endpoint, onRunEnd }: { endpoint: FakeEndpoint; onRunEnd: () => void },
   ): boolean {
     const poison = this.#poisons.get(body);
     if (poison === undefined) {
       return false;
     }
     const { time } = this.#world;
-    poison.arrivals.push(time.now);
-    time.after(poison.after, () => {
+    poison.arrivalTimes.push(time.now);
+    time.after(poison.crashAfterMs, () => {
       if (!endpoint.dead) {
-        poison.ends.push(time.now);
+        poison.crashTimes.push(time.now);
         this.#crash(endpoint, poison);
       }
-      ended();
+      onRunEnd();
     });
     return true;
   }
 
-  /** Sends of a body to endpoints later than it had to be known, and endpoints that it ended. */
-  figures(body: string): { sends: number; ends: number } {
-    const { ends, arrivals } = this.#poisons.get(body)!;
-    const known = (ends[ENDS_TO_KNOW - 1] ?? Infinity) + SETTLE_MS;
+  /** Counts a body's sends to endpoints after its detection was due, and all crashes that it caused. */
+  counts(body: string): { sends: number; crashes: number } {
+    const { crashTimes, arrivalTimes } = this.#poisons.get(body)!;
+    const detectionDeadline = (crashTimes[CRASHES_TO_DETECT - 1] ?? Infinity) +
+      DETECTION_LIMIT_MS;
     return {
-      sends: arrivals.filter((at) => at > known).length,
-      ends: ends.length,
+      sends: arrivalTimes.filter((at) => at > detectionDeadline).length,
+      crashes: crashTimes.length,
     };
   }
 
-  #crash(endpoint: FakeEndpoint, { down }: Poison): void {
+  #crash(endpoint: FakeEndpoint, { downtimeMs }: Poison): void {
     endpoint.dead = true;
     this.#world.publishVms();
-    this.#world.time.after(down, () => {
+    this.#world.time.after(downtimeMs, () => {
       endpoint.dead = false;
       this.#world.publishVms();
     });
--- a/playground/src/scenario/run_scenario.ts
+++ b/playground/src/scenario/run_scenario.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { act, type Stage } from "./actions.ts";
+import { runAction, type ScenarioContext } from "./actions.ts";
 import { FakeEndpoint } from "./endpoint_fakes.ts";
 import { checkExpectation } from "./expectations.ts";
 import type { Spot } from "./network.ts";
@@ -21,48 +21,54 @@
 import { ScenarioText } from "./scenario_text.ts";
 import { World } from "./world.ts";
 
-/** What a run came to: nothing wrong, or what. */
+/** Result of a run. `failures` is empty if all expectations and invariants held. */
 export interface ScenarioOutcome {
   readonly title: string;
   readonly failures: readonly string[];
   readonly world: World;
 }
 
-const START_MS = 3_000;
-const TAIL_MS = 1_000;
+const WARM_UP_MS = 3_000;
+const SETTLE_MS = 1_000;
 
-/** How a script is run. */
+/** Options of a scenario run. */
 export interface ScenarioOptions {
   readonly seed?: number;
-  /** Lines of settings that `use NAME` stands for. */
+  /** Loads the text of the setting that `use NAME` includes. */
   readonly loadSetting?: (name: string) => string;
 }
 
-/** Runs a script from its start to a second after its last step. Steps begin at 0 when all is warm. */
+/**
+ * Runs a script until one second after its last step. Time 0 of the steps is after a warm-up, when all
+ * entries are ready.
+ */
 export function runScenario(
   text: string,
   { seed = 1, loadSetting = () => "" }: ScenarioOptions = {},
 ): ScenarioOutcome {
   const script = parseScript(text);
-  const stage: Stage = { world: new World(seed), text: new ScenarioText() };
-  const { world } = stage;
+  const context: ScenarioContext = {
+    world: new World(seed),
+    text: new ScenarioText(),
+  };
+  const { world } = context;
   const setting = settingOf(script, loadSetting);
-  prepare(stage, setting);
-  world.time.runUntil(START_MS);
-  world.startOfScript = START_MS;
+  buildWorld(context, setting);
+  world.time.runUntil(WARM_UP_MS);
+  world.startOfScript = WARM_UP_MS;
   const failures = runSteps(script.steps, {
     time: world.time,
-    startAt: START_MS,
+    startAt: WARM_UP_MS,
     act: (step) => {
-      world.noteCalls();
-      act(stage, step);
+      world.recordConfigurationCalls();
+      runAction(context, step);
     },
     check: (step) => {
-      world.noteCalls();
+      world.recordConfigurationCalls();
       return checkExpectation(world, step);
     },
   });
-  world.time.runUntil(world.time.now + TAIL_MS);
+  world.time.runUntil(world.time.now + SETTLE_MS);
   return {
     title: script.title,
     failures: [...failures, ...world.violations.found],
@@ -70,21 +76,24 @@
   };
 }
 
-/** Builds a world from the lines before the steps. */
-export function prepare(stage: Stage, setting: readonly Line[]): void {
-  const spots = new Map<string, Spot>();
-  const { world, text } = stage;
+/** Sets up the world from the setting lines. */
+export function buildWorld(
+  context: ScenarioContext,
+  setting: readonly Line[],
+): void {
+  const locations = new Map<string, Spot>();
+  const { world, text } = context;
   const regions = setting.filter(({ words }) => words[0] === "region").map((
     line,
   ) => word(line, 1, "a region"));
   addDefaultServices(text, regions);
   for (const line of setting) {
-    setUp(stage, line, spots);
+    applySettingLine(context, line, locations);
   }
   world.configuration.publish(text.toString());
   world.publishVms();
   for (const line of setting.filter(({ words }) => words[0] === "entry")) {
-    world.startEntry(word(line, 1, "a name"), spotOf(spots, line));
+    world.startEntry(word(line, 1, "a name"), zoneLocation(locations, line));
   }
 }
 
@@ -106,16 +115,16 @@
   });
 }
 
-function setUp(
-  { world, text }: Stage,
+function applySettingLine(
+  { world, text }: ScenarioContext,
   line: Line,
-  spots: Map<string, Spot>,
+  locations: Map<string, Spot>,
 ): void {
   const [kind, name = ""] = line.words;
   switch (kind) {
     case "region": {
       const zones = line.words.slice(2);
-      zones.forEach((zone) => spots.set(zone, { zone, region: name }));
+      zones.forEach((zone) => locations.set(zone, { zone, region: name }));
       text.set(`region ${name}`, { zones: zones.join(", ") });
       return;
     }
@@ -140,7 +149,7 @@
     case "engine":
     case "plain":
       world.addEndpoint(
-        makeEndpoint(line, { kind, spot: spotOf(spots, line) }),
+        makeEndpoint(line, { kind, location: zoneLocation(locations, line) }),
       );
       return;
     case "entry":
@@ -155,9 +164,9 @@
 
 function makeEndpoint(
   line: Line,
-  { kind, spot }: { kind: "engine" | "plain"; spot: Spot },
+  { kind, location }: { kind: "engine" | "plain"; location: Spot },
 ): FakeEndpoint {
-  return new FakeEndpoint(spot, {
+  return new FakeEndpoint(location, {
     id: word(line, 1, "a name"),
     kind,
     pool: word(line, 3, "a pool or service"),
@@ -168,10 +177,10 @@
   });
 }
 
-function spotOf(spots: ReadonlyMap<string, Spot>, line: Line): Spot {
-  const spot = spots.get(word(line, 2, "a zone"));
-  if (spot === undefined) {
+function zoneLocation(locations: ReadonlyMap<string, Spot>, line: Line): Spot {
+  const location = locations.get(word(line, 2, "a zone"));
+  if (location === undefined) {
     throw new ScriptError(line, "a zone of a region above");
   }
-  return spot;
+  return location;
 }
--- a/playground/src/scenario/run_steps.ts
+++ b/playground/src/scenario/run_steps.ts
@@ -1,32 +1,32 @@
 /**
- * The steps of a script, played under virtual time.
+ * Runs the steps of a script in virtual time.
  *
  * @module
  */
 import type { TimedLine } from "./script.ts";
 import type { VirtualTime } from "./virtual_time.ts";
 
-/** How a language plays its steps. */
-export interface StepPlay {
+/** How the steps of a script language are run. */
+export interface RunStepsOptions {
   readonly time: VirtualTime;
-  /** Virtual time of the steps' own zero, in milliseconds. */
+  /** Virtual time of the steps' time 0, in milliseconds. */
   readonly startAt: number;
   readonly act: (step: TimedLine) => void;
-  /** What an expectation finds wrong, `undefined` for nothing. */
+  /** Checks an expectation; returns a description of the failure, or `undefined` if it holds. */
   readonly check: (step: TimedLine) => string | undefined;
 }
 
-/** Plays steps in their order; what expectations found wrong. */
+/** Runs steps in order; returns the failures of their expectations. */
 export function runSteps(
   steps: readonly TimedLine[],
-  { time, startAt, act, check }: StepPlay,
+  { time, startAt, act, check }: RunStepsOptions,
 ): string[] {
   const failures: string[] = [];
   for (const step of steps) {
     time.runUntil(startAt + step.at);
     if (step.words[0] === "expect") {
-      const wrong = check(step);
-      wrong === undefined || failures.push(wrong);
+      const failure = check(step);
+      failure === undefined || failures.push(failure);
     } else {
       act(step);
     }
--- a/playground/src/scenario/scenario_text.ts
+++ b/playground/src/scenario/scenario_text.ts
@@ -1,14 +1,14 @@
 /**
- * The operators' text of a scenario, changed step by step.
+ * The operators' configuration text of a scenario, which its steps edit.
  *
  * @module
  */
 import { sha256 } from "@sassafrasstep/core";
 
-/** One section of INI. */
+/** Keys and values of one INI section. */
 type Section = Record<string, string>;
 
-/** Builds texts. */
+/** Builds a configuration text in INI format. */
 export class ScenarioText {
   readonly #sections = new Map<string, Section>([
     ["deployment", {
@@ -19,7 +19,7 @@
     }],
   ]);
 
-  /** Sets keys of a section. */
+  /** Sets keys of a section and keeps its other keys. */
   set(section: string, keys: Section): void {
     this.#sections.set(section, { ...this.#sections.get(section), ...keys });
   }
--- a/playground/src/scenario/script.ts
+++ b/playground/src/scenario/script.ts
@@ -1,9 +1,9 @@
 /**
- * The scenario language: one step a line.
+ * Parser of the scenario language, which has one statement per line.
  *
  * - `region NAME ZONE...`, `entry NAME ZONE`, `customer NAME home REGION [free] [rate N]`
  * - `service NAME KEY=VALUE...`, `engine NAME ZONE SERVICE [OPTION VALUE]...`, `plain NAME ZONE SERVICE ...`
- * - `use NAME`: the lines of `NAME.setting`
+ * - `use NAME`: includes the lines of `NAME.setting`
  * - `epoch TIME`, `deployment KEY=VALUE...`
  * - `at TIME ACTION...` and `at TIME expect ...`
  *
@@ -18,19 +18,19 @@
   readonly words: readonly string[];
 }
 
-/** A step at a time. */
+/** A step and the time at which it runs, in milliseconds. */
 export interface TimedLine extends Line {
   readonly at: number;
 }
 
-/** A read script. */
+/** A parsed script. `setting` holds the lines that are not steps. */
 export interface Script {
   readonly title: string;
   readonly setting: readonly Line[];
   readonly steps: readonly TimedLine[];
 }
 
-/** A line that makes no sense. */
+/** A line that cannot be parsed. */
 export class ScriptError extends Error {
   override readonly name = "ScriptError";
 
@@ -45,7 +45,7 @@
 
 const UNITS: Readonly<Record<string, number>> = { ms: 1, s: 1_000, m: 60_000 };
 
-/** Splits a text into its setting and its steps in order of time. */
+/** Parses a text into its setting and its steps, sorted by time. */
 export function parseScript(text: string): Script {
   const lines = text.split("\n").map((raw, index): Line => ({
     number: index + 1,
@@ -72,7 +72,7 @@
   };
 }
 
-/** Milliseconds of a time. */
+/** Converts a time such as `3s` to milliseconds. */
 export function parseTime(line: Line, text: string | undefined): number {
   const match = /^(\d+(?:\.\d+)?)(ms|s|m)$/.exec(text ?? "");
   if (match === null) {
@@ -81,13 +81,15 @@
   return Number(match[1]) * UNITS[match[2]!]!;
 }
 
-/** The word after `name`, or a default. */
-export function option(line: Line, name: string, otherwise: string): string {
+/** Returns the word after `name`, or a default if `name` is absent. */
+export function option(line: Line, name: string, defaultValue: string): string {
   const index = line.words.indexOf(name);
-  return index < 0 ? otherwise : word(line, index + 1, `a value after ${name}`);
+  return index < 0
+    ? defaultValue
+    : word(line, index + 1, `a value after ${name}`);
 }
 
-/** A word by its place. */
+/** Returns the word at an index; throws if it is missing. */
 export function word(line: Line, index: number, expected: string): string {
   const found = line.words[index];
   if (found === undefined) {
@@ -96,7 +98,7 @@
   return found;
 }
 
-/** All `key=value` words. */
+/** Parses all `key=value` words. A comma in a value becomes a comma and a space. */
 export function pairs(line: Line): Record<string, string> {
   const found = line.words.filter((item) => item.includes("=")).map(
     (item): [string, string] => {
@@ -107,7 +109,7 @@
   return Object.fromEntries(found);
 }
 
-/** The lines before the steps, with those that `use NAME` stands for. */
+/** Returns the setting lines, with each `use NAME` replaced by the lines of that setting. */
 export function settingOf(
   script: Script,
   loadSetting: (name: string) => string,
--- a/playground/src/scenario/violations.ts
+++ b/playground/src/scenario/violations.ts
@@ -1,24 +1,24 @@
 /**
- * What must hold in every scenario, whatever it is about. A breach is noted when it happens.
+ * Invariants that must hold in every scenario. Violations are recorded when they occur.
  *
  * @module
  */
 
 /** Time within which a leaving endpoint must stop getting new work. */
 export const LEAVING_LIMIT_MS = 3_000;
-/** How long after its deadline a caller may wait for a final answer, ticks and transfers included. */
+/** How long after its deadline a caller may wait for a final answer; allows for ticks and network delay. */
 export const ANSWER_SLACK_MS = 300;
 
-/** Breaches of the points that must always hold. */
+/** Collects violations of the invariants. */
 export class Violations {
   readonly found: string[] = [];
 
-  /** Notes a breach. */
+  /** Records a violation. */
   note(now: number, text: string): void {
     this.found.push(`${now} ms: ${text}`);
   }
 
-  /** Data of a bound customer outside its home. */
+  /** Checks that data of a customer bound to its home region did not reach another region. */
   checkHome(
     now: number,
     { what, customer, home, region }: Record<
@@ -29,27 +29,30 @@
     if (home !== region) {
       this.note(
         now,
-        `${what} of "${customer}", bound to ${home}, came to ${region}`,
+        `${what} of "${customer}", bound to ${home}, reached ${region}`,
       );
     }
   }
 
-  /** New work from a zone that was told long ago that the endpoint leaves. */
+  /**
+   * Checks that a leaving endpoint gets no new work from a zone that was told more than `LEAVING_LIMIT_MS`
+   * ago that it is leaving.
+   */
   checkLeaving(
     now: number,
-    { id, signs, zone }: {
+    { id, leavingNoticeTimes, zone }: {
       id: string;
-      signs: ReadonlyMap<string, number>;
+      leavingNoticeTimes: ReadonlyMap<string, number>;
       zone: string;
     },
   ): void {
-    const since = signs.get(zone);
+    const since = leavingNoticeTimes.get(zone);
     if (since !== undefined && now - since > LEAVING_LIMIT_MS) {
       this.note(
         now,
         `endpoint ${id} got new work ${
           now - since
-        } ms after ${zone} was told that it leaves`,
+        } ms after ${zone} was told that it is leaving`,
       );
     }
   }
--- a/playground/src/scenario/virtual_entry.ts
+++ b/playground/src/scenario/virtual_entry.ts
@@ -1,5 +1,5 @@
 /**
- * One entry in virtual time: a core, a clock of its own, and a mailbox that fills while it is frozen.
+ * An entry in virtual time: a core with its own clock, and a mailbox that queues events while it is frozen.
  *
  * @module
  */
@@ -20,17 +20,17 @@
 import type { World } from "./world.ts";
 
 const TICK_MS = 25;
-/** Clocks of two entries differ by far, so that comparing them would show. */
-const CLOCK_SPREAD_MS = 10_000_000;
+/** Entries' clocks differ by up to this much, so that comparing times of two entries causes visible errors. */
+const MAX_CLOCK_OFFSET_MS = 10_000_000;
 
-/** How an entry is made. */
-export interface EntryPlan extends Spot {
+/** Identity, location and random seed of an entry. */
+export interface EntryOptions extends Spot {
   readonly id: string;
   readonly incarnation: string;
   readonly seed: number;
 }
 
-/** A running entry. */
+/** A simulated entry. */
 export class VirtualEntry implements Spot {
   readonly id: string;
   readonly zone: string;
@@ -44,20 +44,20 @@
   #mailbox: (() => void)[] = [];
   #revision = 0;
 
-  constructor(world: World, plan: EntryPlan) {
+  constructor(world: World, options: EntryOptions) {
     this.#world = world;
-    this.id = plan.id;
-    this.zone = plan.zone;
-    this.region = plan.region;
-    this.incarnation = plan.incarnation;
-    const random = new SeededRandomness(plan.seed);
-    this.#clockOffset = Math.floor(random.next() * CLOCK_SPREAD_MS);
+    this.id = options.id;
+    this.zone = options.zone;
+    this.region = options.region;
+    this.incarnation = options.incarnation;
+    const random = new SeededRandomness(options.seed);
+    this.#clockOffset = Math.floor(random.next() * MAX_CLOCK_OFFSET_MS);
     this.core = new Core({
       self: {
-        id: plan.id as EntryId,
-        incarnation: plan.incarnation as Incarnation,
-        zone: plan.zone as ZoneId,
-        region: plan.region as RegionId,
+        id: options.id as EntryId,
+        incarnation: options.incarnation as Incarnation,
+        zone: options.zone as ZoneId,
+        region: options.region as RegionId,
         url: this.url,
         controlUrl: this.controlUrl,
         deployment: world.deploymentName,
@@ -78,13 +78,13 @@
     return `http://${this.id}:control`;
   }
 
-  /** The entry's own clock. */
+  /** Current time on the entry's own clock. */
   now(): Instant {
     return instant(this.#world.time.now + this.#clockOffset);
   }
 
-  /** Delivers something: at once, after thawing, or never. */
-  deliver(run: () => void): void {
+  /** Runs a callback: at once, after a thaw if the entry is frozen, or never if it has crashed. */
+  runWhenActive(run: () => void): void {
     if (this.dead) {
       return;
     }
@@ -95,13 +95,13 @@
     }
   }
 
-  /** Hands an event to the core and its effects to the world. */
-  tell(event: CoreEvent): void {
-    this.deliver(() => this.#handle(event));
+  /** Sends an event to the core when the entry is active; the world applies the resulting effects. */
+  sendEvent(event: CoreEvent): void {
+    this.runWhenActive(() => this.#handle(event));
   }
 
-  /** Runs an event now and returns the effects, which are also carried out. */
-  ask(event: CoreEvent): readonly Effect[] {
+  /** Handles an event immediately and returns its effects, which the world also applies. */
+  handleNow(event: CoreEvent): readonly Effect[] {
     return this.#handle(event);
   }
 
@@ -111,18 +111,18 @@
 
   thaw(): void {
     this.frozen = false;
-    const waiting = this.#mailbox;
+    const pending = this.#mailbox;
     this.#mailbox = [];
     if (!this.dead) {
       this.#handle({ kind: "tick" });
     }
-    waiting.forEach((run) => this.deliver(run));
+    pending.forEach((run) => this.runWhenActive(run));
   }
 
   #handle(event: CoreEvent): readonly Effect[] {
     const effects = this.core.handle(event, this.now());
     this.#checkRevision();
-    effects.forEach((effect) => this.#world.carryOut(this, effect));
+    effects.forEach((effect) => this.#world.applyEffect(this, effect));
     return effects;
   }
 
--- a/playground/src/scenario/virtual_time.ts
+++ b/playground/src/scenario/virtual_time.ts
@@ -1,48 +1,48 @@
 /**
- * Virtual time: what is due runs in order, and nothing waits.
+ * Virtual time: scheduled tasks run in order of their time, without real waiting.
  *
  * @module
  */
 
-interface Due {
+interface ScheduledTask {
   readonly at: number;
-  readonly order: number;
+  readonly sequence: number;
   readonly run: () => void;
 }
 
-/** A clock that only moves when everything due before has run. */
+/** A clock that advances from one scheduled task to the next. Tasks of the same time run in order of scheduling. */
 export class VirtualTime {
   #now = 0;
-  #order = 0;
-  readonly #heap: Due[] = [];
+  #sequence = 0;
+  readonly #heap: ScheduledTask[] = [];
 
   get now(): number {
     return this.#now;
   }
 
-  /** Runs something `delay` milliseconds from now. */
+  /** Schedules a task `delay` milliseconds from now. */
   after(delay: number, run: () => void): void {
     this.at(this.#now + Math.max(0, delay), run);
   }
 
   at(at: number, run: () => void): void {
-    this.#order++;
-    this.#push({ at, order: this.#order, run });
+    this.#sequence++;
+    this.#push({ at, sequence: this.#sequence, run });
   }
 
-  /** Runs all that is due up to `until`. */
+  /** Runs all tasks that are due by `until` and advances the clock to it. */
   runUntil(until: number): void {
     while (this.#heap.length > 0 && this.#heap[0]!.at <= until) {
-      const due = this.#pop();
-      this.#now = due.at;
-      due.run();
+      const task = this.#pop();
+      this.#now = task.at;
+      task.run();
     }
     this.#now = until;
   }
 
-  #push(due: Due): void {
+  #push(task: ScheduledTask): void {
     const heap = this.#heap;
-    let index = heap.push(due) - 1;
+    let index = heap.push(task) - 1;
     while (index > 0) {
       const parent = (index - 1) >> 1;
       if (isBefore(heap[parent]!, heap[index]!)) {
@@ -53,18 +53,18 @@
     }
   }
 
-  #pop(): Due {
+  #pop(): ScheduledTask {
     const heap = this.#heap;
     const first = heap[0]!;
     const last = heap.pop()!;
     if (heap.length > 0) {
       heap[0] = last;
-      this.#sink();
+      this.#siftDown();
     }
     return first;
   }
 
-  #sink(): void {
+  #siftDown(): void {
     const heap = this.#heap;
     let index = 0;
     while (true) {
@@ -84,7 +84,7 @@
   }
 }
 
-function isBefore(left: Due, right: Due): boolean {
+function isBefore(left: ScheduledTask, right: ScheduledTask): boolean {
   return left.at < right.at ||
-    (left.at === right.at && left.order < right.order);
+    (left.at === right.at && left.sequence < right.sequence);
 }
--- a/playground/src/scenario/way.ts
+++ b/playground/src/scenario/way.ts
@@ -1,33 +1,33 @@
 /**
- * What the ways of requests in virtual time share.
+ * Types and helpers that the transports for requests share.
  *
  * @module
  */
 import type { Attempt, AttemptEnd, StoredAnswer } from "@sassafrasstep/core";
-import type { CallerSend, WayEnd } from "./caller_results.ts";
+import type { CallerRequest, RequestOutcome } from "./caller_results.ts";
 import type { VirtualEntry } from "./virtual_entry.ts";
 
-/** Where a request that an entry works on came from. */
-export interface Open {
+/** A request that an entry is working on, and the way back to its sender. */
+export interface OpenRequest {
   readonly entry: VirtualEntry;
-  readonly send: CallerSend;
-  /** Id at the first entry. */
-  readonly origin: string;
+  readonly request: CallerRequest;
+  /** The id that the first entry assigned to the request. */
+  readonly originId: string;
   readonly hops: number;
-  readonly reply: (answer: WayEnd) => void;
+  readonly reply: (outcome: RequestOutcome) => void;
 }
 
-/** No connection came about. */
+/** The connection could not be established. */
 export const CONNECT_REFUSED: AttemptEnd = {
   kind: "unsent",
   detail: "connect refused",
 };
-/** How long an attempt waits for one that hangs. */
+/** How long an attempt waits for a connection that is not established. */
 export const CONNECT_TIMEOUT_MS = 1_000;
 /** The connection broke after the attempt was sent. */
 export const RESET: AttemptEnd = { kind: "lost", detail: "reset" };
 
-/** An answer as entries keep it. */
+/** Converts an answer to the form in which entries store it. */
 export function storedAnswer(
   { status, body }: { status: number; body: string },
 ): StoredAnswer {
@@ -38,16 +38,16 @@
   };
 }
 
-/** Whether an entry still wants an attempt whose connection stands. */
+/** Whether an entry still wants an attempt to be sent now that its connection is established. */
 export function isWanted(entry: VirtualEntry, { id }: Attempt): boolean {
-  return entry.ask({ kind: "commit", attempt: id })
+  return entry.handleNow({ kind: "commit", attempt: id })
     .some(({ kind }) => kind === "proceed");
 }
 
-/** Tells an entry how an attempt ended. */
-export function endingOf(
+/** Returns a function that reports to an entry how an attempt ended. */
+export function createEndReporter(
   entry: VirtualEntry,
   { id }: Attempt,
 ): (end: AttemptEnd) => void {
-  return (end) => entry.tell({ kind: "attemptEnded", attempt: id, end });
+  return (end) => entry.sendEvent({ kind: "attemptEnded", attempt: id, end });
 }
--- a/playground/src/scenario/world.ts
+++ b/playground/src/scenario/world.ts
@@ -1,6 +1,6 @@
 /**
- * Cores, fakes and a network under virtual time. No model of traffic or of engines' speed: a scenario
- * states what happens.
+ * The simulated system: entries' cores, fake endpoints, a fake platform and a network in virtual time.
+ * It models neither traffic nor engine speed; a scenario states what happens.
  *
  * @module
  */
@@ -15,21 +15,21 @@
   type ZoneId,
 } from "@sassafrasstep/core";
 import { FakeEndpoint } from "./endpoint_fakes.ts";
-import { Exchanges } from "./exchanges.ts";
+import { RequestTransport } from "./exchanges.ts";
 import { Network, type Spot } from "./network.ts";
 import { FakeConfiguration, FakeVmList } from "./platform_fakes.ts";
-import { PlatformWay } from "./platform_way.ts";
+import { PlatformTransport } from "./platform_way.ts";
 import { Poisons } from "./poisons.ts";
 import { Violations } from "./violations.ts";
 import { VirtualEntry } from "./virtual_entry.ts";
 import { VirtualTime } from "./virtual_time.ts";
 
 const PEER_TIMEOUT_MS = 1_500;
-const HEX = 16;
+const HEX_RADIX = 16;
 const INCARNATION_LENGTH = 12;
 const KEY_RANDOM_LENGTH = 8;
 
-/** Everything of one scenario. */
+/** State of one scenario run. */
 export class World {
   readonly time = new VirtualTime();
   readonly network = new Network();
@@ -37,39 +37,43 @@
   readonly vmList = new FakeVmList();
   readonly violations = new Violations();
   readonly poisons = new Poisons(this);
-  readonly exchanges: Exchanges;
+  readonly requests: RequestTransport;
   readonly endpoints = new Map<string, FakeEndpoint>();
   readonly deploymentName = "scenario";
   epochLengthMs = 300_000;
-  /** Whether hand-over messages get lost. */
+  /** Whether hand-over messages are lost. */
   loseHandOvers = false;
-  /** Whether they arrive and their answers get lost. */
+  /** Whether hand-over messages arrive but their replies are lost. */
   loseHandOverReplies = false;
-  /** Virtual time at which the script's own time begins. */
+  /** Virtual time of the script's time 0, in milliseconds. */
   startOfScript = 0;
-  readonly #platform = new PlatformWay(this);
+  readonly #platformTransport = new PlatformTransport(this);
   readonly #keys = new Map<string, string>();
-  readonly #calls: { readonly at: number; readonly calls: number }[] = [];
+  readonly #configurationCalls: {
+    readonly at: number;
+    readonly calls: number;
+  }[] = [];
   readonly #entries = new Map<string, VirtualEntry>();
-  readonly #frozenUntil = new Map<string, number>();
+  readonly #thawedAt = new Map<string, number>();
   #seed: number;
 
   constructor(seed = 1) {
     this.#seed = seed;
-    this.exchanges = new Exchanges(this);
+    this.requests = new RequestTransport(this);
   }
 
-  /** Starts an entry; one of the same name is replaced by a new life. */
-  startEntry(id: string, spot: Spot): VirtualEntry {
+  /** Starts an entry. An entry with the same name is replaced by a new incarnation. */
+  startEntry(id: string, location: Spot): VirtualEntry {
     this.#seed++;
-    const incarnation = (this.#seed * 2_654_435_761).toString(HEX).padStart(
-      INCARNATION_LENGTH,
-      "0",
-    );
+    const incarnation = (this.#seed * 2_654_435_761).toString(HEX_RADIX)
+      .padStart(
+        INCARNATION_LENGTH,
+        "0",
+      );
     const entry = new VirtualEntry(this, {
       id,
-      zone: spot.zone,
-      region: spot.region,
+      zone: location.zone,
+      region: location.region,
       incarnation,
       seed: this.#seed,
     });
@@ -82,7 +86,7 @@
     const entry = this.#entries.get(id);
     if (entry !== undefined && !entry.dead) {
       entry.dead = true;
-      this.exchanges.entryDied(entry);
+      this.requests.closeConnectionsOf(entry);
       this.publishVms();
     }
   }
@@ -92,7 +96,7 @@
   }
 
   thawEntry(id: string): void {
-    this.#frozenUntil.set(id, this.time.now);
+    this.#thawedAt.set(id, this.time.now);
     this.#entries.get(id)?.thaw();
   }
 
@@ -119,21 +123,24 @@
     return this.endpoints.get(id);
   }
 
-  /** Whether an entry stood still at some time after `since`. */
-  wasFrozen(id: string, since: number): boolean {
-    return (this.#frozenUntil.get(id) ?? -1) >= since;
+  /** Whether an entry was thawed at or after `since`, so that it was frozen before. */
+  wasFrozenSince(id: string, since: number): boolean {
+    return (this.#thawedAt.get(id) ?? -1) >= since;
   }
 
-  /** Runs of a key over all endpoints. */
-  runsOf(key: string): number {
+  /** Number of runs of an idempotency key on all endpoints. */
+  countRuns(key: string): number {
     return [...this.endpoints.values()].reduce(
       (sum, endpoint) => sum + (endpoint.runs.get(key) ?? 0),
       0,
     );
   }
 
-  /** The idempotency key that a scenario calls `name`, made from an entry's token at its first use. */
-  keyNamed(name: string, ownerEntry = ""): string {
+  /**
+   * Returns the idempotency key that a scenario calls `name`. At its first use it is created from the token
+   * of the owner entry.
+   */
+  idempotencyKey(name: string, ownerEntry = ""): string {
     const known = this.#keys.get(name);
     const owner = this.#entries.get(ownerEntry);
     if (known !== undefined || owner === undefined) {
@@ -146,18 +153,23 @@
     return key;
   }
 
-  /** Remembers how often the configuration service was called until now. */
-  noteCalls(): void {
-    this.#calls.push({ at: this.time.now, calls: this.configuration.calls });
+  /** Records the number of calls to the configuration service so far. */
+  recordConfigurationCalls(): void {
+    this.#configurationCalls.push({
+      at: this.time.now,
+      calls: this.configuration.calls,
+    });
   }
 
-  /** Calls of the configuration service up to a time of the script. */
-  callsAt(at: number): number {
-    return this.#calls.filter((noted) => noted.at <= this.startOfScript + at)
+  /** Number of calls to the configuration service up to a time of the script. */
+  configurationCallsAt(at: number): number {
+    return this.#configurationCalls.filter((recorded) =>
+      recorded.at <= this.startOfScript + at
+    )
       .at(-1)?.calls ?? 0;
   }
 
-  /** Publishes the VMs as they are. */
+  /** Updates the VM list with the current entries and endpoints. */
   publishVms(): void {
     const entries = this.entries().filter(({ dead }) => !dead).map((
       entry,
@@ -186,47 +198,53 @@
     this.vmList.set([...entries, ...endpoints], this.time.now);
   }
 
-  /** Notes data of a bound customer outside its home, by the newest acceptable text. */
+  /**
+   * Records a violation if a bound customer's data reaches a region other than its home. Uses the newest
+   * published text, and does not check while that text is invalid.
+   */
   checkHome(
     region: string,
     { what, customer }: { what: string; customer: string },
   ): void {
     const result = parseConfiguration(this.configuration.newest);
-    const found = result.ok
+    const configuredCustomer = result.ok
       ? [...result.deployment.customers.values()].find(({ id }) =>
         id === customer
       )
       : undefined;
-    if (found?.bound === true && !this.homesInDoubt.has(customer)) {
+    if (
+      configuredCustomer?.bound === true &&
+      !this.customersChangingHome.has(customer)
+    ) {
       this.violations.checkHome(this.time.now, {
         what,
         customer,
-        home: found.home,
+        home: configuredCustomer.home,
         region,
       });
     }
   }
 
-  /** Customers whose home changed too lately for every entry to know. */
-  readonly homesInDoubt = new Set<string>();
+  /** Customers whose home changed so recently that some entries may not know it yet. */
+  readonly customersChangingHome = new Set<string>();
 
-  /** Does what an entry's core says. */
-  carryOut(entry: VirtualEntry, effect: Effect): void {
+  /** Carries out an effect that an entry's core requests. */
+  applyEffect(entry: VirtualEntry, effect: Effect): void {
     switch (effect.kind) {
       case "readBody":
-        return this.exchanges.readBody(entry, effect.request);
+        return this.requests.readBody(entry, effect.request);
       case "dispatch":
-        return this.exchanges.dispatch(entry, effect.attempt);
+        return this.requests.dispatch(entry, effect.attempt);
       case "finish":
-        return this.exchanges.finish(effect.request, effect.answer);
+        return this.requests.finish(effect.request, effect.answer);
       case "sendHeartbeat":
         return this.#sendHeartbeat(entry, effect);
       case "copyConfiguration":
         return this.#copyConfiguration(entry, effect);
       case "readConfiguration":
-        return this.#platform.readConfiguration(entry, effect);
+        return this.#platformTransport.readConfiguration(entry, effect);
       case "listVms":
-        return this.#platform.listVms(entry);
+        return this.#platformTransport.listVms(entry);
       case "sendOutcome":
         return this.#sendOutcome(entry, effect);
       case "sendHandOver":
@@ -234,21 +252,21 @@
       case "sendQuarantine":
         return this.#callPeer(entry, effect.url, {
           deliver: (peer) => {
-            peer.tell({ kind: "quarantineNews", news: effect.news });
+            peer.sendEvent({ kind: "quarantineNews", news: effect.news });
             return () => {};
           },
           failed: () => {},
         });
       case "pollLoad":
-        return this.#platform.pollLoad(entry, effect);
+        return this.#platformTransport.pollLoad(entry, effect);
       case "order":
-        return this.#platform.order(entry, effect);
+        return this.#platformTransport.order(entry, effect);
       case "exit":
         return this.killEntry(entry.id);
     }
   }
 
-  /** One call from an entry to a peer: delivered, answered, or failed after the time-out. */
+  /** Calls a peer. `failed` is called if no reply arrives within the timeout. */
   #callPeer(
     entry: VirtualEntry,
     url: string,
@@ -265,11 +283,11 @@
     const delay = this.network.delay(entry, peer);
     const sentAt = this.time.now;
     this.time.after(delay, () =>
-      peer.deliver(() => {
+      peer.runWhenActive(() => {
         const reply = deliver(peer);
-        const late = this.time.now - sentAt > PEER_TIMEOUT_MS;
+        const timedOut = this.time.now - sentAt > PEER_TIMEOUT_MS;
         this.time.after(delay, () =>
-          late || !this.network.reaches(peer, entry) ? failed() : reply());
+          timedOut || !this.network.reaches(peer, entry) ? failed() : reply());
       }));
   }
 
@@ -280,7 +298,7 @@
     this.#callPeer(entry, url, {
       deliver: (peer) => {
         const reply = peer.core.answerHeartbeat(heartbeat, peer.now());
-        return () => entry.tell({ kind: "heartbeatReply", reply });
+        return () => entry.sendEvent({ kind: "heartbeatReply", reply });
       },
       failed: () => {},
     });
@@ -290,17 +308,17 @@
     entry: VirtualEntry,
     { from, url, have }: Extract<Effect, { kind: "copyConfiguration" }>,
   ): void {
-    const tell = (
+    const reportCopy = (
       copy: ConfigurationCopy | undefined,
       answered: boolean,
     ): void =>
-      entry.tell({ kind: "configurationCopied", from, copy, answered });
+      entry.sendEvent({ kind: "configurationCopied", from, copy, answered });
     this.#callPeer(entry, url, {
       deliver: (peer) => {
         const copy = peer.core.answerConfiguration(have);
-        return () => tell(copy, true);
+        return () => reportCopy(copy, true);
       },
-      failed: () => tell(undefined, false),
+      failed: () => reportCopy(undefined, false),
     });
   }
 
@@ -317,7 +335,7 @@
     }
     this.#callPeer(entry, url, {
       deliver: (receiver) => {
-        receiver.tell({ kind: "outcomeCopy", copy });
+        receiver.sendEvent({ kind: "outcomeCopy", copy });
         return () => {};
       },
       failed: () => {},
@@ -328,15 +346,17 @@
     entry: VirtualEntry,
     { url, handOver }: Extract<Effect, { kind: "sendHandOver" }>,
   ): void {
-    const done = (): void => entry.tell({ kind: "handOverDone" });
+    const done = (): void => entry.sendEvent({ kind: "handOverDone" });
     if (this.loseHandOvers) {
       this.time.after(PEER_TIMEOUT_MS, done);
       return;
     }
-    const copied = JSON.parse(JSON.stringify(handOver)) as KeyHandOver;
+    const receivedHandOver = JSON.parse(
+      JSON.stringify(handOver),
+    ) as KeyHandOver;
     this.#callPeer(entry, url, {
       deliver: (peer) => {
-        peer.core.answerHandOver(copied, peer.now());
+        peer.core.answerHandOver(receivedHandOver, peer.now());
         return this.loseHandOverReplies
           ? () => this.time.after(PEER_TIMEOUT_MS, done)
           : done;
@@ -345,6 +365,6 @@
     });
   }
 
-  /** How long an order is on its way. */
+  /** Delay until a model order takes effect and is answered, in milliseconds. */
   orderDelayMs = 1;
 }
--- a/playground/src/stand_ins/configuration_service.ts
+++ b/playground/src/stand_ins/configuration_service.ts
@@ -1,8 +1,8 @@
 /**
- * Stand-in for the platform's configuration service: read and watched, never written by the system.
+ * Stand-in for the platform's configuration service, which entries read and watch but never write.
  *
  * Control: `PUT /control/text` publishes, `PUT /control/mode` sets `normal`, `outage` or `stale`
- * (serves the revision before), `GET /control/calls` counts calls.
+ * (serves the previous revision), `GET /control/calls` returns the number of calls.
  *
  * @module
  */
@@ -19,10 +19,10 @@
 
 const MAX_WAIT_MS = 60_000;
 
-/** The stand-in. */
+/** Serves the newest published text, or the previous one in mode `stale`. */
 export class ConfigurationService implements StandIn {
   readonly #server: StandInServer;
-  readonly #waiting = new Set<() => void>();
+  readonly #watchers = new Set<() => void>();
   #published: Published[] = [];
   #mode: ConfigurationMode = "normal";
   #calls = 0;
@@ -40,7 +40,7 @@
     });
     app.get(
       "/control/calls",
-      () => ({ calls: this.#calls, waiting: this.#waiting.size }),
+      () => ({ calls: this.#calls, waiting: this.#watchers.size }),
     );
     this.#server = new StandInServer(app);
   }
@@ -53,7 +53,7 @@
     return this.#server.stop();
   }
 
-  /** Calls counted, a waiting watch as one. */
+  /** Number of calls. A watch that waits counts as one call. */
   get calls(): number {
     return this.#calls;
   }
@@ -62,35 +62,36 @@
   publish(text: string): number {
     const revision = (this.#published.at(-1)?.revision ?? 0) + 1;
     this.#published.push({ revision, text });
-    this.#wakeAll();
+    this.#wakeWatchers();
     return revision;
   }
 
   setMode(mode: ConfigurationMode): void {
     this.#mode = mode;
-    this.#wakeAll();
+    this.#wakeWatchers();
   }
 
   async #read(query: URLSearchParams): Promise<Response> {
     this.#calls++;
     const after = Number(query.get("after") ?? 0);
-    const wait = Math.min(MAX_WAIT_MS, Number(query.get("wait_ms") ?? 0));
+    const waitMs = Math.min(MAX_WAIT_MS, Number(query.get("wait_ms") ?? 0));
     if (this.#mode === "outage") {
       return new Response("outage\n", { status: 503 });
     }
-    // A stale replica answers a watch at once: what it holds is not what the watcher holds.
-    const shown = this.#current()?.revision ?? 0;
+    // A stale replica answers a watch immediately if its revision differs from the watcher's.
+    const servedRevision = this.#servedVersion()?.revision ?? 0;
     if (
-      wait > 0 &&
-      (shown === after || (shown < after && this.#mode === "normal"))
+      waitMs > 0 &&
+      (servedRevision === after ||
+        (servedRevision < after && this.#mode === "normal"))
     ) {
-      await this.#waitForChange(wait);
+      await this.#waitForChange(waitMs);
     }
-    return this.#answer(after, { watch: wait > 0 });
+    return this.#respond(after, { watch: waitMs > 0 });
   }
 
-  #answer(after: number, { watch }: { watch: boolean }): Response {
-    const current = this.#current();
+  #respond(after: number, { watch }: { watch: boolean }): Response {
+    const current = this.#servedVersion();
     if (this.#mode === "outage" || current === undefined) {
       return new Response("outage\n", { status: 503 });
     }
@@ -102,25 +103,25 @@
     });
   }
 
-  #current(): Published | undefined {
+  #servedVersion(): Published | undefined {
     return this.#mode === "stale"
       ? this.#published.at(-2) ?? this.#published[0]
       : this.#published.at(-1);
   }
 
-  async #waitForChange(wait: number): Promise<void> {
+  async #waitForChange(waitMs: number): Promise<void> {
     await new Promise<void>((resolve) => {
-      const timer = setTimeout(() => wake(), wait);
+      const timer = setTimeout(() => wake(), waitMs);
       const wake = (): void => {
         clearTimeout(timer);
-        this.#waiting.delete(wake);
+        this.#watchers.delete(wake);
         resolve();
       };
-      this.#waiting.add(wake);
+      this.#watchers.add(wake);
     });
   }
 
-  #wakeAll(): void {
-    this.#waiting.forEach((wake) => wake());
+  #wakeWatchers(): void {
+    this.#watchers.forEach((wake) => wake());
   }
 }
--- a/playground/src/stand_ins/engine.ts
+++ b/playground/src/stand_ins/engine.ts
@@ -1,9 +1,9 @@
 /**
- * Stand-in for a model engine: slots, prefill and decode rates, a prefix cache, priorities, lagging
- * reports, resumable streams, orders with or without fencing, and faults on request.
+ * Stand-in for a model engine with slots, prefill and decode rates, a prefix cache, priorities, delayed
+ * load reports, resumable streams, model orders with or without fencing, and configurable faults.
  *
- * Control: `PUT /control/faults` sets faults, `PUT /control/drain` begins leaving, `GET /control/state`
- * counts what ran.
+ * Control: `PUT /control/faults` sets faults, `PUT /control/drain` starts draining, `PUT /control/cold`
+ * clears the prefix cache, `GET /control/state` returns the counters.
  *
  * @module
  */
@@ -15,16 +15,21 @@
   type EngineFaults,
   type EngineOptions,
 } from "./engine_options.ts";
-import { DEFAULT_TOKENS, readPrompt, swapped, tokenAt } from "./engine_text.ts";
+import {
+  DEFAULT_TOKENS,
+  readPrompt,
+  swappedOffset,
+  tokenAt,
+} from "./engine_text.ts";
 import { type Generation, GenerationQueue } from "./generation_queue.ts";
 import { PrefixCache } from "./prefix_cache.ts";
 import { readJson, type StandIn, StandInServer } from "./stand_in.ts";
 
-const BLOCK_TOKENS = 64;
+const TOKENS_PER_BLOCK = 64;
 const CHARACTERS_PER_TOKEN = 4;
-const HOLD_WEIGHT = 0.1;
+const HOLD_AVERAGE_WEIGHT = 0.1;
 
-/** The stand-in. */
+/** HTTP server that generates deterministic token streams. */
 export class Engine implements StandIn {
   readonly #options: EngineOptions;
   readonly #server: StandInServer;
@@ -35,11 +40,11 @@
   #fence = 0;
   #draining = false;
   #runs = new Map<string, number>();
-  #afterDrain = 0;
-  #engineMs = 0;
+  #requestsAfterDrain = 0;
+  #busyMs = 0;
   #prefilledTokens = 0;
   #holdMs: number;
-  #reports: { at: number; running: number; queued: number }[] = [];
+  #loadHistory: { at: number; running: number; queued: number }[] = [];
 
   constructor(options: Partial<EngineOptions> = {}) {
     this.#options = { ...DEFAULT_ENGINE, ...options };
@@ -63,10 +68,10 @@
 
   #createApp(): H3 {
     const app = new H3();
-    app.get("/v1/load", () => this.#report());
+    app.get("/v1/load", () => this.#reportLoad());
     app.post(
       "/v1/model",
-      async ({ req }) => await this.#order(await readJson(req)),
+      async ({ req }) => await this.#loadModel(await readJson(req)),
     );
     app.put("/control/faults", async ({ req }) => {
       this.#faults = await readJson<EngineFaults>(req);
@@ -89,30 +94,32 @@
       model: this.#model,
       fence: this.#fence,
       runs: Object.fromEntries(this.#runs),
-      after_drain: this.#afterDrain,
-      engine_ms: Math.round(this.#engineMs),
+      after_drain: this.#requestsAfterDrain,
+      engine_ms: Math.round(this.#busyMs),
       prefilled_tokens: this.#prefilledTokens,
       running: this.#queue.running,
     };
   }
 
-  #report(): object {
+  #reportLoad(): object {
     const now = performance.now();
-    this.#reports.push({
+    this.#loadHistory.push({
       at: now,
       running: this.#queue.running,
       queued: this.#queue.waiting,
     });
-    const horizon = now - this.#options.loadLagMs;
-    while (this.#reports.length > 1 && this.#reports[1]!.at <= horizon) {
-      this.#reports.shift();
+    const reportUntil = now - this.#options.loadLagMs;
+    while (
+      this.#loadHistory.length > 1 && this.#loadHistory[1]!.at <= reportUntil
+    ) {
+      this.#loadHistory.shift();
     }
-    const shown = this.#reports[0]!;
-    const { evicted, gap } = this.#cache.takeEvents();
+    const reported = this.#loadHistory[0]!;
+    const { evicted, gap } = this.#cache.takeEvictions();
     return {
-      age_ms: Math.round(now - shown.at),
-      running: shown.running,
-      queued: shown.queued,
+      age_ms: Math.round(now - reported.at),
+      running: reported.running,
+      queued: reported.queued,
       slots: this.#options.slots,
       prefill_rate: this.#options.prefillRate,
       hold_ms: Math.round(this.#holdMs),
@@ -124,15 +131,15 @@
     };
   }
 
-  async #order(
+  async #loadModel(
     { model, fence, expected }: {
       model: string;
       fence: number;
       expected: string;
     },
   ): Promise<Response> {
-    const old = this.#options.fenced && fence < this.#fence;
-    if (old || expected !== this.#model) {
+    const hasOldFence = this.#options.fenced && fence < this.#fence;
+    if (hasOldFence || expected !== this.#model) {
       return new Response("refused\n", { status: 409 });
     }
     if (this.#options.weightStoreUrl !== "") {
@@ -166,7 +173,7 @@
     const id = String(message.headers["x-request-id"] ?? "");
     const body = await readBody(message);
     if (this.#draining) {
-      this.#afterDrain++;
+      this.#requestsAfterDrain++;
     }
     if (this.#draining || this.#faults.refuse === true) {
       reply.writeHead(503, { "retry-after": "1" }).end("refused\n");
@@ -201,7 +208,7 @@
       startAt;
     const uncached = Math.max(
       0,
-      promptTokens - this.#cache.hits(blocks) * BLOCK_TOKENS,
+      promptTokens - this.#cache.countCachedBlocks(blocks) * TOKENS_PER_BLOCK,
     );
     this.#prefilledTokens += uncached;
     await sleep((uncached / this.#options.prefillRate) * 1_000);
@@ -209,8 +216,8 @@
     reply.writeHead(200, { "content-type": "text/event-stream" });
     await this.#decode(reply, { id, prompt, tokens, startAt });
     const held = performance.now() - startedAt;
-    this.#engineMs += held;
-    this.#holdMs += (held - this.#holdMs) * HOLD_WEIGHT;
+    this.#busyMs += held;
+    this.#holdMs += (held - this.#holdMs) * HOLD_AVERAGE_WEIGHT;
   }
 
   async #decode(
@@ -225,7 +232,7 @@
     const faults = this.#faults;
     const startedAt = performance.now();
     for (let offset = startAt; offset < tokens; offset++) {
-      // Paced by the clock, not by timers' rounding: one sleep may cover several tokens.
+      // Pacing follows the clock, so that rounding of timers does not add up. One sleep may cover several tokens.
       const due = startedAt + (offset - startAt + 1) * this.#options.decodeMs;
       await sleep(due - performance.now());
       if (reply.destroyed) {
@@ -240,7 +247,7 @@
         return;
       }
       const order = faults.swap === true
-        ? swapped(offset, { startAt, tokens })
+        ? swappedOffset(offset, { startAt, tokens })
         : offset;
       await this.#sendToken(reply, {
         id,
@@ -258,15 +265,15 @@
     frame: { id: string; offset: number; token: string },
   ): Promise<void> {
     const line = `data: ${JSON.stringify(frame)}\n\n`;
-    const extra = this.#faults.foreign === true
+    const foreignFrame = this.#faults.foreign === true
       ? `data: ${
         JSON.stringify({ ...frame, id: "another", token: "SECRET" })
       }\n\n`
       : "";
-    const wrote = reply.write(
-      extra + line + (this.#faults.duplicate === true ? line : ""),
+    const bufferHasSpace = reply.write(
+      foreignFrame + line + (this.#faults.duplicate === true ? line : ""),
     );
-    if (!wrote) {
+    if (!bufferHasSpace) {
       await new Promise<void>((resolve) => {
         reply.once("drain", resolve);
         reply.once("close", resolve);
--- a/playground/src/stand_ins/engine_options.ts
+++ b/playground/src/stand_ins/engine_options.ts
@@ -1,5 +1,5 @@
 /**
- * What a stand-in for a model engine is like, and the faults it can be given.
+ * Options and faults of the stand-in for a model engine.
  *
  * @module
  */
@@ -7,39 +7,39 @@
 /** Size and speed of an engine. */
 export interface EngineOptions {
   readonly slots: number;
-  /** Prompt tokens a second in one slot. */
+  /** Prefill speed of one slot in prompt tokens per second. */
   readonly prefillRate: number;
-  /** Milliseconds for one token. */
+  /** Time to decode one token, in milliseconds. */
   readonly decodeMs: number;
   readonly cacheBlocks: number;
   readonly model: string;
   /** Whether orders with an old fencing number are refused. */
   readonly fenced: boolean;
-  /** Age of the load that is reported. */
+  /** Age of the reported load, in milliseconds. */
   readonly loadLagMs: number;
-  /** Where a model's weights are loaded from; empty loads at once. */
+  /** Base URL of the weight store. If empty, models load immediately. */
   readonly weightStoreUrl: string;
 }
 
-/** Faults of an engine's streams. */
+/** Faults that an engine can be given. */
 export interface EngineFaults {
-  /** Break the connection after so many tokens of an answer. */
+  /** Reset the connection after this many tokens of an answer. */
   readonly resetAfter?: number;
-  /** End the stream after so many tokens without its end mark. */
+  /** End the stream after this many tokens, without the final `done` frame. */
   readonly truncateAfter?: number;
   /** Send every token twice. */
   readonly duplicate?: boolean;
-  /** Swap pairs of tokens. */
+  /** Swap the tokens of each pair. */
   readonly swap?: boolean;
-  /** Mix in frames of another request. */
+  /** Insert frames with another request's id. */
   readonly foreign?: boolean;
-  /** Take the request and say nothing. */
+  /** Accept the request but never answer. */
   readonly hang?: boolean;
-  /** Refuse with 503. */
+  /** Refuse requests with 503. */
   readonly refuse?: boolean;
 }
 
-/** Common sizes. */
+/** Default options of an engine. */
 export const DEFAULT_ENGINE: EngineOptions = {
   slots: 4,
   prefillRate: 4_000,
--- a/playground/src/stand_ins/engine_text.ts
+++ b/playground/src/stand_ins/engine_text.ts
@@ -1,12 +1,12 @@
 /**
- * What an engine reads and writes.
+ * Prompts that the engine stand-in reads and tokens that it generates.
  *
  * @module
  */
 
-/** Tokens of an answer where the request names no number. */
+/** Number of answer tokens if the request states no `max_tokens`. */
 export const DEFAULT_TOKENS = 32;
-const WORDS = [
+const VOCABULARY = [
   "the",
   "host",
   "will",
@@ -22,13 +22,15 @@
   "door",
 ];
 
-/** Token number `offset` of the answer to a prompt: the same on every engine. */
+/** Returns the token at `offset` of the answer to a prompt. All engines generate the same tokens. */
 export function tokenAt(prompt: string, offset: number): string {
-  return ` ${WORDS[(prompt.length + offset * 7) % WORDS.length]}${offset}`;
+  return ` ${
+    VOCABULARY[(prompt.length + offset * 7) % VOCABULARY.length]
+  }${offset}`;
 }
 
-/** Where pairs of tokens are swapped: which one comes at `offset`. */
-export function swapped(
+/** Returns the offset of the token that is sent at `offset` when pairs of tokens are swapped. */
+export function swappedOffset(
   offset: number,
   { startAt, tokens }: { startAt: number; tokens: number },
 ): number {
@@ -36,7 +38,7 @@
   return other < tokens ? other : offset;
 }
 
-/** The prompt of a request, one line a part, and the tokens that it asks for. */
+/** Reads the prompt, with each role and content on its own line, and the number of tokens requested. */
 export function readPrompt(body: string): { prompt: string; tokens: number } {
   const json = JSON.parse(body) as {
     messages: { role: string; content: string }[];
--- a/playground/src/stand_ins/generation_queue.ts
+++ b/playground/src/stand_ins/generation_queue.ts
@@ -1,15 +1,15 @@
 /**
- * Slots of an engine and the generations that wait for one, by priority.
+ * Slots of an engine and the queue of generations that wait for one, ordered by priority.
  *
  * @module
  */
 
-/** One answer to generate. */
+/** A queued or running generation of one answer. */
 export interface Generation {
-  /** Smaller goes first. */
+  /** Smaller values start first. */
   readonly priority: number;
   run(): Promise<void>;
-  /** Whether its caller hung up while it waited. */
+  /** Whether the caller has disconnected while waiting. */
   isGone(): boolean;
 }
 
--- a/playground/src/stand_ins/main.ts
+++ b/playground/src/stand_ins/main.ts
@@ -1,5 +1,5 @@
 /**
- * Starts one stand-in as a process of its own: `node playground/dist/stand_ins/main.js --kind engine`.
+ * Starts one stand-in as a separate process: `node playground/dist/stand_ins/main.js --kind engine`.
  *
  * @module
  */
@@ -32,7 +32,7 @@
   },
 );
 
-/** Makes a stand-in by its kind. */
+/** Creates a stand-in; returns `undefined` for an unknown kind. */
 function createStandIn(kind: string, options: object): StandIn | undefined {
   switch (kind) {
     case "configuration":
--- a/playground/src/stand_ins/plain_service.ts
+++ b/playground/src/stand_ins/plain_service.ts
@@ -1,7 +1,9 @@
 /**
- * Stand-in for a plain service, such as badge printing or a wallet: counts runs by key, and fails as told.
+ * Stand-in for a plain service, such as badge printing or a wallet. It counts runs by idempotency key and
+ * fails according to its mode.
  *
- * Control: `PUT /control/mode`, `PUT /control/drain`, `GET /control/runs`.
+ * Control: `PUT /control/mode` sets the behaviour, `PUT /control/drain` starts draining, `GET /control/runs`
+ * returns the counters.
  *
  * @module
  */
@@ -10,14 +12,14 @@
 import { readJson, type StandIn, StandInServer } from "./stand_in.ts";
 
 /**
- * What a call does.
+ * What the service does with a call.
  * - `normal`: runs and answers.
- * - `refuse`: 503, did not run.
+ * - `refuse`: answers 503 without running.
  * - `fail`: runs, then answers 500.
- * - `reset_before`: breaks the connection, did not run.
- * - `reset_after`: runs, then breaks the connection.
- * - `hang_before`: never runs, never answers.
- * - `hang_after`: runs, never answers.
+ * - `reset_before`: resets the connection without running.
+ * - `reset_after`: runs, then resets the connection.
+ * - `hang_before`: neither runs nor answers.
+ * - `hang_after`: runs but never answers.
  */
 export type PlainMode =
   | "normal"
@@ -31,14 +33,14 @@
 /** How a plain service behaves. */
 export interface PlainBehaviour {
   readonly mode: PlainMode;
-  /** Milliseconds from the call to its run. */
+  /** Delay between a call and its run, in milliseconds. */
   readonly delayMs: number;
 }
 
 const SLOTS = 16;
 const NO_KEY = "none";
 
-/** The stand-in. */
+/** HTTP server that counts calls and runs. */
 export class PlainService implements StandIn {
   readonly #server: StandInServer;
   readonly #runs = new Map<string, number>();
@@ -46,12 +48,12 @@
   #calls = 0;
   #running = 0;
   #draining = false;
-  #afterDrain = 0;
+  #callsAfterDrain = 0;
 
   constructor(behaviour: Partial<PlainBehaviour> = {}) {
     this.#behaviour = { mode: "normal", delayMs: 0, ...behaviour };
     const app = new H3();
-    app.get("/v1/load", () => this.#load());
+    app.get("/v1/load", () => this.#reportLoad());
     app.put("/control/mode", async ({ req }) => {
       this.#behaviour = {
         mode: "normal",
@@ -79,7 +81,7 @@
     return this.#server.stop();
   }
 
-  /** What was counted. */
+  /** Returns the counters. */
   state(): {
     calls: number;
     after_drain: number;
@@ -87,12 +89,12 @@
   } {
     return {
       calls: this.#calls,
-      after_drain: this.#afterDrain,
+      after_drain: this.#callsAfterDrain,
       runs: Object.fromEntries(this.#runs),
     };
   }
 
-  #load(): object {
+  #reportLoad(): object {
     return {
       age_ms: 0,
       running: this.#running,
@@ -112,17 +114,20 @@
 
   async #call(message: IncomingMessage, reply: ServerResponse): Promise<void> {
     this.#calls++;
-    this.#afterDrain += this.#draining ? 1 : 0;
+    this.#callsAfterDrain += this.#draining ? 1 : 0;
     this.#running++;
     try {
       await drainBody(message);
-      await this.#act(message, reply);
+      await this.#applyMode(message, reply);
     } finally {
       this.#running--;
     }
   }
 
-  async #act(message: IncomingMessage, reply: ServerResponse): Promise<void> {
+  async #applyMode(
+    message: IncomingMessage,
+    reply: ServerResponse,
+  ): Promise<void> {
     const { mode, delayMs } = this.#behaviour;
     const key = String(message.headers["idempotency-key"] ?? NO_KEY);
     if (mode === "refuse") {
@@ -140,10 +145,10 @@
       await new Promise((resolve) => setTimeout(resolve, delayMs));
     }
     this.#runs.set(key, (this.#runs.get(key) ?? 0) + 1);
-    this.#answer(reply, { mode, key, path: message.url! });
+    this.#respond(reply, { mode, key, path: message.url! });
   }
 
-  #answer(
+  #respond(
     reply: ServerResponse,
     { mode, key, path }: { mode: PlainMode; key: string; path: string },
   ): void {
@@ -160,6 +165,6 @@
 
 async function drainBody(message: IncomingMessage): Promise<void> {
   for await (const _ of message) {
-    // Reads the whole body, as a service would.
+    // Consumes the whole body, as a real service would.
   }
 }
--- a/playground/src/stand_ins/prefix_cache.ts
+++ b/playground/src/stand_ins/prefix_cache.ts
@@ -1,25 +1,25 @@
 /**
- * An engine's prefix cache with limited memory: least recently used blocks go first.
+ * Prefix cache of an engine with limited capacity. The least recently used blocks are evicted first.
  *
  * @module
  */
 
-/** Evictions remembered for late reports; older ones are lost, which the engine owns up to. */
-const MAX_REMEMBERED = 64;
+/** Evictions kept for the next load report. Older ones are dropped, and the report then states a gap. */
+const MAX_PENDING_EVICTIONS = 64;
 
-/** Blocks in memory. */
+/** Cached blocks and the evictions that have not been reported yet. */
 export class PrefixCache {
   readonly #capacity: number;
   readonly #blocks = new Set<number>();
   #evicted: number[] = [];
-  #gap = false;
+  #evictionsLost = false;
 
   constructor(capacity: number) {
     this.#capacity = capacity;
   }
 
-  /** Leading blocks that are cached. */
-  hits(blocks: readonly number[]): number {
+  /** Number of leading blocks that are cached. */
+  countCachedBlocks(blocks: readonly number[]): number {
     const miss = blocks.findIndex((block) => !this.#blocks.has(block));
     return miss < 0 ? blocks.length : miss;
   }
@@ -32,28 +32,28 @@
     while (this.#blocks.size > this.#capacity) {
       const oldest = this.#blocks.values().next().value!;
       this.#blocks.delete(oldest);
-      this.#noteEvicted(oldest);
+      this.#recordEviction(oldest);
     }
   }
 
   clear(): void {
     this.#blocks.clear();
-    this.#gap = true;
+    this.#evictionsLost = true;
   }
 
-  /** Evictions since the last call, and whether some were lost. */
-  takeEvents(): { evicted: number[]; gap: boolean } {
-    const events = { evicted: this.#evicted, gap: this.#gap };
+  /** Returns the evictions since the last call, and whether some were dropped or the cache was cleared. */
+  takeEvictions(): { evicted: number[]; gap: boolean } {
+    const events = { evicted: this.#evicted, gap: this.#evictionsLost };
     this.#evicted = [];
-    this.#gap = false;
+    this.#evictionsLost = false;
     return events;
   }
 
-  #noteEvicted(block: number): void {
+  #recordEviction(block: number): void {
     this.#evicted.push(block);
-    if (this.#evicted.length > MAX_REMEMBERED) {
+    if (this.#evicted.length > MAX_PENDING_EVICTIONS) {
       this.#evicted.shift();
-      this.#gap = true;
+      this.#evictionsLost = true;
     }
   }
 }
--- a/playground/src/stand_ins/stand_in.ts
+++ b/playground/src/stand_ins/stand_in.ts
@@ -1,5 +1,5 @@
 /**
- * What all stand-ins have in common: an HTTP server on a port of the system's choice.
+ * Common parts of all stand-ins: an HTTP server on a port that the operating system chooses.
  *
  * @module
  */
@@ -13,27 +13,27 @@
 import { type H3, HTTPError } from "h3";
 import { toNodeHandler } from "h3/node";
 
-/** A stand-in for something outside the system. */
+/** A stand-in for an external system. */
 export interface StandIn {
-  /** Starts and returns the base URL. */
+  /** Starts the server and returns its base URL. */
   start(): Promise<string>;
   stop(): Promise<void>;
 }
 
-/** Handles a request by itself, or leaves it to the app. */
+/** Handles a request without the app; returns `false` to leave it to the app. */
 export type RawHandler = (
   message: IncomingMessage,
   reply: ServerResponse,
 ) => boolean;
 
-/** A server on loopback for an app. */
+/** HTTP server that serves an app on the loopback interface. */
 export class StandInServer {
   readonly #server: Server;
 
-  constructor(app: H3, raw: RawHandler = () => false) {
+  constructor(app: H3, handleRaw: RawHandler = () => false) {
     const handle = toNodeHandler(app);
     this.#server = createServer((message, reply) => {
-      if (!raw(message, reply)) {
+      if (!handleRaw(message, reply)) {
         void handle(message, reply);
       }
     });
@@ -55,7 +55,7 @@
   }
 }
 
-/** Reads a JSON body or answers 400. */
+/** Reads a JSON body; answers 400 if it is invalid. */
 export async function readJson<Body>(request: Request): Promise<Body> {
   try {
     return await request.json() as Body;
--- a/playground/src/stand_ins/vm_list.ts
+++ b/playground/src/stand_ins/vm_list.ts
@@ -1,8 +1,8 @@
 /**
- * Stand-in for the platform's list of VMs, which lags, and for the directory that clients find their
- * first entry in.
+ * Stand-in for the platform's VM list, which shows changes after a lag, and for the directory in which
+ * clients find their first entry.
  *
- * Control: `PUT /control/vms` sets the true list, `PUT /control/lag` sets `{ "lag_ms": n, "frozen": bool }`.
+ * Control: `PUT /control/vms` sets the current list, `PUT /control/lag` sets `{ "lag_ms": n, "frozen": bool }`.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 
 const ETAG_LENGTH = 16;
 
-/** One VM as published. */
+/** A VM as the list publishes it. */
 export interface PublishedVm {
   readonly id: string;
   readonly role: "entry" | "endpoint";
@@ -24,17 +24,17 @@
   readonly state: "live" | "leaving";
 }
 
-/** The stand-in. */
+/** Serves the VM list as it was `lagMs` ago. While the list is frozen, changes do not appear. */
 export class VmList implements StandIn {
   readonly #server: StandInServer;
   #versions: { readonly at: number; readonly vms: readonly PublishedVm[] }[] = [
     { at: 0, vms: [] },
   ];
-  #lag: number;
+  #lagMs: number;
   #frozenAt: number | undefined;
 
   constructor({ lagMs = 200 }: { lagMs?: number } = {}) {
-    this.#lag = lagMs;
+    this.#lagMs = lagMs;
     const app = new H3();
     app.get(
       "/v1/vms",
@@ -42,7 +42,7 @@
     );
     app.get(
       "/v1/clients/entries",
-      ({ url }) => this.#firstEntries(url.searchParams.get("region")),
+      ({ url }) => this.#listEntries(url.searchParams.get("region")),
     );
     app.put("/control/vms", async ({ req }) => {
       this.set((await readJson<{ vms: PublishedVm[] }>(req)).vms);
@@ -52,9 +52,9 @@
       const { lag_ms, frozen } = await readJson<
         { lag_ms?: number; frozen?: boolean }
       >(req);
-      this.#lag = lag_ms ?? this.#lag;
+      this.#lagMs = lag_ms ?? this.#lagMs;
       this.#frozenAt = frozen === true
-        ? performance.now() - this.#lag
+        ? performance.now() - this.#lagMs
         : undefined;
       return {};
     });
@@ -69,23 +69,23 @@
     return this.#server.stop();
   }
 
-  /** Sets what is true now; it is published after the lag. */
+  /** Sets the current VMs, which are published after the lag. */
   set(vms: readonly PublishedVm[]): void {
     this.#versions.push({ at: performance.now(), vms });
   }
 
-  /** What is published now. */
+  /** Returns the VMs that are published now. */
   published(): readonly PublishedVm[] {
-    const horizon = this.#frozenAt ?? performance.now() - this.#lag;
+    const publishedUntil = this.#frozenAt ?? performance.now() - this.#lagMs;
     const first =
       this.#versions.length > 1 && this.#versions[0]!.vms.length === 0 ? 1 : 0;
     const visible = this.#versions.filter(({ at }, index) =>
-      at <= horizon || index === first
+      at <= publishedUntil || index === first
     );
     return visible.at(-1)!.vms;
   }
 
-  /** A region's VMs and all entries; 304 where the reader has them already. */
+  /** Returns a region's endpoints and all entries, or 304 if the reader's ETag still matches. */
   #list(request: Request, region: string | null): Response {
     const vms = this.published().filter((vm) =>
       region === null || vm.region === region || vm.role === "entry"
@@ -100,7 +100,7 @@
     });
   }
 
-  #firstEntries(region: string | null): { entries: string[] } {
+  #listEntries(region: string | null): { entries: string[] } {
     const entries = this.published().filter((vm) =>
       vm.role === "entry" && (region === null || vm.region === region)
     );
--- a/playground/src/stand_ins/weight_store.ts
+++ b/playground/src/stand_ins/weight_store.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-in for the weight store, which refuses loads that come too fast.
+ * Stand-in for the weight store, which limits the number of loads per minute.
  *
  * @module
  */
@@ -8,16 +8,16 @@
 
 const MINUTE_MS = 60_000;
 
-/** The stand-in. */
+/** Serves model weights, and answers 429 above the limit. */
 export class WeightStore implements StandIn {
   readonly #server: StandInServer;
-  readonly #perMinute: number;
-  #recent: number[] = [];
+  readonly #loadsPerMinute: number;
+  #recentLoadTimes: number[] = [];
   #served = 0;
   #refused = 0;
 
   constructor({ perMinute = 60 }: { perMinute?: number } = {}) {
-    this.#perMinute = perMinute;
+    this.#loadsPerMinute = perMinute;
     const app = new H3();
     app.get("/v1/weights/:model", () => this.#load());
     app.get(
@@ -41,12 +41,14 @@
 
   #load(): Response {
     const now = performance.now();
-    this.#recent = this.#recent.filter((at) => now - at < MINUTE_MS);
-    if (this.#recent.length >= this.#perMinute) {
+    this.#recentLoadTimes = this.#recentLoadTimes.filter((at) =>
+      now - at < MINUTE_MS
+    );
+    if (this.#recentLoadTimes.length >= this.#loadsPerMinute) {
       this.#refused++;
       return new Response("too many loads\n", { status: 429 });
     }
-    this.#recent.push(now);
+    this.#recentLoadTimes.push(now);
     this.#served++;
     return new Response("weights\n");
   }
