--- a/soak/src/__tests__/waves.test.ts
+++ b/soak/src/__tests__/waves.test.ts
@@ -8,41 +8,41 @@
 } from "../index.ts";
 
 const SEED = 4;
-const ENTRIES = 4;
+const ENTRY_COUNT = 4;
 const isQuick = ({ quick }: Regression): boolean => quick;
 
-describe("a soak", () => {
-  it("plans the same for the same seed", () => {
+describe("soak test", () => {
+  it("draws the same plan for the same seed", () => {
     const plans = [SEED, SEED, SEED + 1].map((seed) =>
-      planWave(seed, { wave: 0, entries: ENTRIES })
+      planWave(seed, { wave: 0, entries: ENTRY_COUNT })
     );
     expect(plans[0]).toEqual(plans[1]);
     expect(plans[0]).not.toEqual(plans[2]);
   });
 
-  // Guards against requests beyond what engines state, while entries are paused, killed and stopped.
-  it("keeps the limits, departures and rests that engines state", async () => {
+  // Guards against requests that exceed the terms of engines while entries are paused, killed and stopped.
+  it("respects the limits, departures and rest periods that engines state", async () => {
     const wave = WAVE_KINDS.indexOf("terms");
-    const plan = planWave(SEED, { wave, entries: ENTRIES });
+    const plan = planWave(SEED, { wave, entries: ENTRY_COUNT });
     const { broken, folder } = await playWave(plan);
-    expect(broken, `Its files: ${folder}`).toEqual([]);
+    expect(broken, `Files of the wave: ${folder}`).toEqual([]);
   });
 
-  // Guards against requests to engines that left, after the store came back from a copy.
-  it("keeps what a restored store has acknowledged", async () => {
+  // Guards against requests to engines that left or were removed after the store was restored from a copy.
+  it("applies changes that a restored store has acknowledged", async () => {
     const wave = WAVE_KINDS.indexOf("restores");
-    const plan = planWave(SEED + 1, { wave, entries: ENTRIES });
+    const plan = planWave(SEED + 1, { wave, entries: ENTRY_COUNT });
     const { broken, folder } = await playWave(plan);
-    expect(broken, `Its files: ${folder}`).toEqual([]);
+    expect(broken, `Files of the wave: ${folder}`).toEqual([]);
   });
 
-  // Each of these waves broke a promise once, for the cause that stands in its name.
-  describe("keeps its promises", () => {
+  // Each of these waves once violated a guarantee for the cause in its title.
+  describe("no longer fails", () => {
     for (const { seed, wave, cause } of REGRESSIONS.filter(isQuick)) {
       it(`in wave ${wave} of seed ${seed}: ${cause}`, async () => {
-        const plan = planWave(seed, { wave, entries: ENTRIES });
+        const plan = planWave(seed, { wave, entries: ENTRY_COUNT });
         const { broken, folder } = await playWave(plan);
-        expect(broken, `Its files: ${folder}`).toEqual([]);
+        expect(broken, `Files of the wave: ${folder}`).toEqual([]);
       });
     }
   });
--- a/soak/src/caller_run.ts
+++ b/soak/src/caller_run.ts
@@ -1,5 +1,5 @@
 /**
- * One caller of a wave: it asks, and may go on by itself at other entries.
+ * A caller of a wave, which sends a request and may resume a broken stream at other entries.
  *
  * @module
  */
@@ -10,75 +10,82 @@
   type SeenAnswer,
 } from "@sassafrasstep/playground/bytes";
 import type { CasePlan } from "./plan.ts";
-import type { SeenCall } from "./promises.ts";
+import type { ObservedCall } from "./promises.ts";
 
 const OK = 200;
-/** Callers stay until each pause of an entry has passed, so that it shows when they were told of an end. */
-const PATIENCE_MS = 8_000;
-/** Less time than this is not worth another question. */
-const LEAST_TIME_MS = 4_000;
+/**
+ * Callers wait this long past their deadline. Every pause of an entry is over by then, so that they observe when
+ * they were told of the end.
+ */
+const EXTRA_WAIT_MS = 8_000;
+/** A caller with less time left than this does not retry. */
+const MIN_REMAINING_MS = 4_000;
 
-/** Asks, and keeps what it sees. */
+/** Sends the requests of one case and records the answers. */
 export class CallerRun {
   readonly #plan: CasePlan;
-  readonly #runsOf: (call: string) => RawRequest[];
+  readonly #findRuns: (call: string) => RawRequest[];
 
-  constructor(plan: CasePlan, runsOf: (call: string) => RawRequest[]) {
+  constructor(plan: CasePlan, findRuns: (call: string) => RawRequest[]) {
     this.#plan = plan;
-    this.#runsOf = runsOf;
+    this.#findRuns = findRuns;
   }
 
-  /** Plays it at entries that are known by their addresses. */
-  async play(addresses: readonly string[]): Promise<SeenCall[]> {
-    const { call, entry, again, path } = this.#plan;
-    const seen: SeenCall[] = [];
-    const asksUntil = performance.now() + this.#plan.timeMs - LEAST_TIME_MS;
-    let after = 0;
-    for (const [index, place] of [entry, ...again].entries()) {
-      const name = index === 0 ? call : `${call}-${index}`;
-      const last = await this.#ask(addresses[place]!, { name, after });
-      seen.push(last);
-      after = lastEventOf(last);
-      const { end, status } = last.answer;
-      const goesOn = end === "broken" && path === "resume" &&
-        (status === OK || status === 0) && performance.now() < asksUntil;
-      if (!goesOn) {
+  /** Sends the request and its retries to the entries at the given addresses. */
+  async play(addresses: readonly string[]): Promise<ObservedCall[]> {
+    const { call, entry, retryEntries, path } = this.#plan;
+    const calls: ObservedCall[] = [];
+    const retryUntil = performance.now() + this.#plan.deadlineMs -
+      MIN_REMAINING_MS;
+    let lastEventId = 0;
+    for (const [index, entryIndex] of [entry, ...retryEntries].entries()) {
+      const callId = index === 0 ? call : `${call}-${index}`;
+      const observedCall = await this.#send(addresses[entryIndex]!, {
+        callId,
+        after: lastEventId,
+      });
+      calls.push(observedCall);
+      lastEventId = findLastEventId(observedCall);
+      const { end, status } = observedCall.answer;
+      const shouldRetry = end === "broken" && path === "resume" &&
+        (status === OK || status === 0) && performance.now() < retryUntil;
+      if (!shouldRetry) {
         break;
       }
     }
-    return seen;
+    return calls;
   }
 
-  async #ask(
+  async #send(
     address: string,
-    { name, after }: { name: string; after: number },
-  ): Promise<SeenCall> {
-    const { path, timeMs } = this.#plan;
-    const leaving = new AbortController();
+    { callId, after }: { callId: string; after: number },
+  ): Promise<ObservedCall> {
+    const { path, deadlineMs } = this.#plan;
+    const leaveController = new AbortController();
     const askedAt = performance.now();
     const answer: SeenAnswer = await askStream(address, {
-      call: name,
-      path: `/${path}/${name}`,
-      time: timeMs,
-      patience: PATIENCE_MS,
+      call: callId,
+      path: `/${path}/${callId}`,
+      time: deadlineMs,
+      patience: EXTRA_WAIT_MS,
       after: after === 0 ? undefined : after,
-      leave: leaving.signal,
-      onBytes: this.#reading(() => leaving.abort()),
+      leave: leaveController.signal,
+      onBytes: this.#createReadHandler(() => leaveController.abort()),
     });
     return {
       plan: this.#plan,
-      call: name,
+      call: callId,
       after,
       answer,
       address,
       askedAt,
       endedAt: performance.now(),
-      runs: this.#runsOf(name),
+      runs: this.#findRuns(callId),
     };
   }
 
-  /** How the caller reads: a slow one holds back once, and one may leave. */
-  #reading(
+  /** Returns a handler for received bytes: a slow caller stops reading once, a leaving one disconnects. */
+  #createReadHandler(
     leave: () => void,
   ): ((bytes: number) => Promise<void> | void) | undefined {
     const { caller } = this.#plan;
@@ -86,13 +93,13 @@
       return undefined;
     }
     let bytes = 0;
-    let held = false;
-    return (more) => {
-      bytes += more;
-      if (held || bytes < caller.after) {
+    let triggered = false;
+    return (chunkBytes) => {
+      bytes += chunkBytes;
+      if (triggered || bytes < caller.after) {
         return;
       }
-      held = true;
+      triggered = true;
       if (caller.kind === "leaves") {
         return leave();
       }
@@ -101,8 +108,8 @@
   }
 }
 
-/** Number of the last event that the caller has whole. */
-function lastEventOf({ after, answer }: SeenCall): number {
+/** Returns the id of the last event that the caller received completely. */
+function findLastEventId({ after, answer }: ObservedCall): number {
   const ids = [...answer.body.matchAll(/^id: (\d+)\r?\ndata: .*\r?\n\r?\n/gm)];
   return Number(ids.at(-1)?.[1] ?? after);
 }
--- a/soak/src/draw.ts
+++ b/soak/src/draw.ts
@@ -1,5 +1,5 @@
 /**
- * Draws of a plan, all from one seed.
+ * Random numbers from which plans are drawn, all derived from one seed.
  *
  * @module
  */
@@ -7,21 +7,21 @@
 
 const SEED_FACTOR = 1_000_003;
 
-/** Draws that are the same for the same seed and part. */
+/** A random generator that returns the same numbers for the same seed and sequence number. */
 export class Draw {
   readonly #random: SeededRandomness;
 
-  constructor(seed: number, part: number) {
-    this.#random = new SeededRandomness(seed * SEED_FACTOR + part);
+  constructor(seed: number, sequence: number) {
+    this.#random = new SeededRandomness(seed * SEED_FACTOR + sequence);
   }
 
-  /** A whole number from `least` to `most`, both included. */
-  between(least: number, most: number): number {
-    return least + Math.floor(this.#random.next() * (most - least + 1));
+  /** Draws an integer from `min` to `max`, both included. */
+  integer(min: number, max: number): number {
+    return min + Math.floor(this.#random.next() * (max - min + 1));
   }
 
-  /** A number in [0, 1). */
-  part(): number {
+  /** Draws a number in [0, 1). */
+  fraction(): number {
     return this.#random.next();
   }
 
@@ -30,6 +30,6 @@
   }
 
   pick<Item>(items: readonly Item[]): Item {
-    return items[this.between(0, items.length - 1)]!;
+    return items[this.integer(0, items.length - 1)]!;
   }
 }
--- a/soak/src/guard_list.ts
+++ b/soak/src/guard_list.ts
@@ -1,68 +1,68 @@
 /**
- * The guards that keep streams whole, and that the soak must miss.
+ * Guards that protect the integrity of streams. The soak test must fail when one of them is removed.
  *
  * @module
  */
 import type { Guard } from "@sassafrasstep/playground/guards";
 
-const GATEWAY = "packages/core/src/gateway";
-const SHELL = "packages/daemon/src/gateway";
+const CORE_GATEWAY = "packages/core/src/gateway";
+const DAEMON_GATEWAY = "packages/daemon/src/gateway";
 const POINT = "streams byte by byte";
 
-/** A guard, and the kinds of waves that are played without it. */
+/** A guard and the kinds of waves, separated by commas, that are played without it. */
 export interface SoakGuard extends Guard {
   readonly kinds: string;
 }
 
-const FAULTS = "stops,ends";
-const PAUSES = "stalls,pauses";
-const SLOW = "slow";
+const FAULT_KINDS = "stops,ends";
+const PAUSE_KINDS = "stalls,pauses";
+const SLOW_KINDS = "slow";
 
-/** Every guard that is checked. */
+/** All guards that the soak test checks. */
 export const SOAK_GUARDS: readonly SoakGuard[] = [
   {
     point: POINT,
-    kinds: FAULTS,
+    kinds: FAULT_KINDS,
     name: "what an attempt half received lives and dies with it",
-    file: `${SHELL}/outbound_call.ts`,
+    file: `${DAEMON_GATEWAY}/outbound_call.ts`,
     find: "this.#passage = new EventPassage(",
     replace:
       "const kept = this.#exchange as unknown as { passage?: EventPassage };\n      this.#passage = kept.passage ??= new EventPassage(",
   },
   {
     point: POINT,
-    kinds: FAULTS,
+    kinds: FAULT_KINDS,
     name: "an answer that ends inside an event is lost",
-    file: `${SHELL}/event_stream_reader.ts`,
+    file: `${DAEMON_GATEWAY}/event_stream_reader.ts`,
     find: "if (this.#cutter.unfinished > 0) {",
     replace: "if (this.#cutter.unfinished < 0) {",
   },
   {
     point: POINT,
-    kinds: FAULTS,
+    kinds: FAULT_KINDS,
     name: "a stream goes on only from a known position",
-    file: `${GATEWAY}/call.ts`,
+    file: `${CORE_GATEWAY}/call.ts`,
     find: "this.route.resumable && this.isEventStream && this.position.known;",
     replace: "this.route.resumable && this.isEventStream;",
   },
   {
     point: POINT,
-    kinds: FAULTS,
+    kinds: FAULT_KINDS,
     name: "a stream goes on only where its route allows it",
-    file: `${GATEWAY}/call.ts`,
+    file: `${CORE_GATEWAY}/call.ts`,
     find: "this.route.resumable && this.isEventStream && this.position.known;",
     replace: "this.isEventStream && this.position.known;",
     also: [{
-      file: `${GATEWAY}/call_recovery.ts`,
+      file: `${CORE_GATEWAY}/call_recovery.ts`,
       find: "call.possibleDeliveries < call.route.attempts &&",
       replace: "",
     }],
   },
   {
     point: POINT,
-    kinds: FAULTS,
+    kinds: FAULT_KINDS,
     name: "an attempt that was left says nothing more",
-    file: `${SHELL}/outbound_call.ts`,
+    file: `${DAEMON_GATEWAY}/outbound_call.ts`,
     find: `  abort(): void {
     if (this.#finished) {`,
     replace: `  abort(): void {
@@ -70,38 +70,38 @@
   },
   {
     point: POINT,
-    kinds: FAULTS,
+    kinds: FAULT_KINDS,
     name: "a torn event is kept back",
-    file: `${SHELL}/event_splitter.ts`,
+    file: `${DAEMON_GATEWAY}/event_splitter.ts`,
     find: "const end = lastBoundary(searched) - this.#tail.length;",
     replace:
       "const end = Math.max(chunk.length, lastBoundary(searched) - 9e9);",
     also: [{
-      file: `${SHELL}/event_splitter.ts`,
+      file: `${DAEMON_GATEWAY}/event_splitter.ts`,
       find: "const end = endOfEvents(text);",
       replace: "const end = Math.max(text.length, endOfEvents(text));",
     }],
   },
   {
     point: POINT,
-    kinds: FAULTS,
+    kinds: FAULT_KINDS,
     name: "a torn answer without a length is told from a whole one",
-    file: `${SHELL}/connection_pool.ts`,
+    file: `${DAEMON_GATEWAY}/connection_pool.ts`,
     find: "if (this.closeDelimited && isReset(socket)) {",
     replace: "if (this.closeDelimited && socket.errored && isReset(socket)) {",
   },
   {
     point: POINT,
-    kinds: FAULTS,
+    kinds: FAULT_KINDS,
     name: "a kept connection is not used while bytes of an answer may come",
-    file: `${SHELL}/outbound_call.ts`,
+    file: `${DAEMON_GATEWAY}/outbound_call.ts`,
     find: `    this.#controller?.abort(new Error("Attempt was given up"));
     this.#connection?.close();`,
     replace: "    this.#releaseConnection();",
   },
   {
     point: POINT,
-    kinds: PAUSES,
+    kinds: PAUSE_KINDS,
     name: "silence is counted while the process listens",
     file: "packages/core/src/listening/stall_adjusted_clock.ts",
     find: "elapsed -= duration;",
@@ -109,7 +109,7 @@
   },
   {
     point: POINT,
-    kinds: PAUSES,
+    kinds: PAUSE_KINDS,
     name: "what lies in the sockets is read before timers are served",
     file: "packages/daemon/src/timers/after_poll.ts",
     find: "immediate = setImmediate(run);",
@@ -117,33 +117,33 @@
   },
   {
     point: POINT,
-    kinds: SLOW,
+    kinds: SLOW_KINDS,
     name: "an attempt that is held back for its caller is not silent",
-    file: `${GATEWAY}/call_recovery.ts`,
+    file: `${CORE_GATEWAY}/call_recovery.ts`,
     find: "if (backpressureSince !== undefined) {",
     replace: "if (backpressureSince !== undefined && now < 0) {",
   },
   {
     point: POINT,
-    kinds: SLOW,
+    kinds: SLOW_KINDS,
     name: "an answer is broken off after what was written",
-    file: `${SHELL}/abort_reply.ts`,
+    file: `${DAEMON_GATEWAY}/abort_reply.ts`,
     find: "if (socket === null || !reply.headersSent) {",
     replace: "if (socket === null || reply.headersSent) {",
   },
   {
     point: POINT,
-    kinds: FAULTS,
+    kinds: FAULT_KINDS,
     name: "a stream is framed by its entry",
-    file: `${SHELL}/outbound_call.ts`,
+    file: `${DAEMON_GATEWAY}/outbound_call.ts`,
     find: 'headers: mode === "events" ? withoutLength(headers) : headers,',
     replace: "headers,",
   },
   {
     point: POINT,
-    kinds: FAULTS,
+    kinds: FAULT_KINDS,
     name: "503 is given for what did not run alone",
-    file: `${GATEWAY}/refusals.ts`,
+    file: `${CORE_GATEWAY}/refusals.ts`,
     find: 'const notRun = verdict.kind === "not_run";',
     replace: "const notRun = verdict.kind !== undefined;",
   },
--- a/soak/src/guards_main.ts
+++ b/soak/src/guards_main.ts
@@ -1,6 +1,7 @@
 /**
- * Takes out each guard in a copy of the project and soaks that: seeds must find it.
- * `npm run soak:guards [-- TEXT...]` prints which seed and wave found each.
+ * Removes each guard in a copy of the project and runs the soak test there, which must fail for one of the
+ * seeds. `npm run soak:guards [-- TEXT...]` prints the seed and wave that detected each removal; with TEXT,
+ * only guards whose names contain one of the texts are removed.
  *
  * @module
  */
@@ -17,45 +18,47 @@
 } from "@sassafrasstep/playground/guards";
 import { SOAK_GUARDS, type SoakGuard } from "./guard_list.ts";
 
-const SEEDS = "1-10";
-const PARALLEL = 3;
+const SEED_RANGE = "1-10";
+const WORKER_COUNT = 3;
 const MAX_OUTPUT_BYTES = 67_108_864;
-const run = promisify(execFile);
+const execFileAsync = promisify(execFile);
 
-const only = process.argv.slice(2);
-const waiting = SOAK_GUARDS.filter(({ name }) =>
-  only.length === 0 || only.some((text) => name.includes(text))
+const nameFilters = process.argv.slice(2);
+const queue = SOAK_GUARDS.filter(({ name }) =>
+  nameFilters.length === 0 || nameFilters.some((text) => name.includes(text))
 );
-let missed = 0;
-await Promise.all(Array.from({ length: PARALLEL }, work));
-console.log(`${missed} guards were not missed by seeds ${SEEDS}`);
-process.exitCode = missed === 0 ? 0 : 1;
+let undetectedCount = 0;
+await Promise.all(Array.from({ length: WORKER_COUNT }, processQueue));
+console.log(`${undetectedCount} guards were not missed by seeds ${SEED_RANGE}`);
+process.exitCode = undetectedCount === 0 ? 0 : 1;
 
-async function work(): Promise<void> {
+async function processQueue(): Promise<void> {
   for (
-    let guard = waiting.shift();
+    let guard = queue.shift();
     guard !== undefined;
-    guard = waiting.shift()
+    guard = queue.shift()
   ) {
     const fault = faultOfText(guard, ROOT);
-    const found = fault === undefined ? await soakWithout(guard) : undefined;
-    missed += found === undefined ? 1 : 0;
-    console.log(`${guard.name}: ${found ?? fault ?? "NOT FOUND"}`);
+    const detection = fault === undefined
+      ? await soakWithoutGuard(guard)
+      : undefined;
+    undetectedCount += detection === undefined ? 1 : 0;
+    console.log(`${guard.name}: ${detection ?? fault ?? "NOT FOUND"}`);
   }
 }
 
-/** The first broken promise, `undefined` where there was none. */
-async function soakWithout(guard: SoakGuard): Promise<string | undefined> {
+/** Returns the first violation that the soak test reports without the guard, `undefined` if there is none. */
+async function soakWithoutGuard(guard: SoakGuard): Promise<string | undefined> {
   const folder = mkdtempSync(join(tmpdir(), "sassafrasstep-soak-guard-"));
   try {
     copyProject(folder);
     takeOut(guard, folder);
     const tsc = join(ROOT, "node_modules/.bin/tsc");
-    await run(tsc, ["-b"], { cwd: folder });
+    await execFileAsync(tsc, ["-b"], { cwd: folder });
     const main = join(folder, "soak/dist/main.js");
     const { kinds } = guard;
-    const args = [main, "--seeds", SEEDS, "--first", "--kinds", kinds];
-    const output = await run(process.execPath, args, {
+    const args = [main, "--seeds", SEED_RANGE, "--first", "--kinds", kinds];
+    const output = await execFileAsync(process.execPath, args, {
       cwd: folder,
       maxBuffer: MAX_OUTPUT_BYTES,
       env: { ...process.env, TMPDIR: folder },
@@ -74,7 +77,9 @@
   if (output !== "" && !output.includes(" waves, ")) {
     return `did not run to its end: ${lines.at(-2)}`;
   }
-  const at = lines.findIndex((line) => line.startsWith("First broken promise"));
-  const wave = lines[at - 1]?.match(/seed \d+ wave \d+ \w+/)?.[0];
-  return at < 0 ? undefined : `${wave}: ${lines[at]}`;
+  const failureIndex = lines.findIndex((line) =>
+    line.startsWith("First broken promise")
+  );
+  const wave = lines[failureIndex - 1]?.match(/seed \d+ wave \d+ \w+/)?.[0];
+  return failureIndex < 0 ? undefined : `${wave}: ${lines[failureIndex]}`;
 }
--- a/soak/src/index.ts
+++ b/soak/src/index.ts
@@ -6,10 +6,10 @@
   type WavePlan,
 } from "./plan.ts";
 export {
-  type Broken,
-  brokenPromise,
-  type SeenCall,
-  unservedWave,
+  findUnservedWave,
+  findViolation,
+  type ObservedCall,
+  type Violation,
 } from "./promises.ts";
 export { type Regression, REGRESSIONS } from "./regressions.ts";
 export { playWave, type WaveResult } from "./wave.ts";
--- a/soak/src/main.ts
+++ b/soak/src/main.ts
@@ -1,7 +1,6 @@
 /**
- * The soak: streams over real sockets with faults from a seed, judged byte by byte.
- *
- * Exit code 1 says that a promise was broken.
+ * Command line of the soak test: plays streams over real sockets with faults drawn from a seed and checks every
+ * byte. The exit code is 1 if a guarantee was violated; reports call that a broken promise.
  *
  * @module
  */
@@ -25,8 +24,8 @@
     $ npm run soak -- --regressions          play all waves that ever failed
 
   Options
-    --kinds A,B  kinds of waves, all where it is not given
-    --first      end at the first broken promise
+    --kinds A,B  kinds of waves, default all
+    --first      stop at the first broken promise
     --entries K  entries of a wave, default 4
 `,
   {
@@ -44,75 +43,81 @@
   },
 );
 
-const { seed, minutes, seeds, replay, entries, first: atFirst } = cli.flags;
+const { seed, minutes, seeds, replay, entries, first: stopAtFirstFailure } =
+  cli.flags;
 const kinds = new Set(cli.flags.kinds.split(","));
-const failed: string[] = [];
-const began = performance.now();
-let waves = 0;
-for (const [each, wave] of places()) {
+const failedWaves: string[] = [];
+const startedAt = performance.now();
+let waveCount = 0;
+for (const [waveSeed, wave] of selectWaves()) {
   if (kinds.has(WAVE_KINDS[wave % WAVE_KINDS.length]!)) {
-    await play(each, wave);
+    await playAndReport(waveSeed, wave);
   }
-  if (atFirst && failed.length > 0) {
+  if (stopAtFirstFailure && failedWaves.length > 0) {
     break;
   }
 }
-console.log(`${waves} waves, ${failed.length} failed ${failed.join(" ")}`);
-// Sockets that were reset at the last moment can keep the runtime from ever ending by itself.
-process.exit(failed.length === 0 ? 0 : 1);
+console.log(
+  `${waveCount} waves, ${failedWaves.length} failed ${failedWaves.join(" ")}`,
+);
+// Sockets that were reset at the last moment can keep Node.js from exiting by itself.
+process.exit(failedWaves.length === 0 ? 0 : 1);
 
-/** Seeds and numbers of the waves to play. */
-function* places(): Generator<[number, number]> {
+/** Yields seed and number of each wave to play. */
+function* selectWaves(): Generator<[number, number]> {
   if (replay !== undefined) {
-    const [each, wave] = replay.split(":").map(Number);
-    yield [each!, wave ?? 0];
+    const [waveSeed, wave] = replay.split(":").map(Number);
+    yield [waveSeed!, wave ?? 0];
   } else if (cli.flags.regressions) {
     yield* REGRESSIONS.map(({ seed, wave }): [number, number] => [seed, wave]);
   } else if (seeds !== undefined) {
     const [first, last] = seeds.split("-").map(Number);
-    for (let each = first!; each <= (last ?? first!); each++) {
+    for (let waveSeed = first!; waveSeed <= (last ?? first!); waveSeed++) {
       for (let wave = 0; wave < WAVE_KINDS.length; wave++) {
-        yield [each, wave];
+        yield [waveSeed, wave];
       }
     }
   } else {
-    const end = began + minutes * MS_PER_MINUTE;
+    const end = startedAt + minutes * MS_PER_MINUTE;
     for (let wave = 0; performance.now() < end; wave++) {
       yield [seed, wave];
     }
   }
 }
 
-async function play(each: number, wave: number): Promise<void> {
-  const result = await playWave(planWave(each, { wave, entries }));
-  waves++;
-  console.log(progressOf(result));
+async function playAndReport(waveSeed: number, wave: number): Promise<void> {
+  const result = await playWave(planWave(waveSeed, { wave, entries }));
+  waveCount++;
+  console.log(formatProgress(result));
   if (result.broken.length > 0) {
-    failed.push(`${each}:${wave}`);
-    console.log(failureOf(result));
+    failedWaves.push(`${waveSeed}:${wave}`);
+    console.log(formatFailure(result));
   }
 }
 
-function progressOf({ plan, seen, broken }: WaveResult): string {
-  const ends = new Map<string, number>();
+function formatProgress({ plan, seen, broken }: WaveResult): string {
+  const outcomeCounts = new Map<string, number>();
   for (const { answer: { status, end } } of seen) {
-    const name = status === 200 ? end : String(status);
-    ends.set(name, (ends.get(name) ?? 0) + 1);
+    const outcome = status === 200 ? end : String(status);
+    outcomeCounts.set(outcome, (outcomeCounts.get(outcome) ?? 0) + 1);
   }
-  const runs = seen.reduce((sum, call) => sum + call.runs.length, 0);
-  const seconds = Math.round((performance.now() - began) / 1_000);
-  const all = [...ends].map(([name, count]) => `${count} ${name}`).join(", ");
-  return `${seconds} s  seed ${plan.seed} wave ${plan.wave} ${plan.kind}: ${seen.length} requests, ${runs} runs, ${all}, ${broken.length} broken promises`;
+  const runCount = seen.reduce((sum, call) => sum + call.runs.length, 0);
+  const seconds = Math.round((performance.now() - startedAt) / 1_000);
+  const outcomes = [...outcomeCounts].map(([name, count]) => `${count} ${name}`)
+    .join(", ");
+  return `${seconds} s  seed ${plan.seed} wave ${plan.wave} ${plan.kind}: ${seen.length} requests, ${runCount} runs, ${outcomes}, ${broken.length} broken promises`;
 }
 
-function failureOf({ plan, broken, folder }: WaveResult): string {
+function formatFailure({ plan, broken, folder }: WaveResult): string {
   const [first] = broken;
-  const found = plan.cases.find(({ call }) =>
+  const failedCase = plan.cases.find(({ call }) =>
     call === first!.call.split("-")[0]
   );
   return [
     `First broken promise: ${first!.call} ${first!.what}`,
-    ...(found === undefined ? [] : [`Its plan: ${JSON.stringify(found)}`]),
+    ...(failedCase === undefined
+      ? []
+      : [`Its plan: ${JSON.stringify(failedCase)}`]),
     `Whole plan, results and logs: ${folder}`,
     `Play it again: npm run soak -- --replay ${plan.seed}:${plan.wave} --entries ${plan.entries.length}`,
   ].join("\n");
--- a/soak/src/plan.ts
+++ b/soak/src/plan.ts
@@ -1,5 +1,6 @@
 /**
- * What a seed plays: waves of streams, each with what its runs, its caller and the entries do.
+ * Plans the waves of a seed: their streams with the behaviour of runs and callers, and the faults of entries,
+ * engines and the store.
  *
  * @module
  */
@@ -9,78 +10,88 @@
   type Stop,
 } from "@sassafrasstep/playground/bytes";
 import { Draw } from "./draw.ts";
-import { planRun, planTermsRuns, type RunPlan, wholeRun } from "./plan_runs.ts";
+import {
+  planCompleteRun,
+  planFailingRun,
+  planTermsRuns,
+  type RunPlan,
+} from "./plan_runs.ts";
 import { planRestore, type StoreRestore } from "./restores.ts";
 import { type EngineTerms, planTerms } from "./terms.ts";
 
-/** What the caller of a stream does. */
+/** How the caller of a stream behaves. */
 export type CallerPlan =
   | { readonly kind: "reads" }
-  /** Reads nothing for a while, once bytes have come. */
+  /** Stops reading for `holdMs` once it has received `after` bytes. */
   | { readonly kind: "slow"; readonly holdMs: number; readonly after: number }
+  /** Disconnects once it has received `after` bytes. */
   | { readonly kind: "leaves"; readonly after: number };
 
-/** One stream. */
+/** One stream: its caller, its events and its runs. */
 export interface CasePlan {
   readonly call: string;
   readonly path: "resume" | "once";
   readonly entry: number;
   readonly startMs: number;
-  readonly timeMs: number;
+  readonly deadlineMs: number;
   readonly events: number;
   readonly style: EventStyle;
   readonly caller: CallerPlan;
-  /** Entries at which the caller goes on by itself, in turn. */
-  readonly again: readonly number[];
-  /** First run, second and so on; the last one also for all further. */
+  /** Entries at which the caller resumes a broken stream by itself, in order. */
+  readonly retryEntries: readonly number[];
+  /** Plans of the runs in order; the last one also applies to all further runs. */
   readonly runs: readonly RunPlan[];
 }
 
-/** What is done to an entry's process. */
+/** A signal to the process of an entry. */
 export interface EntryEvent {
   readonly atMs: number;
   readonly entry: number;
   readonly kind: "pause" | "kill" | "stop";
-  /** Length of a pause. */
-  readonly forMs: number;
+  /** Length of a pause; unused for other kinds. */
+  readonly durationMs: number;
 }
 
-/** What a wave is about. */
+/** The kind of faults that a wave plays. */
 export type WaveKind =
-  /** Ways that streams stop, that attempts are left. */
+  /** Runs stop early in various ways, and attempts are abandoned. */
   | "stops"
-  /** The whole machine stands still while streams are under way. */
+  /** All processes stall while streams are in progress, as on a busy machine. */
   | "stalls"
-  /** Processes of entries are paused. */
+  /** Entry processes are paused. */
   | "pauses"
-  /** Processes of entries are paused, killed and stopped. */
+  /** Entry processes are paused, killed and stopped. */
   | "ends"
-  /** Callers read nothing for seconds, of streams that fill all that stands between. */
+  /** Callers stop reading for seconds, on streams that fill all buffers up to the engine. */
   | "slow"
-  /** Engines state limits, leave and want rest while entries are paused and killed. */
+  /** Engines state rate limits, leave or ask for rest while entries are paused, killed and stopped. */
   | "terms"
-  /** The store comes back from a copy while entries are paused and killed. */
+  /** The store is restored from a copy while entries are paused, killed and stopped. */
   | "restores";
 
-/** Streams that are under way together. */
+/** A set of streams that run at the same time, and the faults during them. */
 export interface WavePlan {
   readonly seed: number;
   readonly wave: number;
   readonly kind: WaveKind;
-  /** A region for each entry and each engine. */
+  /** Region of each entry. */
   readonly entries: readonly string[];
+  /** Region of each engine. */
   readonly engines: readonly string[];
-  /** Whether each entry is a process of its own. */
+  /** Whether each entry runs in its own process. */
   readonly processes: boolean;
   readonly cases: readonly CasePlan[];
   readonly entryEvents: readonly EntryEvent[];
   readonly terms: readonly EngineTerms[];
   readonly restore: StoreRestore | undefined;
-  /** When this process stands still, and for how long. */
-  readonly stalls: readonly { readonly atMs: number; readonly forMs: number }[];
+  /** When all processes stall, and for how long. */
+  readonly stalls: readonly {
+    readonly atMs: number;
+    readonly durationMs: number;
+  }[];
 }
 
-/** Kinds of waves in their order; a seed plays them over and over. */
+/** Kinds of waves in the order in which a seed plays them, repeatedly. */
 export const WAVE_KINDS: readonly WaveKind[] = [
   "stops",
   "stalls",
@@ -91,61 +102,64 @@
   "restores",
 ];
 /** Endpoints that a resumable stream may be sent to. */
-export const ATTEMPTS = 4;
-/** Timeout of the routes. */
-export const TIMEOUT_MS = 9_000;
+export const MAX_ATTEMPTS = 4;
+export const ROUTE_TIMEOUT_MS = 9_000;
 
-const NEAR = ["a", "a", "a", "a", "b", "b", "b", "b"];
-const FAR = ["b", "b", "b", "b", "b"];
-const PADDING = 16_000;
-/** Requests of a wave of terms, and the time over which they come. */
-const TERMS_CASES = 240;
-const TERMS_MS = 8_000;
-const TERMS_TIME_MS = 3_000;
-/** The same of a wave of restores: it ends later than the last change has to be in force. */
-const RESTORES_CASES = 300;
-const RESTORES_MS = 13_000;
+const ENGINES_IN_BOTH_REGIONS = ["a", "a", "a", "a", "b", "b", "b", "b"];
+const ENGINES_IN_REGION_B = ["b", "b", "b", "b", "b"];
+const LARGE_EVENT_PADDING_BYTES = 16_000;
+/** Number of requests in a `terms` wave, and the time span in which they start. */
+const TERMS_CASE_COUNT = 240;
+const TERMS_START_WINDOW_MS = 8_000;
+const TERMS_DEADLINE_MS = 3_000;
+/** The same for a `restores` wave. Requests still start after the last change must be in force. */
+const RESTORES_CASE_COUNT = 300;
+const RESTORES_START_WINDOW_MS = 13_000;
 
-/** The plan of one wave. */
+/** Plans one wave. */
 export function planWave(
   seed: number,
-  { wave, entries: count }: { wave: number; entries: number },
+  { wave, entries: entryCount }: { wave: number; entries: number },
 ): WavePlan {
   const draw = new Draw(seed, wave);
   const kind = WAVE_KINDS[wave % WAVE_KINDS.length]!;
   const entries = Array.from(
-    { length: count },
-    (_, index) => index < count / 2 ? "a" : "b",
+    { length: entryCount },
+    (_, index) => index < entryCount / 2 ? "a" : "b",
   );
-  const engines = draw.chance(0.4) ? FAR : NEAR;
-  const caseCount = {
+  const engines = draw.chance(0.4)
+    ? ENGINES_IN_REGION_B
+    : ENGINES_IN_BOTH_REGIONS;
+  const caseCounts = {
     stops: 24,
     stalls: 20,
     pauses: 20,
     ends: 20,
     slow: 6,
-    terms: TERMS_CASES,
-    restores: RESTORES_CASES,
+    terms: TERMS_CASE_COUNT,
+    restores: RESTORES_CASE_COUNT,
   };
   const cases = Array.from(
-    { length: caseCount[kind] },
+    { length: caseCounts[kind] },
     (_, index) =>
-      PLANNERS[kind](`s${seed}w${wave}c${index}`, {
+      CASE_PLANNERS[kind](`s${seed}w${wave}c${index}`, {
         draw,
-        entries: count,
-        lively: kind === "stops" || (kind === "ends" && draw.chance(0.4)),
+        entries: entryCount,
+        withRunFaults: kind === "stops" ||
+          (kind === "ends" && draw.chance(0.4)),
       }),
   );
-  const ending = kind === "ends" || kind === "terms" || kind === "restores";
-  const entryEvents = kind === "pauses" || ending
-    ? planEntryEvents(draw, { count, ending })
+  const terminatesEntries = kind === "ends" || kind === "terms" ||
+    kind === "restores";
+  const entryEvents = kind === "pauses" || terminatesEntries
+    ? planEntryEvents(draw, { entryCount, terminatesEntries })
     : [];
   const terms = kind === "terms" ? planTerms(draw, engines) : [];
   const restore = kind === "restores" ? planRestore(draw, engines) : undefined;
   const stalls = kind === "stalls"
     ? [600, 3_400].map((atMs) => ({
-      atMs: atMs + draw.between(0, 400),
-      forMs: draw.between(1_600, 2_400),
+      atMs: atMs + draw.integer(0, 400),
+      durationMs: draw.integer(1_600, 2_400),
     }))
     : [];
   const processes = entryEvents.length > 0 ||
@@ -167,7 +181,11 @@
 
 function planCase(
   call: string,
-  { draw, entries, lively }: { draw: Draw; entries: number; lively: boolean },
+  { draw, entries, withRunFaults }: {
+    draw: Draw;
+    entries: number;
+    withRunFaults: boolean;
+  },
 ): CasePlan {
   const style: EventStyle = {
     lineEnd: draw.pick(["\n", "\r\n"]),
@@ -176,79 +194,87 @@
     ids: draw.chance(0.9),
   };
   const path = draw.chance(0.75) ? "resume" : "once";
-  const entry = draw.between(0, entries - 1);
-  const again = draw.chance(0.5)
-    ? [draw.between(0, entries - 1), draw.between(0, entries - 1)]
+  const entry = draw.integer(0, entries - 1);
+  const retryEntries = draw.chance(0.5)
+    ? [draw.integer(0, entries - 1), draw.integer(0, entries - 1)]
     : [];
-  if (!lively) {
-    return planLongCase(call, { draw, style, path, entry, again });
+  if (!withRunFaults) {
+    return planUndisturbedCase(call, {
+      draw,
+      style,
+      path,
+      entry,
+      retryEntries,
+    });
   }
-  const events = draw.between(4, 16);
+  const events = draw.integer(4, 16);
   const runs = Array.from(
     { length: draw.pick([0, 1, 1, 2, 2, 3]) },
-    (_, index) => planRun(draw, index),
+    (_, index) => planFailingRun(draw, index),
   );
   return {
     call,
     path,
     entry,
-    again,
+    retryEntries,
     events,
     style,
-    startMs: draw.between(0, 300),
-    // A stream that can't go on elsewhere waits for its timeout where its engine falls silent.
-    timeMs: path === "once" || !style.ids || draw.chance(0.1)
-      ? draw.between(900, 2_500)
-      : TIMEOUT_MS,
+    startMs: draw.integer(0, 300),
+    // A stream that cannot be resumed waits out its deadline if its engine falls silent, so it gets a short one.
+    deadlineMs: path === "once" || !style.ids || draw.chance(0.1)
+      ? draw.integer(900, 2_500)
+      : ROUTE_TIMEOUT_MS,
     caller: planCaller(draw, events),
-    runs: [...runs, wholeRun(draw)],
+    runs: [...runs, planCompleteRun(draw)],
   };
 }
 
-/** A stream that nothing happens to but what happens to entries and machine. */
-function planLongCase(
+/** Plans a stream whose runs have no faults; only faults of entries and stalls affect it. */
+function planUndisturbedCase(
   call: string,
   { draw, ...rest }:
     & { draw: Draw }
-    & Pick<CasePlan, "style" | "path" | "entry" | "again">,
+    & Pick<CasePlan, "style" | "path" | "entry" | "retryEntries">,
 ): CasePlan {
-  const large = draw.chance(0.1);
-  const style = large ? { ...rest.style, padding: PADDING } : rest.style;
-  const events = large ? 300 : draw.between(3, 60);
+  const isLarge = draw.chance(0.1);
+  const style = isLarge
+    ? { ...rest.style, padding: LARGE_EVENT_PADDING_BYTES }
+    : rest.style;
+  const events = isLarge ? 300 : draw.integer(3, 60);
   const bytes = eventsOf(call, { count: events, style }).length;
-  const pace = draw.between(15, 60);
-  const piece = Math.ceil(bytes * pace / draw.between(2_000, 3_000));
-  const run = { ...wholeRun(draw), pace, piece };
+  const delayMs = draw.integer(15, 60);
+  const chunkBytes = Math.ceil(bytes * delayMs / draw.integer(2_000, 3_000));
+  const run = { ...planCompleteRun(draw), delayMs, chunkBytes };
   return {
     ...rest,
     call,
     style,
     events,
-    startMs: draw.between(0, 500),
-    timeMs: TIMEOUT_MS,
-    caller: large
-      ? { kind: "slow", holdMs: draw.between(1_700, 2_600), after: 200_000 }
+    startMs: draw.integer(0, 500),
+    deadlineMs: ROUTE_TIMEOUT_MS,
+    caller: isLarge
+      ? { kind: "slow", holdMs: draw.integer(1_700, 2_600), after: 200_000 }
       : { kind: "reads" },
     runs: [run],
   };
 }
 
-/** A stream of more bytes than sockets and buffers hold. */
+/** Plans a stream of more bytes than sockets and buffers hold. */
 function planSlowCase(
   call: string,
   { draw, entries }: { draw: Draw; entries: number },
 ): CasePlan {
-  const run = { ...wholeRun(draw), piece: 100_000, pace: 0 };
-  const cut: RunPlan = {
+  const run = { ...planCompleteRun(draw), chunkBytes: 100_000, delayMs: 0 };
+  const truncatedRun: RunPlan = {
     ...run,
     stop: draw.pick<Stop>(["closed", "reset"]),
-    part: 0.3 + draw.part() / 2,
+    stopFraction: 0.3 + draw.fraction() / 2,
   };
   return {
     call,
     path: draw.pick(["resume", "once"]),
-    entry: draw.between(0, entries - 1),
-    again: [],
+    entry: draw.integer(0, entries - 1),
+    retryEntries: [],
     events: 160,
     style: {
       lineEnd: "\n",
@@ -257,49 +283,52 @@
       ids: true,
       padding: 100_000,
     },
-    startMs: draw.between(0, 200),
-    timeMs: TIMEOUT_MS,
+    startMs: draw.integer(0, 200),
+    deadlineMs: ROUTE_TIMEOUT_MS,
     caller: {
       kind: "slow",
-      holdMs: draw.between(2_200, 3_500),
-      after: draw.between(1, 2_000_000),
+      holdMs: draw.integer(2_200, 3_500),
+      after: draw.integer(1, 2_000_000),
     },
-    runs: draw.chance(0.5) ? [run] : [cut, run],
+    runs: draw.chance(0.5) ? [run] : [truncatedRun, run],
   };
 }
 
-/** A short stream of a steady load. */
+/** Plans a short stream; many of them form a steady load. */
 function planTermsCase(
   call: string,
-  { draw, entries, within = TERMS_MS }: {
+  { draw, entries, startWindowMs = TERMS_START_WINDOW_MS }: {
     draw: Draw;
     entries: number;
-    within?: number;
+    startWindowMs?: number;
   },
 ): CasePlan {
   return {
     call,
     path: draw.pick(["resume", "once"]),
-    entry: draw.between(0, entries - 1),
-    again: [],
-    events: draw.between(2, 8),
+    entry: draw.integer(0, entries - 1),
+    retryEntries: [],
+    events: draw.integer(2, 8),
     style: { lineEnd: "\n", versions: false, comments: false, ids: true },
-    startMs: draw.between(0, within),
-    timeMs: TERMS_TIME_MS,
+    startMs: draw.integer(0, startWindowMs),
+    deadlineMs: TERMS_DEADLINE_MS,
     caller: { kind: "reads" },
     runs: planTermsRuns(draw),
   };
 }
 
-/** The same, over a longer time. */
+/** Plans a short stream that starts within the longer time span of a `restores` wave. */
 function planRestoresCase(
   call: string,
   options: { draw: Draw; entries: number },
 ): CasePlan {
-  return planTermsCase(call, { ...options, within: RESTORES_MS });
+  return planTermsCase(call, {
+    ...options,
+    startWindowMs: RESTORES_START_WINDOW_MS,
+  });
 }
 
-const PLANNERS = {
+const CASE_PLANNERS = {
   stops: planCase,
   stalls: planCase,
   pauses: planCase,
@@ -310,27 +339,30 @@
 } as const;
 
 function planCaller(draw: Draw, events: number): CallerPlan {
-  const after = draw.between(1, events * 30);
-  const roll = draw.part();
+  const afterBytes = draw.integer(1, events * 30);
+  const roll = draw.fraction();
   if (roll < 0.1) {
-    return { kind: "leaves", after };
+    return { kind: "leaves", after: afterBytes };
   }
   return roll < 0.25
-    ? { kind: "slow", holdMs: draw.between(200, 2_500), after }
+    ? { kind: "slow", holdMs: draw.integer(200, 2_500), after: afterBytes }
     : { kind: "reads" };
 }
 
 function planEntryEvents(
   draw: Draw,
-  { count, ending }: { count: number; ending: boolean },
+  { entryCount, terminatesEntries }: {
+    entryCount: number;
+    terminatesEntries: boolean;
+  },
 ): EntryEvent[] {
-  const first = draw.between(0, count - 1);
-  return Array.from({ length: ending ? 3 : 2 }, (_, index) => ({
-    atMs: 700 + draw.between(0, 1_200) + index * 300,
-    entry: (first + index) % count,
-    kind: ending && index !== 1
+  const firstEntry = draw.integer(0, entryCount - 1);
+  return Array.from({ length: terminatesEntries ? 3 : 2 }, (_, index) => ({
+    atMs: 700 + draw.integer(0, 1_200) + index * 300,
+    entry: (firstEntry + index) % entryCount,
+    kind: terminatesEntries && index !== 1
       ? draw.pick<EntryEvent["kind"]>(["kill", "stop"])
       : "pause",
-    forMs: draw.between(1_000, 4_000),
+    durationMs: draw.integer(1_000, 4_000),
   }));
 }
--- a/soak/src/plan_runs.ts
+++ b/soak/src/plan_runs.ts
@@ -1,77 +1,89 @@
 /**
- * What the runs of a stream do, in which an engine may fail it.
+ * Plans what engines do in each run of a stream, including how they fail.
  *
  * @module
  */
 import type { Framing, Stop } from "@sassafrasstep/playground/bytes";
 import type { Draw } from "./draw.ts";
 
-/** What is done to an engine, or to all, once a run has come to its stop. */
+/** A change to an engine or to the route, made when a run reaches the byte at which it stops. */
 export type Disturbance =
-  /** Another life of the engine is told in the store. */
+  /** The store announces another life of the engine, as after a restart. */
   | "born"
-  /** Its record goes from the store. */
+  /** The engine's record is removed from the store. */
   | "removed"
-  /** Its port is closed, and connections that are open stay. */
+  /** The engine's port is closed; open connections stay. */
   | "refused"
-  /** The route allows fewer endpoints. */
+  /** The route allows one attempt fewer. */
   | "fewer"
-  /** The route's streams may not be resumed any more. */
+  /** The route no longer allows streams to be resumed. */
   | "unresumable"
-  /** The route stands elsewhere. */
+  /** The route moves to another path. */
   | "moved";
 
-/** What one run of a stream does. */
+/** What an engine does in one run of a stream. */
 export interface RunPlan {
   readonly stop: Stop;
   readonly framing: Framing;
-  /** Part of its bytes after which it stops. */
-  readonly part: number;
-  /** Whether it stops at the end of an event. */
-  readonly aligned: boolean;
-  readonly piece: number;
-  readonly pace: number;
+  /** Fraction of the body's bytes after which the run stops. */
+  readonly stopFraction: number;
+  /** Whether the run stops at the end of an event. */
+  readonly atEventEnd: boolean;
+  /** Bytes per write. */
+  readonly chunkBytes: number;
+  /** Delay between writes. */
+  readonly delayMs: number;
+  /** Status that is answered instead of a stream. */
   readonly status?: number;
+  /** Whether the answer says that the request did not run. */
   readonly notRun?: boolean;
   readonly disturbance?: Disturbance;
 }
 
-/** Some break off or are turned away first, so that repeats and resumed streams meet the terms too. */
+/**
+ * Plans the runs of a stream in a `terms` or `restores` wave. Some break off or are rejected first, so that the
+ * terms are also tested with retries and resumed streams.
+ */
 export function planTermsRuns(draw: Draw): RunPlan[] {
-  const whole = { ...wholeRun(draw), piece: 20, pace: 5 };
-  const roll = draw.part();
+  const completeRun = { ...planCompleteRun(draw), chunkBytes: 20, delayMs: 5 };
+  const roll = draw.fraction();
   if (roll < 0.2) {
     const stop = draw.pick<Stop>(["closed", "reset"]);
-    return [{ ...whole, framing: "chunked", stop, part: draw.part() }, whole];
+    return [{
+      ...completeRun,
+      framing: "chunked",
+      stop,
+      stopFraction: draw.fraction(),
+    }, completeRun];
   }
   return roll < 0.3
-    ? [{ ...whole, status: 503, notRun: true }, whole]
-    : [whole];
+    ? [{ ...completeRun, status: 503, notRun: true }, completeRun]
+    : [completeRun];
 }
 
-/** A run that ends as it should. */
-export function wholeRun(draw: Draw): RunPlan {
+/** Plans a run that completes. */
+export function planCompleteRun(draw: Draw): RunPlan {
   return {
     stop: "whole",
     framing: draw.pick(["chunked", "chunked", "length", "none"]),
-    part: 1,
-    aligned: false,
-    piece: draw.pick([1, 7, 20, 60, 100_000]),
-    pace: draw.pick([0, 0, 1, 5]),
+    stopFraction: 1,
+    atEventEnd: false,
+    chunkBytes: draw.pick([1, 7, 20, 60, 100_000]),
+    delayMs: draw.pick([0, 0, 1, 5]),
   };
 }
 
-const REFUSALS = [
+const ERROR_ANSWERS = [
   { status: 500 },
   { status: 503, notRun: true },
   { status: 421, notRun: true },
 ];
 
-/** A run that stops; a later one may also be refused, or fail. */
-export function planRun(draw: Draw, index: number): RunPlan {
-  const base = wholeRun(draw);
+/** Plans a run that stops early; runs after the first may be answered with an error status instead. */
+export function planFailingRun(draw: Draw, index: number): RunPlan {
+  const base = planCompleteRun(draw);
   if (index > 0 && draw.chance(0.35)) {
-    return { ...base, ...draw.pick(REFUSALS) };
+    return { ...base, ...draw.pick(ERROR_ANSWERS) };
   }
   const stop = draw.pick<Stop>([
     "ended",
@@ -84,9 +96,9 @@
   const stopped = {
     ...base,
     stop,
-    part: draw.part(),
-    aligned: draw.chance(0.2),
-    pace: draw.pick([0, 0, 1]),
+    stopFraction: draw.fraction(),
+    atEventEnd: draw.chance(0.2),
+    delayMs: draw.pick([0, 0, 1]),
   };
   return stop === "silent" && draw.chance(0.3)
     ? {
--- a/soak/src/promises.ts
+++ b/soak/src/promises.ts
@@ -1,5 +1,5 @@
 /**
- * What callers and engines must have seen of a wave, whatever happened.
+ * Checks the guarantees that hold for every call, whatever faults a wave plays. Reports call them promises.
  *
  * @module
  */
@@ -9,150 +9,159 @@
   type RawRequest,
   type SeenAnswer,
 } from "@sassafrasstep/playground/bytes";
-import { ATTEMPTS, type CasePlan, type WavePlan } from "./plan.ts";
-import { looksWhole } from "./script.ts";
+import { type CasePlan, MAX_ATTEMPTS, type WavePlan } from "./plan.ts";
+import { isIndistinguishableFromWhole } from "./script.ts";
 
-/** One request of a caller, and what became of it. */
-export interface SeenCall {
+/** One request of a caller, its answer and its runs. */
+export interface ObservedCall {
   readonly plan: CasePlan;
   readonly call: string;
-  /** Last event that the caller had when it asked. */
+  /** Id of the last event that the caller had when it sent the request. */
   readonly after: number;
   readonly answer: SeenAnswer;
-  /** Where it was asked. */
+  /** Address of the entry that received the request. */
   readonly address: string;
   readonly askedAt: number;
   readonly endedAt: number;
   readonly runs: readonly RawRequest[];
 }
 
-/** What was done to the entries of a wave, by their addresses for callers. */
+/** Kills and pauses of the entries of a wave, keyed by the address that serves callers. */
 export interface EntryHistory {
   readonly killed: Set<string>;
-  /** When each paused entry went on. */
-  readonly wentOnAt: Map<string, number>;
+  /** When each paused entry resumed. */
+  readonly resumedAt: Map<string, number>;
 }
 
-/** A promise that was not kept. */
-export interface Broken {
+/** A violated guarantee: the call or engine, and a description for the report. */
+export interface Violation {
   readonly call: string;
   readonly what: string;
 }
 
 const OK = 200;
-/** Statuses that say that the request did not run. */
-const NOT_RUN: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** Between the timeout and the end that a caller sees. */
-const LATE_END_MS = 1_500;
-/** One of so many undisturbed streams has to end whole, at the least. */
-const LEAST_SERVED_PART = 2;
-/** An entry may have sent a request on before it hears that its caller is gone. */
-const LATE_RUN_MS = 500;
+/** Statuses that state that the request did not run. */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Longest time between a caller's deadline and the end of the answer that it observes. */
+const MAX_END_DELAY_MS = 1_500;
+/** At least one of this many undisturbed streams must be completed. */
+const MAX_STREAMS_PER_SERVED = 2;
+/** An entry may have forwarded a request before it learns that the caller has disconnected. */
+const MAX_RUN_DELAY_MS = 500;
 
-/** The first promise that a request's end breaks. */
-export function brokenPromise(
-  seen: SeenCall,
+/** Returns the first violation of a call, `undefined` if there is none. */
+export function findViolation(
+  observedCall: ObservedCall,
   { kind, history }: Pick<WavePlan, "kind"> & {
     history: Readonly<EntryHistory>;
   },
 ): string | undefined {
-  return bodyFault(seen, history) ?? endFault(seen, history) ??
-    runsFault(seen) ??
-    (onlyPaused(seen, kind) ? stallFault(seen) : undefined);
+  return findBodyViolation(observedCall, history) ??
+    findEndViolation(observedCall, history) ??
+    findRunViolation(observedCall) ??
+    (isOnlyPaused(observedCall, kind)
+      ? findPauseViolation(observedCall)
+      : undefined);
 }
 
-function bodyFault(
-  { plan, call, after, answer, address }: SeenCall,
+function findBodyViolation(
+  { plan, call, after, answer, address }: ObservedCall,
   { killed }: Readonly<EntryHistory>,
 ): string | undefined {
   if (answer.status !== OK) {
     return undefined;
   }
   const { style, events } = plan;
-  const whole = eventsOf(call, { count: events, after, style });
-  const fault = faultOf(answer, { whole, style });
-  // A body without framing that is closed in order after an event can't be told from a whole one. This
-  // exact case alone is left out.
-  const untold = answer.end === "whole" && whole.startsWith(answer.body) &&
-    plan.runs.some((run) => looksWhole(answer.body, run, style));
-  // Of what a process wrote the system may have taken a part only, as its caller didn't read, when the
-  // process was killed. Such an answer may end anywhere, but it is told as broken.
-  const cut = killed.has(address) && style.padding !== undefined &&
-    answer.end === "broken" && whole.startsWith(answer.body);
-  return untold || cut ? undefined : fault;
+  const expectedBody = eventsOf(call, { count: events, after, style });
+  const fault = faultOf(answer, { whole: expectedBody, style });
+  // Without framing, a body whose connection is closed in order after a complete event cannot be
+  // distinguished from a complete one. Only exactly this case is exempt.
+  const indistinguishable = answer.end === "whole" &&
+    expectedBody.startsWith(answer.body) &&
+    plan.runs.some((run) =>
+      isIndistinguishableFromWhole(answer.body, run, style)
+    );
+  // If an entry is killed while its caller is not reading, the operating system may have accepted only a part
+  // of what the entry wrote. Such an answer may end anywhere, but the caller must see it as broken.
+  const truncatedByKill = killed.has(address) && style.padding !== undefined &&
+    answer.end === "broken" && expectedBody.startsWith(answer.body);
+  return indistinguishable || truncatedByKill ? undefined : fault;
 }
 
-/** A process that is paused, or a caller that doesn't read, can't hear of the end before it goes on. */
-function endFault(
-  { plan, answer, address, askedAt, endedAt }: SeenCall,
-  { wentOnAt }: Readonly<EntryHistory>,
+/** Allows for paused entries and callers that are not reading: both notice an end only after they resume. */
+function findEndViolation(
+  { plan, answer, address, askedAt, endedAt }: ObservedCall,
+  { resumedAt }: Readonly<EntryHistory>,
 ): string | undefined {
-  const held = plan.caller.kind === "slow" ? plan.caller.holdMs : 0;
-  const due = Math.max(
-    askedAt + plan.timeMs,
-    wentOnAt.get(address) ?? 0,
-  ) + held + LATE_END_MS;
-  return answer.end === "open" || endedAt > due
+  const holdMs = plan.caller.kind === "slow" ? plan.caller.holdMs : 0;
+  const latestEndAt = Math.max(
+    askedAt + plan.deadlineMs,
+    resumedAt.get(address) ?? 0,
+  ) + holdMs + MAX_END_DELAY_MS;
+  return answer.end === "open" || endedAt > latestEndAt
     ? `ended ${
       Math.round(endedAt - askedAt)
-    } ms after it was asked for ${plan.timeMs}`
+    } ms after it was asked for ${plan.deadlineMs}`
     : undefined;
 }
 
-function runsFault(
-  { plan, answer, runs, endedAt }: SeenCall,
+function findRunViolation(
+  { plan, answer, runs, endedAt }: ObservedCall,
 ): string | undefined {
-  const most = plan.path === "resume" ? ATTEMPTS : 1;
-  if (runs.length > most) {
-    return `ran ${runs.length} times for ${most}`;
+  const maxRuns = plan.path === "resume" ? MAX_ATTEMPTS : 1;
+  if (runs.length > maxRuns) {
+    return `ran ${runs.length} times for ${maxRuns}`;
   }
-  if (NOT_RUN.has(answer.status) && runs.length > 0) {
+  if (NOT_RUN_STATUSES.has(answer.status) && runs.length > 0) {
     return `answered ${answer.status} and ran`;
   }
-  return runs.some(({ at }) => at > endedAt + LATE_RUN_MS)
+  return runs.some(({ at }) => at > endedAt + MAX_RUN_DELAY_MS)
     ? "ran after its end"
     : undefined;
 }
 
-/** Whether nothing happened to a stream but pauses, of ours or of its caller. */
-function onlyPaused({ plan }: SeenCall, kind: WavePlan["kind"]): boolean {
+/** Whether pauses of processes or of the caller were the only disturbances of a stream. */
+function isOnlyPaused({ plan }: ObservedCall, kind: WavePlan["kind"]): boolean {
   return kind === "stalls" || kind === "pauses" ||
     (kind === "slow" && plan.runs.length === 1);
 }
 
-function stallFault({ answer, runs }: SeenCall): string | undefined {
+function findPauseViolation(
+  { answer, runs }: ObservedCall,
+): string | undefined {
   if (runs.length > 1) {
     return `ran ${runs.length} times because of a pause`;
   }
   const answered = answer.status === OK && answer.end === "whole";
-  return answered || NOT_RUN.has(answer.status)
+  return answered || NOT_RUN_STATUSES.has(answer.status)
     ? undefined
     : `ended ${answer.end} with status ${answer.status} because of a pause`;
 }
 
 /**
- * Whether hardly any of the streams that nothing disturbs is served: where every stream breaks visibly, each
- * of them by itself keeps its promises.
+ * Reports a wave that completes too few of its undisturbed streams. Without this check, a gateway that visibly
+ * breaks every stream would pass, because each call by itself violates no guarantee.
  */
-export function unservedWave(
-  seen: readonly SeenCall[],
+export function findUnservedWave(
+  calls: readonly ObservedCall[],
   kind: WavePlan["kind"],
-): Broken | undefined {
-  const undisturbed = seen.filter(({ plan: { caller, runs } }) =>
+): Violation | undefined {
+  const undisturbed = calls.filter(({ plan: { caller, runs } }) =>
     caller.kind === "reads" && runs[0]!.stop === "whole" &&
     (runs[0]!.status ?? OK) === OK
   );
-  const whole =
+  const servedCount =
     undisturbed.filter(({ answer }) =>
       answer.status === OK && answer.end === "whole"
     ).length;
-  const few = whole * LEAST_SERVED_PART < undisturbed.length;
-  const endsEntries = kind === "ends" || kind === "terms" ||
+  const tooFew = servedCount * MAX_STREAMS_PER_SERVED < undisturbed.length;
+  const terminatesEntries = kind === "ends" || kind === "terms" ||
     kind === "restores";
-  return !endsEntries && undisturbed.length > 0 && few
+  return !terminatesEntries && undisturbed.length > 0 && tooFew
     ? {
       call: undisturbed[0]!.call,
-      what: `${whole} of ${undisturbed.length} undisturbed streams ended whole`,
+      what:
+        `${servedCount} of ${undisturbed.length} undisturbed streams ended whole`,
     }
     : undefined;
 }
--- a/soak/src/regressions.ts
+++ b/soak/src/regressions.ts
@@ -1,54 +1,63 @@
 /**
- * Waves that once broke a promise. They stay as they are, each with its cause.
+ * Waves that once violated a guarantee, each with its cause. These definitions are never changed.
  *
  * @module
  */
 
-/** One wave, of four entries. */
+/** A wave that is played with four entries. */
 export interface Regression {
   readonly seed: number;
   readonly wave: number;
   readonly cause: string;
-  /** Whether each run of the tests plays it; the others are played by `npm run soak -- --regressions`. */
+  /** Whether the test suite plays the wave. `npm run soak -- --regressions` plays all of them. */
   readonly quick: boolean;
 }
 
-const JOINED =
-  "bytes that an attempt half received stood before the next one's first event";
-const INSIDE = "an answer whose framing ended inside an event was told whole";
-const COMMENT = "a comment before a torn event came again from the next engine";
-const STALL = "engines were judged silent by a clock that ran on in a stall";
-const PAUSE = "engines were judged silent by an entry that had been paused";
+const LEFTOVER_BYTES =
+  "partial bytes of a lost attempt preceded the first event of the next attempt";
+const TORN_ANSWER_ACCEPTED =
+  "an answer whose framing ended inside an event was reported as complete";
+const REPEATED_COMMENT =
+  "a comment before a torn event was repeated by the next engine";
+const STALLED_CLOCK =
+  "engines were considered silent by a clock that kept running during a stall";
+const PAUSED_ENTRY =
+  "engines were considered silent by an entry that had been paused";
 
-/** Every wave that ever failed. */
+/** All waves that ever failed. */
 export const REGRESSIONS: readonly Regression[] = [
-  { seed: 4, wave: 0, cause: JOINED, quick: true },
-  { seed: 1, wave: 0, cause: `${INSIDE}; ${COMMENT}`, quick: true },
-  { seed: 1, wave: 1, cause: STALL, quick: true },
-  { seed: 2, wave: 2, cause: PAUSE, quick: true },
-  { seed: 4, wave: 3, cause: COMMENT, quick: true },
+  { seed: 4, wave: 0, cause: LEFTOVER_BYTES, quick: true },
+  {
+    seed: 1,
+    wave: 0,
+    cause: `${TORN_ANSWER_ACCEPTED}; ${REPEATED_COMMENT}`,
+    quick: true,
+  },
+  { seed: 1, wave: 1, cause: STALLED_CLOCK, quick: true },
+  { seed: 2, wave: 2, cause: PAUSED_ENTRY, quick: true },
+  { seed: 4, wave: 3, cause: REPEATED_COMMENT, quick: true },
   ...[2, 5, 6, 9, 10, 14, 15].map((seed) => ({
     seed,
     wave: 0,
-    cause: COMMENT,
+    cause: REPEATED_COMMENT,
     quick: false,
   })),
   ...[2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16].map((seed) => ({
     seed,
     wave: 1,
-    cause: STALL,
+    cause: STALLED_CLOCK,
     quick: false,
   })),
   ...[1, 3, 5, 6, 7, 8, 10, 11, 12, 14, 16].map((seed) => ({
     seed,
     wave: 2,
-    cause: PAUSE,
+    cause: PAUSED_ENTRY,
     quick: false,
   })),
   ...[3, 7, 9, 11, 15, 16].map((seed) => ({
     seed,
     wave: 3,
-    cause: COMMENT,
+    cause: REPEATED_COMMENT,
     quick: false,
   })),
 ];
--- a/soak/src/restores.ts
+++ b/soak/src/restores.ts
@@ -1,5 +1,5 @@
 /**
- * A store that comes back from a copy while streams are under way, and what engines may get after it.
+ * Restores the store from a copy during a wave and checks which requests engines receive afterwards.
  *
  * @module
  */
@@ -7,60 +7,60 @@
 import type { ByteFleet, RawEngine } from "@sassafrasstep/playground/bytes";
 import type { Draw } from "./draw.ts";
 
-/** One absence of the store, and the changes around it. Engines are given by their index. */
+/** An outage of the store that ends with a restore from a copy, and changes around it. Engines are indexes. */
 export interface StoreRestore {
   readonly copyAtMs: number;
-  /** Records that are written after the copy, and lost. */
-  readonly lost: number;
-  /** Its record is removed after the copy, which has it again. */
-  readonly gone: number;
-  readonly awayAtMs: number;
+  /** Number of writes after the copy, which the restore loses. The same number follows the restore. */
+  readonly lostWrites: number;
+  /** Engine whose record is removed after the copy, and which the restore brings back. */
+  readonly removedAfterCopy: number;
+  readonly outageAtMs: number;
   readonly fault: "silent" | "busy" | "reset";
-  readonly forMs: number;
-  /** Between the return and the next changes. */
-  readonly calmMs: number;
-  /** Says after the return that it leaves. */
+  readonly outageMs: number;
+  /** Time between the restore and the next changes. */
+  readonly recoveryMs: number;
+  /** Engine that announces after the restore that it leaves. */
   readonly leaving: number;
-  /** Its record is removed after the return. */
-  readonly removed: number;
+  /** Engine whose record is removed after the restore. */
+  readonly removedAfterRestore: number;
 }
 
-/** Within this an acknowledged change is in force. */
-const BOUND_MS = 4_000;
-/** An entry that is paused or starts anew may send once more before it has read. */
-const MOST_LATE = 4;
-/** Until the platform removes the record of an engine that no longer writes. */
-const SILENT_RECORD_MS = 3_000;
+/** An acknowledged change must be in force within this time. */
+const MAX_PROPAGATION_MS = 4_000;
+/** An entry that is paused or restarts may send one more request before it has read the change. */
+const MAX_LATE_REQUESTS = 4;
+/** Time until the platform removes the record of an engine that no longer writes to the store. */
+const RECORD_EXPIRY_MS = 3_000;
 
-/** An absence, after which some engine of each region is left. */
+/** Plans an outage after which every region still has an engine. */
 export function planRestore(
   draw: Draw,
   regions: readonly string[],
 ): StoreRestore {
-  const near = regions.indexOf(regions[0]!);
-  const far = regions.lastIndexOf(regions.at(-1)!);
-  const copyAtMs = draw.between(300, 1_000);
+  const firstOfFirstRegion = regions.indexOf(regions[0]!);
+  const lastOfLastRegion = regions.lastIndexOf(regions.at(-1)!);
+  const copyAtMs = draw.integer(300, 1_000);
   return {
     copyAtMs,
-    lost: draw.between(1, 8),
-    gone: near + 1,
-    awayAtMs: copyAtMs + draw.between(800, 2_500),
+    lostWrites: draw.integer(1, 8),
+    removedAfterCopy: firstOfFirstRegion + 1,
+    outageAtMs: copyAtMs + draw.integer(800, 2_500),
     fault: draw.pick(["silent", "busy", "reset"]),
-    forMs: draw.pick([0, 50, 300, 1_000, 2_000]),
-    calmMs: draw.between(0, 2_000),
-    leaving: far,
-    removed: far - 1,
+    outageMs: draw.pick([0, 50, 300, 1_000, 2_000]),
+    recoveryMs: draw.integer(0, 2_000),
+    leaving: lastOfLastRegion,
+    removedAfterRestore: lastOfLastRegion - 1,
   };
 }
 
-/** What a wave has seen of its restore. */
-export interface SeenRestore {
+/** What was observed of the restore in a wave. */
+export interface ObservedRestore {
   readonly plan: StoreRestore;
-  /** When the changes after the return were acknowledged. */
+  /** When the store acknowledged the changes after the restore. */
   readonly changedAt: number;
 }
 
-/** Plays it when the time comes. */
+/** Plays the outage, the restore and the changes at the planned times. */
 export async function playRestore(
   { store, engines, publish, withdraw }: {
     store: ByteFleet["store"];
@@ -69,42 +69,45 @@
     withdraw: (engine: number) => void;
   },
   plan: StoreRestore,
-): Promise<SeenRestore> {
-  const { lost, gone, leaving, removed } = plan;
-  const beats = (from: number): void => {
-    for (let beat = 0; beat < lost; beat++) {
-      publish(engines.length - 3, { sequence: from + beat });
+): Promise<ObservedRestore> {
+  const { lostWrites, removedAfterCopy, leaving, removedAfterRestore } = plan;
+  const writeHeartbeats = (firstSequence: number): void => {
+    for (let index = 0; index < lostWrites; index++) {
+      publish(engines.length - 3, { sequence: firstSequence + index });
     }
   };
   await pause(plan.copyAtMs);
   const copy = store.copy();
-  beats(2);
-  withdraw(gone);
-  await pause(plan.awayAtMs - plan.copyAtMs);
+  writeHeartbeats(2);
+  withdraw(removedAfterCopy);
+  await pause(plan.outageAtMs - plan.copyAtMs);
   store.fault = plan.fault;
-  await pause(plan.forMs);
+  await pause(plan.outageMs);
   store.restore(copy);
   store.fault = "none";
-  await pause(plan.calmMs);
+  await pause(plan.recoveryMs);
   publish(leaving, { sequence: 2, state: "draining" });
-  withdraw(removed);
+  withdraw(removedAfterRestore);
   const changedAt = performance.now();
-  beats(2 + lost);
-  await pause(SILENT_RECORD_MS);
-  withdraw(gone);
+  writeHeartbeats(2 + lostWrites);
+  await pause(RECORD_EXPIRY_MS);
+  withdraw(removedAfterCopy);
   return { plan, changedAt };
 }
 
-/** What engines got against what the store had acknowledged. */
-export function brokenRestore(
-  { plan: { leaving, removed, gone }, changedAt }: SeenRestore,
+/** Finds engines that received too many requests after their acknowledged departure or removal took effect. */
+export function findRestoreViolations(
+  { plan: { leaving, removedAfterRestore, removedAfterCopy }, changedAt }:
+    ObservedRestore,
   engines: readonly RawEngine[],
 ): readonly { engine: string; what: string }[] {
-  return [leaving, removed, gone].flatMap((index) => {
+  return [leaving, removedAfterRestore, removedAfterCopy].flatMap((index) => {
     const { id, arrivals } = engines[index]!;
-    const late = arrivals.filter((at) => at >= changedAt + BOUND_MS).length;
+    const lateCount = arrivals.filter((at) =>
+      at >= changedAt + MAX_PROPAGATION_MS
+    ).length;
     const what =
-      `${late} requests later than ${BOUND_MS} ms after it left or was gone`;
-    return late > MOST_LATE ? [{ engine: id, what }] : [];
+      `${lateCount} requests later than ${MAX_PROPAGATION_MS} ms after it left or was gone`;
+    return lateCount > MAX_LATE_REQUESTS ? [{ engine: id, what }] : [];
   });
 }
--- a/soak/src/script.ts
+++ b/soak/src/script.ts
@@ -1,5 +1,5 @@
 /**
- * Turns the plan of a run into what an engine does.
+ * Turns the plan of a run into the script that an engine plays.
  *
  * @module
  */
@@ -12,8 +12,8 @@
 import type { CasePlan } from "./plan.ts";
 import type { RunPlan } from "./plan_runs.ts";
 
-/** The run's script; `onStop` is called where the plan disturbs something. */
-export function scriptOf(
+/** Creates the script of a run; `onStop` makes the disturbance that the plan has, if any. */
+export function createScript(
   { events, style }: CasePlan,
   run: RunPlan,
   { call, after, onStop }: Pick<RawRequest, "call" | "after"> & {
@@ -21,26 +21,27 @@
   },
 ): RunScript {
   const body = eventsOf(call, { count: events, after, style });
-  const { stop, framing, piece, pace, status, notRun } = run;
-  const stopAt = stopOf(body, run, style);
-  // Nothing tells a caller that an answer which its framing ends after an event is not the whole one.
-  const silent = stop === "ended" && stopAt === undefined;
+  const { stop, framing, chunkBytes, delayMs, status, notRun } = run;
+  const stopAt = findStopOffset(body, run, style);
+  // If the framing ended the body after a complete event, no caller could tell that the answer is incomplete.
+  // Such a run falls silent instead.
+  const staysSilent = stop === "ended" && stopAt === undefined;
   return {
     events,
     style,
     framing,
-    piece,
-    pace,
+    piece: chunkBytes,
+    pace: delayMs,
     status,
     notRun,
     onStop,
-    stop: silent ? "silent" : stop,
+    stop: staysSilent ? "silent" : stop,
     stopAt: stopAt ?? 0,
   };
 }
 
-/** Whether a body ends where the framing of a run couldn't tell it from a whole one. */
-export function looksWhole(
+/** Whether a body ends where the framing of the run cannot distinguish it from a complete one. */
+export function isIndistinguishableFromWhole(
   body: string,
   { framing, stop }: RunPlan,
   { lineEnd }: EventStyle,
@@ -49,23 +50,25 @@
     body.endsWith(lineEnd + lineEnd);
 }
 
-/** Bytes before the stop; `undefined` where the framing would end after an event. */
-function stopOf(
+/** Returns the number of bytes before the stop, `undefined` if the framing would end after a complete event. */
+function findStopOffset(
   body: string,
-  { part, aligned, framing, stop }: RunPlan,
+  { stopFraction, atEventEnd, framing, stop }: RunPlan,
   { lineEnd }: EventStyle,
 ): number | undefined {
-  const blank = lineEnd + lineEnd;
-  const at = Math.floor(part * body.length);
-  if (aligned && stop !== "ended") {
-    const boundary = body.lastIndexOf(blank, at);
-    return boundary < 0 ? 0 : boundary + blank.length;
+  const eventEnd = lineEnd + lineEnd;
+  const offset = Math.floor(stopFraction * body.length);
+  if (atEventEnd && stop !== "ended") {
+    const lastEventEnd = body.lastIndexOf(eventEnd, offset);
+    return lastEventEnd < 0 ? 0 : lastEventEnd + eventEnd.length;
   }
-  const ends = stop === "ended" && framing === "chunked";
-  const inside = (end: number): boolean =>
-    end > 0 && !body.slice(0, end).endsWith(blank);
-  if (!ends || inside(at)) {
-    return at;
+  const mustSplitEvent = stop === "ended" && framing === "chunked";
+  const isInsideEvent = (end: number): boolean =>
+    end > 0 && !body.slice(0, end).endsWith(eventEnd);
+  if (!mustSplitEvent || isInsideEvent(offset)) {
+    return offset;
   }
-  return inside(at + 1) && at + 1 < body.length ? at + 1 : undefined;
+  return isInsideEvent(offset + 1) && offset + 1 < body.length
+    ? offset + 1
+    : undefined;
 }
--- a/soak/src/terms.ts
+++ b/soak/src/terms.ts
@@ -1,5 +1,6 @@
 /**
- * Engines that state limits, leave or want rest, and what they may get of all entries then.
+ * Terms that engines state (rate limits, departures and rest periods), and checks that all entries together
+ * comply with them.
  *
  * @module
  */
@@ -7,66 +8,69 @@
 import { mostWithin, type RawEngine } from "@sassafrasstep/playground/bytes";
 import type { Draw } from "./draw.ts";
 
-/** What an engine states from a moment of its wave on. */
+/** What an engine states about itself from `atMs` on, counted from the start of the wave. */
 export type EngineTerms =
   & { readonly engine: number; readonly atMs: number }
   & (
     | { readonly kind: "limit"; readonly perSecond: number }
     | { readonly kind: "leaving" }
-    /** For so long it turns requests away, each with so many seconds of rest. */
-    | { readonly kind: "rest"; readonly forMs: number; readonly restS: number }
+    /** Rejects requests for `durationMs`; each rejection asks for `restS` seconds without requests. */
+    | {
+      readonly kind: "rest";
+      readonly durationMs: number;
+      readonly restS: number;
+    }
   );
 
-const WINDOW_MS = 4_000;
-const OVERSHOOT = 1.5;
-const SLACK = 5;
-/** Until all entries that are not held up know of a limit, or that an engine leaves. */
-const SETTLE_MS = 2_000;
-/** An entry that is paused or starts anew may send once more before it reads what it was told. */
-const MOST_LATE = 4;
-/** Entries of a region. */
-const ENTRIES = 2;
-/** Requests of one entry that cross an engine's first refusal, and those that test it. */
-const MOST_REFUSED = 3;
+const RATE_WINDOW_MS = 4_000;
+const LIMIT_OVERSHOOT_FACTOR = 1.5;
+const LIMIT_SLACK_REQUESTS = 5;
+/** Time until every entry that is not paused or restarting knows of a limit or a departure. */
+const PROPAGATION_MS = 2_000;
+/** An entry that is paused or restarts may send one more request before it has read the announcement. */
+const MAX_LATE_REQUESTS = 4;
+const ENTRIES_PER_REGION = 2;
+/** Refused per entry and rest: requests already sent before the first refusal arrives, and probes. */
+const MAX_REFUSALS_PER_ENTRY = 3;
 
-/** Terms of at most half of the engines of each region. */
+/** Plans terms for at most half of the engines of each region. */
 export function planTerms(
   draw: Draw,
   regions: readonly string[],
 ): EngineTerms[] {
-  const taken = new Map<string, number>();
+  const termsPerRegion = new Map<string, number>();
   return regions.flatMap((region, engine): EngineTerms[] => {
-    const most = regions.filter((each) => each === region).length / 2;
-    const before = taken.get(region) ?? 0;
-    if (before + 1 > most || draw.chance(0.3)) {
+    const maxCount = regions.filter((each) => each === region).length / 2;
+    const count = termsPerRegion.get(region) ?? 0;
+    if (count + 1 > maxCount || draw.chance(0.3)) {
       return [];
     }
-    taken.set(region, before + 1);
-    return [planOne(draw, { engine, atMs: draw.between(500, 2_000) })];
+    termsPerRegion.set(region, count + 1);
+    return [planEngineTerms(draw, { engine, atMs: draw.integer(500, 2_000) })];
   });
 }
 
-function planOne(
+function planEngineTerms(
   draw: Draw,
   base: { engine: number; atMs: number },
 ): EngineTerms {
   switch (draw.pick(["limit", "limit", "leaving", "rest"])) {
     case "limit":
-      return { ...base, kind: "limit", perSecond: draw.between(2, 30) / 10 };
+      return { ...base, kind: "limit", perSecond: draw.integer(2, 30) / 10 };
     case "leaving":
       return { ...base, kind: "leaving" };
     default:
       return {
         ...base,
         kind: "rest",
-        forMs: draw.between(500, 4_000),
-        restS: draw.between(5, 30) / 10,
+        durationMs: draw.integer(500, 4_000),
+        restS: draw.integer(5, 30) / 10,
       };
   }
 }
 
-/** Has an engine state its terms when the time comes. */
-export async function stateTerms(
+/** Makes an engine state its terms at the planned time. */
+export async function applyTerms(
   engine: RawEngine,
   terms: EngineTerms,
 ): Promise<void> {
@@ -76,34 +80,38 @@
       ? { limit: terms.perSecond }
       : terms.kind === "leaving"
       ? { leaving: true }
-      : { restS: terms.restS, forMs: terms.forMs },
+      : { restS: terms.restS, forMs: terms.durationMs },
   );
 }
 
-/** What an engine got against its terms, `undefined` where they were kept. */
-export function brokenTerms(
+/** Describes how the requests that an engine received violate its terms, `undefined` if they comply. */
+export function findTermsViolation(
   { arrivals, refusals, statedAt }: RawEngine,
   terms: EngineTerms,
 ): string | undefined {
   if (statedAt === undefined) {
     return undefined;
   }
-  const later = arrivals.filter((at) => at >= statedAt + SETTLE_MS);
+  const settledArrivals = arrivals.filter((at) =>
+    at >= statedAt + PROPAGATION_MS
+  );
   switch (terms.kind) {
     case "limit": {
-      const most = mostWithin(later, WINDOW_MS);
-      const allowed = OVERSHOOT * terms.perSecond * WINDOW_MS / 1_000 + SLACK;
-      return most <= allowed
+      const peakCount = mostWithin(settledArrivals, RATE_WINDOW_MS);
+      const allowed =
+        LIMIT_OVERSHOOT_FACTOR * terms.perSecond * RATE_WINDOW_MS / 1_000 +
+        LIMIT_SLACK_REQUESTS;
+      return peakCount <= allowed
         ? undefined
-        : `${most} requests in 4 s at a limit of ${terms.perSecond} a second`;
+        : `${peakCount} requests in 4 s at a limit of ${terms.perSecond} a second`;
     }
     case "leaving":
-      return later.length <= MOST_LATE
+      return settledArrivals.length <= MAX_LATE_REQUESTS
         ? undefined
-        : `${later.length} requests to an engine that leaves`;
+        : `${settledArrivals.length} requests to an engine that leaves`;
     case "rest": {
-      const rounds = 1 + Math.ceil(terms.forMs / (terms.restS * 1_000));
-      return refusals <= ENTRIES * rounds * MOST_REFUSED
+      const maxRests = 1 + Math.ceil(terms.durationMs / (terms.restS * 1_000));
+      return refusals <= ENTRIES_PER_REGION * maxRests * MAX_REFUSALS_PER_ENTRY
         ? undefined
         : `${refusals} requests to an engine that wants rest`;
     }
--- a/soak/src/wave.ts
+++ b/soak/src/wave.ts
@@ -15,34 +15,41 @@
   type RunScript,
 } from "@sassafrasstep/playground/bytes";
 import { CallerRun } from "./caller_run.ts";
-import { openRequests } from "./open_requests.ts";
-import { ATTEMPTS, TIMEOUT_MS, type WavePlan } from "./plan.ts";
+import { findOpenRequests } from "./open_requests.ts";
+import { MAX_ATTEMPTS, ROUTE_TIMEOUT_MS, type WavePlan } from "./plan.ts";
 import type { Disturbance } from "./plan_runs.ts";
 import {
-  type Broken,
-  brokenPromise,
   type EntryHistory,
-  type SeenCall,
-  unservedWave,
+  findUnservedWave,
+  findViolation,
+  type ObservedCall,
+  type Violation,
 } from "./promises.ts";
-import { brokenRestore, playRestore, type SeenRestore } from "./restores.ts";
-import { scriptOf } from "./script.ts";
-import { brokenTerms, type EngineTerms, stateTerms } from "./terms.ts";
+import {
+  findRestoreViolations,
+  type ObservedRestore,
+  playRestore,
+} from "./restores.ts";
+import { createScript } from "./script.ts";
+import { applyTerms, type EngineTerms, findTermsViolation } from "./terms.ts";
 
-const STILL = new Int32Array(new SharedArrayBuffer(4));
-/** Engines go on so much later than entries after the machine stood still. */
-const LATER_MS = 50;
+/** Never notified: `Atomics.wait` on it blocks this process for a given time. */
+const SLEEP_CELL = new Int32Array(new SharedArrayBuffer(4));
+/** After a stall, this process, which runs the engines, resumes this much later than the entry processes. */
+const RESUME_DELAY_MS = 50;
 
-/** What came of a wave. */
+/** The result of a wave. */
 export interface WaveResult {
   readonly plan: WavePlan;
-  readonly broken: readonly Broken[];
-  /** Where logs and plan lie, `undefined` where nothing was broken. */
+  /** Violated guarantees. */
+  readonly broken: readonly Violation[];
+  /** Folder with the logs, plan and result, `undefined` if no guarantee was violated. */
   readonly folder: string | undefined;
-  readonly seen: readonly SeenCall[];
+  /** All requests of the wave's callers. */
+  readonly seen: readonly ObservedCall[];
 }
 
-/** Plays a wave; its files are kept where a promise was broken. */
+/** Plays a wave and keeps its files if a guarantee was violated. */
 export async function playWave(plan: WavePlan): Promise<WaveResult> {
   const folder = mkdtempSync(join(tmpdir(), "soak-"));
   const wave = new Wave(plan, folder);
@@ -50,10 +57,13 @@
     await wave.start();
     const seen = await wave.play();
     const broken = [
-      ...judge(seen, { kind: plan.kind, history: wave.history }),
-      ...wave.brokenTerms(),
-      ...wave.brokenRestore(),
-      ...(await wave.leftOpen()).map((what) => ({ call: "at the end", what })),
+      ...findViolations(seen, { kind: plan.kind, history: wave.history }),
+      ...wave.findTermsViolations(),
+      ...wave.findRestoreViolations(),
+      ...(await wave.findOpenRequests()).map((what) => ({
+        call: "at the end",
+        what,
+      })),
     ];
     if (broken.length > 0) {
       wave.writeFiles({ broken, seen });
@@ -72,16 +82,16 @@
   }
 }
 
-function judge(
-  seen: readonly SeenCall[],
-  wave: Parameters<typeof brokenPromise>[1],
-): Broken[] {
-  const broken = seen.flatMap((call) => {
-    const what = brokenPromise(call, wave);
+function findViolations(
+  calls: readonly ObservedCall[],
+  context: Parameters<typeof findViolation>[1],
+): Violation[] {
+  const violations = calls.flatMap((call) => {
+    const what = findViolation(call, context);
     return what === undefined ? [] : [{ call: call.call, what }];
   });
-  const unserved = unservedWave(seen, wave.kind);
-  return unserved === undefined ? broken : [...broken, unserved];
+  const unserved = findUnservedWave(calls, context.kind);
+  return unserved === undefined ? violations : [...violations, unserved];
 }
 
 class Wave {
@@ -89,18 +99,18 @@
   readonly #folder: string;
   readonly #engines: RawEngine[];
   readonly #fleet: ByteFleet;
-  readonly #arrivals = new Map<string, number>();
+  readonly #requestCounts = new Map<string, number>();
   readonly #lives = new Map<string, number>();
-  readonly history: EntryHistory = { killed: new Set(), wentOnAt: new Map() };
+  readonly history: EntryHistory = { killed: new Set(), resumedAt: new Map() };
   keepsFiles = false;
-  #restore: SeenRestore | undefined;
+  #observedRestore: ObservedRestore | undefined;
 
   constructor(plan: WavePlan, folder: string) {
     this.#plan = plan;
     this.#folder = folder;
     this.#engines = plan.engines.map((_, index) => {
       const id = `i-${index + 1}`;
-      return new RawEngine(id, (request) => this.#script(id, request));
+      return new RawEngine(id, (request) => this.#nextScript(id, request));
     });
     this.#fleet = new ByteFleet({
       engines: this.#engines.map((engine, index) => ({
@@ -108,8 +118,8 @@
         region: plan.engines[index]!,
       })),
       entries: plan.entries,
-      attempts: ATTEMPTS,
-      timeout: TIMEOUT_MS,
+      attempts: MAX_ATTEMPTS,
+      timeout: ROUTE_TIMEOUT_MS,
       processes: plan.processes,
     });
   }
@@ -118,61 +128,61 @@
     await this.#fleet.start();
   }
 
-  async play(): Promise<SeenCall[]> {
+  async play(): Promise<ObservedCall[]> {
     const { cases, entryEvents, terms, restore, stalls } = this.#plan;
-    const seen = await Promise.all([
-      ...cases.map((plan) => this.#ask(plan)),
-      ...entryEvents.map((event) => this.#disturbEntry(event)),
-      ...terms.map((each) => this.#stateTerms(each)),
-      ...stalls.map((stall) => this.#standStill(stall)),
-      ...restore === undefined ? [] : [this.#restoreStore(restore)],
+    const calls = await Promise.all([
+      ...cases.map((plan) => this.#playCase(plan)),
+      ...entryEvents.map((event) => this.#playEntryEvent(event)),
+      ...terms.map((each) => this.#playTerms(each)),
+      ...stalls.map((stall) => this.#stallFleet(stall)),
+      ...restore === undefined ? [] : [this.#playStoreRestore(restore)],
     ]);
-    return seen.flat();
+    return calls.flat();
   }
 
-  async #ask(plan: WavePlan["cases"][number]): Promise<SeenCall[]> {
+  async #playCase(plan: WavePlan["cases"][number]): Promise<ObservedCall[]> {
     await pause(plan.startMs);
-    const run = new CallerRun(plan, (call) => this.#runsOf(call));
+    const run = new CallerRun(plan, (call) => this.#findRuns(call));
     return run.play(this.#fleet.entries.map(({ callers }) => callers));
   }
 
-  #runsOf(call: string): RawRequest[] {
+  #findRuns(call: string): RawRequest[] {
     return this.#engines.flatMap(({ runs }) => runs)
       .filter((run) => run.call === call);
   }
 
-  /** The script of the next run of a call. */
-  #script(engine: string, request: RawRequest): RunScript {
+  /** Creates the script for the next request of a call that reaches an engine. */
+  #nextScript(engine: string, request: RawRequest): RunScript {
     const { call } = request;
-    // A caller that goes on by itself asks under a further id.
-    const [name] = call.split("-");
-    const plan = this.#plan.cases.find((each) => each.call === name)!;
-    const arrival = this.#arrivals.get(name!) ?? 0;
-    this.#arrivals.set(name!, arrival + 1);
-    const run = plan.runs[Math.min(arrival, plan.runs.length - 1)]!;
+    // A caller that resumes a stream by itself appends a number to the call id of the case, such as `-1`.
+    const [caseName] = call.split("-");
+    const plan = this.#plan.cases.find((each) => each.call === caseName)!;
+    const requestIndex = this.#requestCounts.get(caseName!) ?? 0;
+    this.#requestCounts.set(caseName!, requestIndex + 1);
+    const run = plan.runs[Math.min(requestIndex, plan.runs.length - 1)]!;
     const { disturbance } = run;
     const onStop = disturbance === undefined
       ? undefined
-      : (): void => this.#disturb(engine, disturbance);
-    return scriptOf(plan, run, { ...request, onStop });
+      : (): void => this.#applyDisturbance(engine, disturbance);
+    return createScript(plan, run, { ...request, onStop });
   }
 
-  #disturb(id: string, disturbance: Disturbance): void {
+  #applyDisturbance(id: string, disturbance: Disturbance): void {
     const index = this.#engines.findIndex((engine) => engine.id === id);
     const { address } = this.#fleet.engines[index]!;
     const region = this.#plan.engines[index]!;
     switch (disturbance) {
       case "born": {
-        const born = (this.#lives.get(id) ?? 1) + 1;
-        this.#lives.set(id, born);
-        return this.#fleet.publish(id, { address, region, born });
+        const life = (this.#lives.get(id) ?? 1) + 1;
+        this.#lives.set(id, life);
+        return this.#fleet.publish(id, { address, region, born: life });
       }
       case "removed":
         return this.#fleet.withdraw(id);
       case "refused":
         return this.#engines[index]!.refuse();
       case "fewer":
-        return this.#fleet.publishDocument({ attempts: ATTEMPTS - 1 });
+        return this.#fleet.publishDocument({ attempts: MAX_ATTEMPTS - 1 });
       case "unresumable":
         return this.#fleet.publishDocument({ resumable: false });
       case "moved":
@@ -180,15 +190,15 @@
     }
   }
 
-  /** Holds everything at once, as a machine that is busy; processes of entries go on first. */
-  async #standStill(
-    { atMs, forMs }: WavePlan["stalls"][number],
+  /** Stalls all processes at once, like a busy machine; entry processes resume first. */
+  async #stallFleet(
+    { atMs, durationMs }: WavePlan["stalls"][number],
   ): Promise<[]> {
     await pause(atMs);
     this.#signalAll("SIGSTOP");
-    Atomics.wait(STILL, 0, 0, forMs);
+    Atomics.wait(SLEEP_CELL, 0, 0, durationMs);
     this.#signalAll("SIGCONT");
-    Atomics.wait(STILL, 0, 0, LATER_MS);
+    Atomics.wait(SLEEP_CELL, 0, 0, RESUME_DELAY_MS);
     return [];
   }
 
@@ -200,8 +210,8 @@
     }
   }
 
-  async #disturbEntry(
-    { atMs, entry, kind, forMs }: WavePlan["entryEvents"][number],
+  async #playEntryEvent(
+    { atMs, entry, kind, durationMs }: WavePlan["entryEvents"][number],
   ): Promise<[]> {
     const target = this.#fleet.entries[entry] as ProcessEntry;
     await pause(atMs);
@@ -215,23 +225,23 @@
         break;
       case "pause":
         target.signal("SIGSTOP");
-        await pause(forMs);
+        await pause(durationMs);
         target.signal("SIGCONT");
-        this.history.wentOnAt.set(target.callers, performance.now());
+        this.history.resumedAt.set(target.callers, performance.now());
     }
     return [];
   }
 
-  async #stateTerms(terms: EngineTerms): Promise<[]> {
-    await stateTerms(this.#engines[terms.engine]!, terms);
+  async #playTerms(terms: EngineTerms): Promise<[]> {
+    await applyTerms(this.#engines[terms.engine]!, terms);
     return [];
   }
 
-  async #restoreStore(
+  async #playStoreRestore(
     restore: NonNullable<WavePlan["restore"]>,
   ): Promise<[]> {
     const { store, engines } = this.#fleet;
-    this.#restore = await playRestore({
+    this.#observedRestore = await playRestore({
       store,
       engines: this.#engines,
       publish: (index, fields) => {
@@ -244,26 +254,26 @@
     return [];
   }
 
-  /** What engines got against what the store had acknowledged around its restore. */
-  brokenRestore(): Broken[] {
-    return this.#restore === undefined
+  /** Finds engines that received requests contrary to changes acknowledged around the restore. */
+  findRestoreViolations(): Violation[] {
+    return this.#observedRestore === undefined
       ? []
-      : brokenRestore(this.#restore, this.#engines)
+      : findRestoreViolations(this.#observedRestore, this.#engines)
         .map(({ engine, what }) => ({ call: engine, what }));
   }
 
-  /** What engines got against what they stated. */
-  brokenTerms(): Broken[] {
+  /** Finds engines that received requests contrary to their terms. */
+  findTermsViolations(): Violation[] {
     return this.#plan.terms.flatMap((terms) => {
       const engine = this.#engines[terms.engine]!;
-      const what = brokenTerms(engine, terms);
+      const what = findTermsViolation(engine, terms);
       return what === undefined ? [] : [{ call: engine.id, what }];
     });
   }
 
-  /** Requests that outlive all their callers. */
-  async leftOpen(): Promise<string[]> {
-    return await openRequests({
+  /** Finds requests that outlive all their callers. */
+  async findOpenRequests(): Promise<string[]> {
+    return await findOpenRequests({
       engines: this.#engines,
       entries: this.#fleet.entries.filter((entry) =>
         !(entry instanceof ProcessEntry) || entry.running
