--- a/soak/src/caller_run.ts
+++ b/soak/src/caller_run.ts
@@ -33,9 +33,9 @@
 
   /** Sends the request and its retries to the entries at the given addresses. */
   async play(addresses: readonly string[]): Promise<ObservedCall[]> {
-    const { call, entry, retryEntries, path } = this.#plan;
+    const { call, entry, again: retryEntries, path } = this.#plan;
     const calls: ObservedCall[] = [];
-    const retryUntil = performance.now() + this.#plan.deadlineMs -
+    const retryUntil = performance.now() + this.#plan.timeMs -
       MIN_REMAINING_MS;
     let lastEventId = 0;
     for (const [index, entryIndex] of [entry, ...retryEntries].entries()) {
@@ -60,7 +60,7 @@
     address: string,
     { callId, after }: { callId: string; after: number },
   ): Promise<ObservedCall> {
-    const { path, deadlineMs } = this.#plan;
+    const { path, timeMs: deadlineMs } = this.#plan;
     const leaveController = new AbortController();
     const askedAt = performance.now();
     const answer: SeenAnswer = await askStream(address, {
--- a/soak/src/plan.ts
+++ b/soak/src/plan.ts
@@ -33,12 +33,12 @@
   readonly path: "resume" | "once";
   readonly entry: number;
   readonly startMs: number;
-  readonly deadlineMs: number;
+  readonly timeMs: number;
   readonly events: number;
   readonly style: EventStyle;
   readonly caller: CallerPlan;
   /** Entries at which the caller resumes a broken stream by itself, in order. */
-  readonly retryEntries: readonly number[];
+  readonly again: readonly number[];
   /** Plans of the runs in order; the last one also applies to all further runs. */
   readonly runs: readonly RunPlan[];
 }
@@ -49,7 +49,7 @@
   readonly entry: number;
   readonly kind: "pause" | "kill" | "stop";
   /** Length of a pause; unused for other kinds. */
-  readonly durationMs: number;
+  readonly forMs: number;
 }
 
 /** The kind of faults that a wave plays. */
@@ -87,7 +87,7 @@
   /** When all processes stall, and for how long. */
   readonly stalls: readonly {
     readonly atMs: number;
-    readonly durationMs: number;
+    readonly forMs: number;
   }[];
 }
 
@@ -159,7 +159,7 @@
   const stalls = kind === "stalls"
     ? [600, 3_400].map((atMs) => ({
       atMs: atMs + draw.integer(0, 400),
-      durationMs: draw.integer(1_600, 2_400),
+      forMs: draw.integer(1_600, 2_400),
     }))
     : [];
   const processes = entryEvents.length > 0 ||
@@ -204,7 +204,7 @@
       style,
       path,
       entry,
-      retryEntries,
+      again: retryEntries,
     });
   }
   const events = draw.integer(4, 16);
@@ -216,12 +216,12 @@
     call,
     path,
     entry,
-    retryEntries,
+    again: retryEntries,
     events,
     style,
     startMs: draw.integer(0, 300),
     // A stream that cannot be resumed waits out its deadline if its engine falls silent, so it gets a short one.
-    deadlineMs: path === "once" || !style.ids || draw.chance(0.1)
+    timeMs: path === "once" || !style.ids || draw.chance(0.1)
       ? draw.integer(900, 2_500)
       : ROUTE_TIMEOUT_MS,
     caller: planCaller(draw, events),
@@ -234,7 +234,7 @@
   call: string,
   { draw, ...rest }:
     & { draw: Draw }
-    & Pick<CasePlan, "style" | "path" | "entry" | "retryEntries">,
+    & Pick<CasePlan, "style" | "path" | "entry" | "again">,
 ): CasePlan {
   const isLarge = draw.chance(0.1);
   const style = isLarge
@@ -244,14 +244,14 @@
   const bytes = eventsOf(call, { count: events, style }).length;
   const delayMs = draw.integer(15, 60);
   const chunkBytes = Math.ceil(bytes * delayMs / draw.integer(2_000, 3_000));
-  const run = { ...planCompleteRun(draw), delayMs, chunkBytes };
+  const run = { ...planCompleteRun(draw), pace: delayMs, piece: chunkBytes };
   return {
     ...rest,
     call,
     style,
     events,
     startMs: draw.integer(0, 500),
-    deadlineMs: ROUTE_TIMEOUT_MS,
+    timeMs: ROUTE_TIMEOUT_MS,
     caller: isLarge
       ? { kind: "slow", holdMs: draw.integer(1_700, 2_600), after: 200_000 }
       : { kind: "reads" },
@@ -264,17 +264,17 @@
   call: string,
   { draw, entries }: { draw: Draw; entries: number },
 ): CasePlan {
-  const run = { ...planCompleteRun(draw), chunkBytes: 100_000, delayMs: 0 };
+  const run = { ...planCompleteRun(draw), piece: 100_000, pace: 0 };
   const truncatedRun: RunPlan = {
     ...run,
     stop: draw.pick<Stop>(["closed", "reset"]),
-    stopFraction: 0.3 + draw.fraction() / 2,
+    part: 0.3 + draw.fraction() / 2,
   };
   return {
     call,
     path: draw.pick(["resume", "once"]),
     entry: draw.integer(0, entries - 1),
-    retryEntries: [],
+    again: [],
     events: 160,
     style: {
       lineEnd: "\n",
@@ -284,7 +284,7 @@
       padding: 100_000,
     },
     startMs: draw.integer(0, 200),
-    deadlineMs: ROUTE_TIMEOUT_MS,
+    timeMs: ROUTE_TIMEOUT_MS,
     caller: {
       kind: "slow",
       holdMs: draw.integer(2_200, 3_500),
@@ -307,11 +307,11 @@
     call,
     path: draw.pick(["resume", "once"]),
     entry: draw.integer(0, entries - 1),
-    retryEntries: [],
+    again: [],
     events: draw.integer(2, 8),
     style: { lineEnd: "\n", versions: false, comments: false, ids: true },
     startMs: draw.integer(0, startWindowMs),
-    deadlineMs: TERMS_DEADLINE_MS,
+    timeMs: TERMS_DEADLINE_MS,
     caller: { kind: "reads" },
     runs: planTermsRuns(draw),
   };
@@ -363,6 +363,6 @@
     kind: terminatesEntries && index !== 1
       ? draw.pick<EntryEvent["kind"]>(["kill", "stop"])
       : "pause",
-    durationMs: draw.integer(1_000, 4_000),
+    forMs: draw.integer(1_000, 4_000),
   }));
 }
--- a/soak/src/plan_runs.ts
+++ b/soak/src/plan_runs.ts
@@ -26,13 +26,13 @@
   readonly stop: Stop;
   readonly framing: Framing;
   /** Fraction of the body's bytes after which the run stops. */
-  readonly stopFraction: number;
+  readonly part: number;
   /** Whether the run stops at the end of an event. */
-  readonly atEventEnd: boolean;
+  readonly aligned: boolean;
   /** Bytes per write. */
-  readonly chunkBytes: number;
+  readonly piece: number;
   /** Delay between writes. */
-  readonly delayMs: number;
+  readonly pace: number;
   /** Status that is answered instead of a stream. */
   readonly status?: number;
   /** Whether the answer says that the request did not run. */
@@ -45,7 +45,7 @@
  * terms are also tested with retries and resumed streams.
  */
 export function planTermsRuns(draw: Draw): RunPlan[] {
-  const completeRun = { ...planCompleteRun(draw), chunkBytes: 20, delayMs: 5 };
+  const completeRun = { ...planCompleteRun(draw), piece: 20, pace: 5 };
   const roll = draw.fraction();
   if (roll < 0.2) {
     const stop = draw.pick<Stop>(["closed", "reset"]);
@@ -53,7 +53,7 @@
       ...completeRun,
       framing: "chunked",
       stop,
-      stopFraction: draw.fraction(),
+      part: draw.fraction(),
     }, completeRun];
   }
   return roll < 0.3
@@ -66,10 +66,10 @@
   return {
     stop: "whole",
     framing: draw.pick(["chunked", "chunked", "length", "none"]),
-    stopFraction: 1,
-    atEventEnd: false,
-    chunkBytes: draw.pick([1, 7, 20, 60, 100_000]),
-    delayMs: draw.pick([0, 0, 1, 5]),
+    part: 1,
+    aligned: false,
+    piece: draw.pick([1, 7, 20, 60, 100_000]),
+    pace: draw.pick([0, 0, 1, 5]),
   };
 }
 
@@ -96,9 +96,9 @@
   const stopped = {
     ...base,
     stop,
-    stopFraction: draw.fraction(),
-    atEventEnd: draw.chance(0.2),
-    delayMs: draw.pick([0, 0, 1]),
+    part: draw.fraction(),
+    aligned: draw.chance(0.2),
+    pace: draw.pick([0, 0, 1]),
   };
   return stop === "silent" && draw.chance(0.3)
     ? {
--- a/soak/src/promises.ts
+++ b/soak/src/promises.ts
@@ -95,13 +95,13 @@
 ): string | undefined {
   const holdMs = plan.caller.kind === "slow" ? plan.caller.holdMs : 0;
   const latestEndAt = Math.max(
-    askedAt + plan.deadlineMs,
+    askedAt + plan.timeMs,
     resumedAt.get(address) ?? 0,
   ) + holdMs + MAX_END_DELAY_MS;
   return answer.end === "open" || endedAt > latestEndAt
     ? `ended ${
       Math.round(endedAt - askedAt)
-    } ms after it was asked for ${plan.deadlineMs}`
+    } ms after it was asked for ${plan.timeMs}`
     : undefined;
 }
 
--- a/soak/src/restores.ts
+++ b/soak/src/restores.ts
@@ -11,18 +11,18 @@
 export interface StoreRestore {
   readonly copyAtMs: number;
   /** Number of writes after the copy, which the restore loses. The same number follows the restore. */
-  readonly lostWrites: number;
+  readonly lost: number;
   /** Engine whose record is removed after the copy, and which the restore brings back. */
-  readonly removedAfterCopy: number;
-  readonly outageAtMs: number;
+  readonly gone: number;
+  readonly awayAtMs: number;
   readonly fault: "silent" | "busy" | "reset";
-  readonly outageMs: number;
+  readonly forMs: number;
   /** Time between the restore and the next changes. */
-  readonly recoveryMs: number;
+  readonly calmMs: number;
   /** Engine that announces after the restore that it leaves. */
   readonly leaving: number;
   /** Engine whose record is removed after the restore. */
-  readonly removedAfterRestore: number;
+  readonly removed: number;
 }
 
 /** An acknowledged change must be in force within this time. */
@@ -42,14 +42,14 @@
   const copyAtMs = draw.integer(300, 1_000);
   return {
     copyAtMs,
-    lostWrites: draw.integer(1, 8),
-    removedAfterCopy: firstOfFirstRegion + 1,
-    outageAtMs: copyAtMs + draw.integer(800, 2_500),
+    lost: draw.integer(1, 8),
+    gone: firstOfFirstRegion + 1,
+    awayAtMs: copyAtMs + draw.integer(800, 2_500),
     fault: draw.pick(["silent", "busy", "reset"]),
-    outageMs: draw.pick([0, 50, 300, 1_000, 2_000]),
-    recoveryMs: draw.integer(0, 2_000),
+    forMs: draw.pick([0, 50, 300, 1_000, 2_000]),
+    calmMs: draw.integer(0, 2_000),
     leaving: lastOfLastRegion,
-    removedAfterRestore: lastOfLastRegion - 1,
+    removed: lastOfLastRegion - 1,
   };
 }
 
@@ -70,7 +70,12 @@
   },
   plan: StoreRestore,
 ): Promise<ObservedRestore> {
-  const { lostWrites, removedAfterCopy, leaving, removedAfterRestore } = plan;
+  const {
+    lost: lostWrites,
+    gone: removedAfterCopy,
+    leaving,
+    removed: removedAfterRestore,
+  } = plan;
   const writeHeartbeats = (firstSequence: number): void => {
     for (let index = 0; index < lostWrites; index++) {
       publish(engines.length - 3, { sequence: firstSequence + index });
@@ -80,12 +85,12 @@
   const copy = store.copy();
   writeHeartbeats(2);
   withdraw(removedAfterCopy);
-  await pause(plan.outageAtMs - plan.copyAtMs);
+  await pause(plan.awayAtMs - plan.copyAtMs);
   store.fault = plan.fault;
-  await pause(plan.outageMs);
+  await pause(plan.forMs);
   store.restore(copy);
   store.fault = "none";
-  await pause(plan.recoveryMs);
+  await pause(plan.calmMs);
   publish(leaving, { sequence: 2, state: "draining" });
   withdraw(removedAfterRestore);
   const changedAt = performance.now();
@@ -97,8 +102,10 @@
 
 /** Finds engines that received too many requests after their acknowledged departure or removal took effect. */
 export function findRestoreViolations(
-  { plan: { leaving, removedAfterRestore, removedAfterCopy }, changedAt }:
-    ObservedRestore,
+  {
+    plan: { leaving, removed: removedAfterRestore, gone: removedAfterCopy },
+    changedAt,
+  }: ObservedRestore,
   engines: readonly RawEngine[],
 ): readonly { engine: string; what: string }[] {
   return [leaving, removedAfterRestore, removedAfterCopy].flatMap((index) => {
--- a/soak/src/script.ts
+++ b/soak/src/script.ts
@@ -21,7 +21,8 @@
   },
 ): RunScript {
   const body = eventsOf(call, { count: events, after, style });
-  const { stop, framing, chunkBytes, delayMs, status, notRun } = run;
+  const { stop, framing, piece: chunkBytes, pace: delayMs, status, notRun } =
+    run;
   const stopAt = findStopOffset(body, run, style);
   // If the framing ended the body after a complete event, no caller could tell that the answer is incomplete.
   // Such a run falls silent instead.
@@ -53,7 +54,7 @@
 /** Returns the number of bytes before the stop, `undefined` if the framing would end after a complete event. */
 function findStopOffset(
   body: string,
-  { stopFraction, atEventEnd, framing, stop }: RunPlan,
+  { part: stopFraction, aligned: atEventEnd, framing, stop }: RunPlan,
   { lineEnd }: EventStyle,
 ): number | undefined {
   const eventEnd = lineEnd + lineEnd;
--- a/soak/src/terms.ts
+++ b/soak/src/terms.ts
@@ -14,10 +14,10 @@
   & (
     | { readonly kind: "limit"; readonly perSecond: number }
     | { readonly kind: "leaving" }
-    /** Rejects requests for `durationMs`; each rejection asks for `restS` seconds without requests. */
+    /** Rejects requests for `forMs`; each rejection asks for `restS` seconds without requests. */
     | {
       readonly kind: "rest";
-      readonly durationMs: number;
+      readonly forMs: number;
       readonly restS: number;
     }
   );
@@ -63,7 +63,7 @@
       return {
         ...base,
         kind: "rest",
-        durationMs: draw.integer(500, 4_000),
+        forMs: draw.integer(500, 4_000),
         restS: draw.integer(5, 30) / 10,
       };
   }
@@ -80,7 +80,7 @@
       ? { limit: terms.perSecond }
       : terms.kind === "leaving"
       ? { leaving: true }
-      : { restS: terms.restS, forMs: terms.durationMs },
+      : { restS: terms.restS, forMs: terms.forMs },
   );
 }
 
@@ -110,7 +110,7 @@
         ? undefined
         : `${settledArrivals.length} requests to an engine that leaves`;
     case "rest": {
-      const maxRests = 1 + Math.ceil(terms.durationMs / (terms.restS * 1_000));
+      const maxRests = 1 + Math.ceil(terms.forMs / (terms.restS * 1_000));
       return refusals <= ENTRIES_PER_REGION * maxRests * MAX_REFUSALS_PER_ENTRY
         ? undefined
         : `${refusals} requests to an engine that wants rest`;
--- a/soak/src/wave.ts
+++ b/soak/src/wave.ts
@@ -192,7 +192,7 @@
 
   /** Stalls all processes at once, like a busy machine; entry processes resume first. */
   async #stallFleet(
-    { atMs, durationMs }: WavePlan["stalls"][number],
+    { atMs, forMs: durationMs }: WavePlan["stalls"][number],
   ): Promise<[]> {
     await pause(atMs);
     this.#signalAll("SIGSTOP");
@@ -211,7 +211,7 @@
   }
 
   async #playEntryEvent(
-    { atMs, entry, kind, durationMs }: WavePlan["entryEvents"][number],
+    { atMs, entry, kind, forMs: durationMs }: WavePlan["entryEvents"][number],
   ): Promise<[]> {
     const target = this.#fleet.entries[entry] as ProcessEntry;
     await pause(atMs);
