--- a/playground/src/__tests__/cut_fleet.test.ts
+++ b/playground/src/__tests__/cut_fleet.test.ts
@@ -1,5 +1,5 @@
 /**
- * Cuts, platform outages, configuration and bad input over real processes.
+ * Network partitions, platform outages, configuration changes and malformed input over real processes.
  */
 import { connect } from "node:net";
 import { afterAll, beforeAll, describe, expect, it } from "vitest";
@@ -14,13 +14,13 @@
 
 const fleet = new Fleet(readBlueprint("mfuko"), { relayed: true });
 const family = new Client("demo-wanjiku-family");
-const BIG_BYTES = 1_100_000;
+const OVERSIZED_PROMPT_BYTES = 1_100_000;
 
-/** Sends bytes and returns all that comes back until the connection ends or goes quiet. */
-async function exchange(
+/** Sends raw text and returns everything received until the connection closes or is idle. */
+async function sendRaw(
   url: string,
   text: string,
-  { quietMs = 1_500 } = {},
+  { idleTimeoutMs = 1_500 } = {},
 ): Promise<string> {
   const { hostname, port } = new URL(url);
   return await new Promise((resolve) => {
@@ -30,7 +30,7 @@
       socket.destroy();
       resolve(received);
     };
-    socket.setTimeout(quietMs, done);
+    socket.setTimeout(idleTimeoutMs, done);
     socket.on("data", (chunk) => received += chunk.toString());
     socket.on("error", done);
     socket.on("close", done);
@@ -38,13 +38,15 @@
   });
 }
 
-async function revisions(): Promise<number[]> {
+async function readRevisions(): Promise<number[]> {
   return (await Promise.all(fleet.entries.map((entry) => fleet.status(entry))))
     .map(({ revision }) => revision);
 }
 
-/** What `sassafrasstep status` says, asked through the first entry. */
-async function showStatus(): Promise<{ code: number | null; text: string }> {
+/** Runs `sassafrasstep status` against the first entry and returns its exit code and output. */
+async function runStatusCommand(): Promise<
+  { code: number | null; text: string }
+> {
   process.env["SASSAFRASSTEP_SECRET"] = PLAYGROUND_SECRET;
   const { controlUrl } = fleet.entries[0]!;
   const child = new Child("packages/cli/dist/main.js", [
@@ -71,32 +73,33 @@
   describe("bad input", () => {
     const head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n";
     const token = "authorization: Bearer demo-wanjiku-family\r\n";
-    const home = (): string => fleet.entriesIn("nairobi")[0]!.url;
-    const away = (): string => fleet.entriesIn("kisumu")[0]!.url;
+    const homeUrl = (): string => fleet.entriesInRegion("nairobi")[0]!.url;
+    const otherRegionUrl = (): string =>
+      fleet.entriesInRegion("kisumu")[0]!.url;
 
-    it("never asks for the body of a misdirected request", async () => {
-      const text = await exchange(
-        away(),
+    it("never requests the body of a misdirected request", async () => {
+      const text = await sendRaw(
+        otherRegionUrl(),
         `${head}${token}expect: 100-continue\r\ncontent-length: 10\r\n\r\n`,
       );
       expect(text).toMatch(/^HTTP\/1.1 421/);
       expect(text).not.toContain("100 Continue");
     });
 
-    it("asks for the body of an admitted request", async () => {
-      const text = await exchange(
-        home(),
+    it("requests the body of an admitted request", async () => {
+      const text = await sendRaw(
+        homeUrl(),
         `${head}${token}expect: 100-continue\r\ncontent-length: 10\r\n\r\n`,
       );
       expect(text).toMatch(/^HTTP\/1.1 100/);
     });
 
     it.each([["no token", ""], [
-      "a wrong one",
+      "an unknown token",
       "authorization: Bearer nobody\r\n",
-    ]])("refuses %s unread", async (_, line) => {
-      const text = await exchange(
-        home(),
+    ]])("refuses %s without reading the body", async (_, line) => {
+      const text = await sendRaw(
+        homeUrl(),
         `${head}${line}expect: 100-continue\r\ncontent-length: 10\r\n\r\n`,
       );
       expect(text).toMatch(/^HTTP\/1.1 401/);
@@ -105,8 +108,8 @@
 
     it("names the field of a malformed body", async () => {
       const body = '{"messages":[{"role":"user"}]}';
-      const text = await exchange(
-        home(),
+      const text = await sendRaw(
+        homeUrl(),
         `${head}${token}content-length: ${body.length}\r\n\r\n${body}`,
       );
       expect(text).toMatch(/^HTTP\/1.1 400/);
@@ -114,39 +117,42 @@
     });
 
     it("refuses a body that is too large", async () => {
-      const answer = await family.ask(home(), { prompt: "x".repeat(BIG_BYTES) })
+      const answer = await family.streamChat(homeUrl(), {
+        prompt: "x".repeat(OVERSIZED_PROMPT_BYTES),
+      })
         .catch(() => ({ status: 0, verdict: "" }));
       expect([0, 400]).toContain(answer.status);
-      expect((await family.ask(home(), { prompt: "small" })).status).toBe(200);
+      expect((await family.streamChat(homeUrl(), { prompt: "small" })).status)
+        .toBe(200);
     });
 
     it("refuses a head that is too large", async () => {
-      const text = await exchange(
-        home(),
+      const text = await sendRaw(
+        homeUrl(),
         `${head}x-large: ${"x".repeat(20_000)}\r\n\r\n`,
       );
       expect(text).toMatch(/^HTTP\/1.1 431/);
     });
 
-    it("refuses what is no HTTP", async () => {
-      expect(await exchange(home(), "\u0000\u0001nonsense\r\n\r\n")).toMatch(
+    it("refuses input that is not HTTP", async () => {
+      expect(await sendRaw(homeUrl(), "\u0000\u0001nonsense\r\n\r\n")).toMatch(
         /^HTTP\/1.1 400/,
       );
     });
 
-    it("answers a sender that stops in the middle of its body by its deadline", async () => {
-      const text = await exchange(
-        home(),
+    it("answers by its deadline when the caller stops in the middle of the body", async () => {
+      const text = await sendRaw(
+        homeUrl(),
         `${head}${token}sassafrasstep-deadline-ms: 500\r\ncontent-length: 100\r\n\r\n{"mess`,
       );
       expect(text).toMatch(/^HTTP\/1.1 504/);
       expect(text).toContain("sassafrasstep-verdict: not_run");
     });
 
-    it("answers a stranger's peer message with nothing but a refusal", async () => {
-      const control = fleet.entriesIn("nairobi")[0]!.controlUrl;
-      const text = await exchange(
-        control,
+    it("refuses a peer message without credentials", async () => {
+      const controlUrl = fleet.entriesInRegion("nairobi")[0]!.controlUrl;
+      const text = await sendRaw(
+        controlUrl,
         "POST /trpc/heartbeat HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\n{}",
       );
       expect(text).toMatch(/^HTTP\/1.1 401/);
@@ -154,19 +160,20 @@
   });
 
   describe("configuration", () => {
-    it("is in force in every region within seconds, for few calls", async () => {
+    it("takes effect in every region within seconds and with few calls", async () => {
       const before = await fleet.readControl<{ calls: number }>(
         "configuration",
         "calls",
       );
-      const text = fleet.blueprint.text.replace(
+      const text = fleet.blueprint.configurationText.replace(
         "requests_per_s = 50",
         "requests_per_s = 60",
       );
-      const revision = await fleet.publish(text);
+      const revision = await fleet.publishConfiguration(text);
       await waitFor(
-        "the revision everywhere",
-        async () => (await revisions()).every((held) => held === revision),
+        "the revision in all entries",
+        async () =>
+          (await readRevisions()).every((current) => current === revision),
         5_000,
       );
       const after = await fleet.readControl<{ calls: number }>(
@@ -176,31 +183,34 @@
       expect(after.calls - before.calls).toBeLessThan(60);
     });
 
-    it("stays where it is when a text is faulty, and status says why", async () => {
-      const held = await revisions();
-      await fleet.publish(
-        `${fleet.blueprint.text}\n[customer broken]\nhome = nowhere\n`,
+    it("is kept when a new text is invalid, and status shows the reason", async () => {
+      const current = await readRevisions();
+      await fleet.publishConfiguration(
+        `${fleet.blueprint.configurationText}\n[customer broken]\nhome = nowhere\n`,
       );
-      await waitFor("the rejection everywhere", async () => {
+      await waitFor("the rejection in all entries", async () => {
         const all = await Promise.all(
           fleet.entries.map((entry) => fleet.status(entry)),
         );
         return all.every(({ rejected }) => rejected !== null);
       });
-      expect(await revisions()).toEqual(held);
-      const { code, text } = await showStatus();
+      expect(await readRevisions()).toEqual(current);
+      const { code, text } = await runStatusCommand();
       expect(code).toBe(1);
       expect(text).toContain("was rejected with");
-      const revision = await fleet.publish(fleet.blueprint.text);
+      const revision = await fleet.publishConfiguration(
+        fleet.blueprint.configurationText,
+      );
       await waitFor(
-        "the next revision everywhere",
-        async () => (await revisions()).every((held) => held === revision),
+        "the next revision in all entries",
+        async () =>
+          (await readRevisions()).every((current) => current === revision),
       );
     });
 
-    it("does not go back with a stale service", async () => {
-      const held = await revisions();
-      await fleet.control("configuration", "mode", { mode: "stale" });
+    it("does not revert when the service returns a stale text", async () => {
+      const current = await readRevisions();
+      await fleet.putControl("configuration", "mode", { mode: "stale" });
       const calls = async (): Promise<number> =>
         (await fleet.readControl<{ calls: number }>("configuration", "calls"))
           .calls;
@@ -209,18 +219,18 @@
         "entries to read the stale text",
         async () => await calls() > before + 10,
       );
-      expect(await revisions()).toEqual(held);
-      await fleet.control("configuration", "mode", { mode: "normal" });
+      expect(await readRevisions()).toEqual(current);
+      await fleet.putControl("configuration", "mode", { mode: "normal" });
     });
   });
 
-  describe("cut off from the platform and from each other", () => {
-    it("every entry serves its own, and the fleet heals", async () => {
-      // Symptom: a region that is cut off refuses its own families.
-      // Sequence: all links between entries and to the platform are cut; a text is published meanwhile.
-      // Cause: an entry waits for somebody else.
-      fleet.cut();
-      await waitFor("the cut to be noticed", async () => {
+  describe("isolated from the platform and from each other", () => {
+    it("every entry serves its home customers, and the fleet recovers", async () => {
+      // Guards against an isolated region that refuses its own customers because an entry waits for a peer or
+      // for the platform. All links between entries and to the platform are interrupted, and a text is
+      // published during the partition.
+      fleet.partition();
+      await waitFor("all entries to notice the partition", async () => {
         const all = await Promise.all(
           fleet.entries.map((entry) => fleet.status(entry)),
         );
@@ -231,12 +241,13 @@
       });
       for (const { id, home, token } of fleet.blueprint.customers) {
         const client = new Client(token);
-        for (const entry of fleet.entriesIn(home)) {
+        for (const entry of fleet.entriesInRegion(home)) {
           expect(
-            (await client.ask(entry.url, { prompt: id, maxTokens: 3 })).verdict,
+            (await client.streamChat(entry.url, { prompt: id, maxTokens: 3 }))
+              .verdict,
           ).toBe("ran");
-          const [self] = await client.entries(entry.url, "wallet");
-          const key = client.newKey(self!.owner_token);
+          const [listed] = await client.entries(entry.url, "wallet");
+          const key = client.newKey(listed!.owner_token);
           const topUp = await client.call(entry.url, {
             service: "wallet",
             path: "/top-ups",
@@ -247,19 +258,20 @@
         }
         await client.close();
       }
-      const { code, text } = await showStatus();
+      const { code, text } = await runStatusCommand();
       expect(code).toBe(1);
       expect(text).toContain("Cannot reach entry");
-      const revision = await fleet.publish(
-        fleet.blueprint.text.replace(
+      const revision = await fleet.publishConfiguration(
+        fleet.blueprint.configurationText.replace(
           "requests_per_s = 50",
           "requests_per_s = 70",
         ),
       );
       fleet.heal();
       await waitFor(
-        "the revision everywhere",
-        async () => (await revisions()).every((held) => held === revision),
+        "the revision in all entries",
+        async () =>
+          (await readRevisions()).every((current) => current === revision),
       );
       await fleet.waitUntilReady();
     });
--- a/playground/src/__tests__/paused_entry.test.ts
+++ b/playground/src/__tests__/paused_entry.test.ts
@@ -1,23 +1,23 @@
 /**
- * One entry that is stopped and goes on, with chats under way, over real processes.
+ * An entry process that is stopped and continued (SIGSTOP, SIGCONT) during streamed chats.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { afterAll, beforeAll, describe, expect, it } from "vitest";
 import { Client, Fleet, readBlueprint, tokenAt, waitFor } from "../index.ts";
 
-const PLACE = { zone: "atlanta-a", region: "atlanta" };
-const CHATS = 32;
-const TOKENS = 150;
+const LOCATION = { zone: "atlanta-a", region: "atlanta" };
+const CHAT_COUNT = 32;
+const TOKENS_PER_CHAT = 150;
 const DECODE_MS = 15;
-/** Longer than a load poll may take, and longer than what counts as a pause. */
+/** Pauses longer than the timeout of a load poll and than the threshold that counts as a pause. */
 const PAUSES_MS = [1_200, 2_300];
 
 const fleet = new Fleet({
   ...readBlueprint("peachtree"),
-  entries: [PLACE],
-  engines: [PLACE, PLACE, PLACE],
-  plains: [],
-  engine: { model: "guest-8b@v1", slots: CHATS, decodeMs: DECODE_MS },
+  entries: [LOCATION],
+  engines: [LOCATION, LOCATION, LOCATION],
+  plainServices: [],
+  engine: { model: "guest-8b@v1", slots: CHAT_COUNT, decodeMs: DECODE_MS },
 });
 const kiosk = new Client("demo-clinic-north");
 
@@ -30,10 +30,10 @@
   await fleet.stop();
 });
 
-/** How often engines began a chat. */
-async function runs(): Promise<number> {
+/** Returns how many runs of chats all engines together have started. */
+async function countRuns(): Promise<number> {
   const states = await Promise.all(
-    fleet.standInsOf("engine").map(({ id }) =>
+    fleet.standInsOfKind("engine").map(({ id }) =>
       fleet.readControl<{ runs: Record<string, number> }>(id, "state")
     ),
   );
@@ -44,37 +44,40 @@
 }
 
 describe("an entry that is stopped and goes on", () => {
-  // Entries of the other interface took each engine for silent after a pause of their own and sent every
-  // stream once more, so that some callers got bytes of two runs. Here nothing is judged by silence: what
-  // lies in the sockets is read, each chat is whole, and each runs once.
-  it("gives each chat whole, from one run", async () => {
+  // After its own pause an entry of the other interface considered every engine silent and sent each stream
+  // again, so that some callers got bytes of two runs. An entry of this interface draws no conclusion from
+  // silence: it reads the data waiting in its sockets, each chat is complete, and each runs once.
+  it("completes each chat from a single run", async () => {
     const entry = fleet.entries[0]!;
     const prompts = Array.from(
-      { length: CHATS },
+      { length: CHAT_COUNT },
       (_, index) => `chat ${index}`,
     );
-    const asked = prompts.map((prompt) =>
-      kiosk.ask(entry.url, { prompt, maxTokens: TOKENS })
+    const pendingAnswers = prompts.map((prompt) =>
+      kiosk.streamChat(entry.url, { prompt, maxTokens: TOKENS_PER_CHAT })
+    );
+    await waitFor(
+      "all chats to run",
+      async () => await countRuns() >= CHAT_COUNT,
     );
-    await waitFor("all chats to run", async () => await runs() >= CHATS);
     for (const pause of PAUSES_MS) {
       entry.child.signal("SIGSTOP");
       await sleep(pause);
       entry.child.signal("SIGCONT");
       await fleet.status(entry);
     }
-    const answers = await Promise.all(asked);
+    const answers = await Promise.all(pendingAnswers);
     const expected = prompts.map((prompt) =>
       Array.from(
-        { length: TOKENS },
+        { length: TOKENS_PER_CHAT },
         (_, offset) => tokenAt(`user\n${prompt}`, offset),
       ).join("")
     );
     expect(answers.map(({ text }) => text)).toEqual(expected);
     expect(answers.filter(({ whole }) => !whole)).toEqual([]);
-    expect(await runs()).toBe(CHATS);
-    const printed = entry.child.lines.join("\n");
-    expect(printed).not.toContain("Endpoint is suspect.");
-    expect(printed).not.toContain("Stream goes on elsewhere.");
+    expect(await countRuns()).toBe(CHAT_COUNT);
+    const logOutput = entry.child.lines.join("\n");
+    expect(logOutput).not.toContain("Endpoint is suspect.");
+    expect(logOutput).not.toContain("Stream goes on elsewhere.");
   });
 });
--- a/playground/src/__tests__/whole_path_fixture.ts
+++ b/playground/src/__tests__/whole_path_fixture.ts
@@ -1,5 +1,5 @@
 /**
- * The deployment of the whole path, and what its cases ask of it.
+ * The fleet of the whole-path tests, with helpers to query and change it.
  *
  * @module
  */
@@ -7,55 +7,55 @@
   Client,
   Fleet,
   type FleetEntry,
-  type KnownEntry,
+  type ListedEntry,
   readBlueprint,
   tokenAt,
   waitFor,
 } from "../index.ts";
 
-/** One deployment of real processes, shared by all cases. */
+/** A fleet of real processes that all cases share. */
 export const fleet = new Fleet(readBlueprint("peachtree"));
-/** A customer with a home. */
+/** A client of a customer that is bound to its home region. */
 export const kiosk = new Client("demo-clinic-north");
-/** Another customer. */
-export const guest = new Client("demo-church-hall");
-/** Asked in all cases. */
+/** A client of a customer that is not bound to its home region. */
+export const unboundClient = new Client("demo-church-hall");
+/** The prompt of all cases. */
 export const PROMPT = "Where do I find my host?";
 
-/** The process of an entry that was named. */
-export function entryNamed(known: KnownEntry): FleetEntry {
+/** Returns the fleet's process for an entry of the list that clients get. */
+export function fleetEntryOf(known: ListedEntry): FleetEntry {
   return fleet.entries.find(({ id }) => id === known.id)!;
 }
 
-/** Entries for the kiosk: those of its home. */
-export async function homeEntries(): Promise<readonly KnownEntry[]> {
-  const alive = fleet.entries.find(({ child }) =>
+/** Fetches the entries that the kiosk may use, all in its home region, from any running entry. */
+export async function homeEntries(): Promise<readonly ListedEntry[]> {
+  const running = fleet.entries.find(({ child }) =>
     child.process.exitCode === null && child.process.signalCode === null
   )!;
-  return await kiosk.entries(alive.url, "check-in");
+  return await kiosk.entries(running.url, "check-in");
 }
 
-/** Runs of a key over all printers. */
-export async function runsOf(key: string): Promise<number> {
+/** Returns how often all printers together ran a call with this idempotency key. */
+export async function countRuns(key: string): Promise<number> {
   const states = await Promise.all(
-    fleet.standInsOf("plain").map(({ id }) =>
+    fleet.standInsOfKind("plain").map(({ id }) =>
       fleet.readControl<{ runs: Record<string, number> }>(id, "runs")
     ),
   );
   return states.reduce((sum, { runs }) => sum + (runs[key] ?? 0), 0);
 }
 
-/** Calls that reached printers, whether they ran or not. */
-export async function callsOfPrinters(): Promise<number> {
+/** Returns the number of calls that reached printers, whether they ran or not. */
+export async function countPrinterCalls(): Promise<number> {
   const states = await Promise.all(
-    fleet.standInsOf("plain").map(({ id }) =>
+    fleet.standInsOfKind("plain").map(({ id }) =>
       fleet.readControl<{ calls: number }>(id, "runs")
     ),
   );
   return states.reduce((sum, { calls }) => sum + calls, 0);
 }
 
-/** The answer to the prompt, of so many tokens. */
+/** Returns the text of the answer to the prompt with the given number of tokens. */
 export function expectedText(tokens: number): string {
   return Array.from(
     { length: tokens },
@@ -63,39 +63,39 @@
   ).join("");
 }
 
-/** Sets how all printers behave. */
-export async function setPrinters(behaviour: object): Promise<void> {
+/** Sets the mode of all printers. */
+export async function setPrinterMode(behaviour: object): Promise<void> {
   await Promise.all(
-    fleet.standInsOf("plain").map(({ id }) =>
-      fleet.control(id, "mode", behaviour)
+    fleet.standInsOfKind("plain").map(({ id }) =>
+      fleet.putControl(id, "mode", behaviour)
     ),
   );
 }
 
-/** Replaces entries that are gone, as the platform would. */
-export async function replaceDead(): Promise<void> {
-  const dead = fleet.entries.filter(({ child }) =>
+/** Replaces exited entries by new ones in the same zone, as the platform does. */
+export async function replaceExitedEntries(): Promise<void> {
+  const exited = fleet.entries.filter(({ child }) =>
     child.process.exitCode !== null || child.process.signalCode !== null
   );
-  for (const entry of dead) {
+  for (const entry of exited) {
     fleet.entries.splice(fleet.entries.indexOf(entry), 1);
     await fleet.addEntry({ zone: entry.zone, region: entry.region });
   }
   await fleet.publishVms();
-  await waitFor("the new entries to be known", async () => {
-    const all = await Promise.all(
+  await waitFor("all entries to see the new ones", async () => {
+    const statuses = await Promise.all(
       fleet.entries.map((entry) => fleet.status(entry)),
     );
     const ids = fleet.entries.map(({ id }) => id);
-    return all.every(({ phase, members, id, endpoints }) => {
+    return statuses.every(({ phase, members, id, endpoints }) => {
       const live = members.filter(({ health, state }) =>
         health === "live" && state === "ready"
       ).map((member) => member.id);
-      const known = endpoints.some(({ pool, state }) =>
+      const printerKnown = endpoints.some(({ pool, state }) =>
         pool === "check-in" && state === "live"
       );
-      const gone = live.every((name) => ids.includes(name));
-      return phase === "ready" && known && gone &&
+      const onlyCurrent = live.every((name) => ids.includes(name));
+      return phase === "ready" && printerKnown && onlyCurrent &&
         ids.every((name) => name === id || live.includes(name));
     });
   });
--- a/playground/src/client/client.ts
+++ b/playground/src/client/client.ts
@@ -1,5 +1,5 @@
 /**
- * A caller as a kiosk or an app would be: asks which entries to use, makes keys, retries by verdict.
+ * The client of a kiosk or an app: looks up the entries to use, creates idempotency keys and sends requests.
  *
  * @module
  */
@@ -13,8 +13,8 @@
 import { createParser } from "eventsource-parser";
 import { Agent, fetch } from "undici";
 
-/** One entry, as told by the system. */
-export interface KnownEntry {
+/** An entry in the list that the gateway returns to its clients. */
+export interface ListedEntry {
   readonly id: string;
   readonly url: string;
   readonly region: string;
@@ -22,27 +22,28 @@
   readonly owner_token: string;
 }
 
-/** An answer with what the system says of it. */
+/** An answer with its verdict and request id from the gateway's headers. */
 export interface Answer {
   readonly status: number;
   readonly verdict: string;
-  readonly request: string;
+  readonly requestId: string;
   readonly headers: Headers;
   readonly text: string;
 }
 
-/** A streamed answer, as far as it came. */
+/** A streamed answer, possibly incomplete. */
 export interface StreamedAnswer extends Answer {
+  /** Whether the stream reached its end mark. */
   readonly whole: boolean;
   readonly firstTokenMs: number;
   readonly wholeMs: number;
   readonly tokens: number;
-  /** Id of the last event, to go on after it. */
+  /** The id of the last event received, from which the stream can be resumed. */
   readonly lastEventId: string;
 }
 
-/** What a question consists of. */
-export interface Question {
+/** A chat request and its options. */
+export interface ChatRequest {
   readonly prompt: string;
   readonly maxTokens?: number;
   readonly requestClass?: string;
@@ -52,9 +53,9 @@
   readonly signal?: AbortSignal;
 }
 
-const RANDOM_BYTES = 12;
+const KEY_RANDOM_BYTES = 12;
 
-/** A customer's caller. */
+/** A client that acts for one customer. */
 export class Client {
   readonly #token: string;
   readonly #agent = new Agent({
@@ -68,24 +69,26 @@
     this.#token = token;
   }
 
-  /** Entries in the order in which to use them. */
+  /** Fetches the entries for a service, in the order in which to use them, from any entry. */
   async entries(
     anyEntryUrl: string,
     service: string,
-  ): Promise<readonly KnownEntry[]> {
+  ): Promise<readonly ListedEntry[]> {
     const answer = await fetch(`${anyEntryUrl}/v1/entries?service=${service}`, {
       headers: { authorization: `Bearer ${this.#token}` },
       dispatcher: this.#agent,
     });
-    return (await answer.json() as { entries: KnownEntry[] }).entries;
+    return (await answer.json() as { entries: ListedEntry[] }).entries;
   }
 
-  /** A new idempotency key under an owner token. */
+  /** Creates an idempotency key that is owned by the entry with the given owner token. */
   newKey(ownerToken: string): string {
-    return `${ownerToken}.${randomBytes(RANDOM_BYTES).toString("base64url")}`;
+    return `${ownerToken}.${
+      randomBytes(KEY_RANDOM_BYTES).toString("base64url")
+    }`;
   }
 
-  /** A call of a plain service. */
+  /** Calls a plain service. */
   async call(
     entryUrl: string,
     { service, path, key, body, deadlineMs }: {
@@ -109,39 +112,42 @@
       body,
       dispatcher: this.#agent,
     });
-    return describe(response as unknown as Response, await response.text());
+    return toAnswer(response as unknown as Response, await response.text());
   }
 
-  /** A streamed question, read to its end or break. */
-  async ask(entryUrl: string, question: Question): Promise<StreamedAnswer> {
+  /** Sends a streamed chat request and reads its answer until the stream ends or breaks. */
+  async streamChat(
+    entryUrl: string,
+    request: ChatRequest,
+  ): Promise<StreamedAnswer> {
     const startedAt = performance.now();
-    const response = await this.#send(entryUrl, question);
-    const reading = new StreamReading(startedAt);
+    const response = await this.#send(entryUrl, request);
+    const collector = new StreamCollector(startedAt);
     if (
       !String(response.headers.get("content-type")).includes("event-stream")
     ) {
       return {
-        ...describe(response, await response.text()),
-        ...reading.result(),
+        ...toAnswer(response, await response.text()),
+        ...collector.result(),
       };
     }
     try {
       for await (
         const chunk of response.body as unknown as AsyncIterable<Uint8Array>
       ) {
-        reading.feed(chunk);
+        collector.feed(chunk);
       }
     } catch {
-      reading.broke();
+      collector.markBroken();
     }
-    return { ...describe(response, reading.text), ...reading.result() };
+    return { ...toAnswer(response, collector.text), ...collector.result() };
   }
 
   async close(): Promise<void> {
     await this.#agent.destroy();
   }
 
-  async #send(entryUrl: string, question: Question): Promise<Response> {
+  async #send(entryUrl: string, request: ChatRequest): Promise<Response> {
     const {
       prompt,
       maxTokens = 32,
@@ -150,7 +156,7 @@
       service,
       lastEventId,
       signal,
-    } = question;
+    } = request;
     const response = await fetch(`${entryUrl}/v1/chat/completions`, {
       method: "POST",
       headers: {
@@ -177,8 +183,8 @@
   }
 }
 
-/** Collects the events of one stream. */
-class StreamReading {
+/** Parses the events of one stream and collects its text and timings. */
+class StreamCollector {
   text = "";
   readonly #startedAt: number;
   readonly #decoder = new TextDecoder();
@@ -188,7 +194,7 @@
   #whole = false;
   #lastEventId = "";
   readonly #parser = createParser({
-    onEvent: ({ id, event, data }) => this.#take({ id, event, data }),
+    onEvent: ({ id, event, data }) => this.#handleEvent({ id, event, data }),
   });
 
   constructor(startedAt: number) {
@@ -199,7 +205,7 @@
     this.#parser.feed(this.#decoder.decode(chunk, { stream: true }));
   }
 
-  broke(): void {
+  markBroken(): void {
     this.#whole = false;
   }
 
@@ -216,7 +222,7 @@
     };
   }
 
-  #take(
+  #handleEvent(
     { id, event, data }: {
       id?: string | undefined;
       event?: string | undefined;
@@ -244,11 +250,11 @@
   }
 }
 
-function describe(response: Response, text: string): Answer {
+function toAnswer(response: Response, text: string): Answer {
   return {
     status: response.status,
     verdict: response.headers.get(VERDICT_HEADER) ?? "",
-    request: response.headers.get(REQUEST_HEADER) ?? "",
+    requestId: response.headers.get(REQUEST_HEADER) ?? "",
     headers: response.headers,
     text,
   };
--- a/playground/src/client/most_within.ts
+++ b/playground/src/client/most_within.ts
@@ -1,19 +1,19 @@
 /**
- * Bounds on rates.
+ * Checks of request rates over a sliding window.
  *
  * @module
  */
 
-/** Most of the given instants within any span of `window` milliseconds. */
+/** Returns the largest number of the given ascending times that lie within any window of `windowMs` milliseconds. */
 export function mostWithin(
-  instants: readonly number[],
-  window: number,
+  times: readonly number[],
+  windowMs: number,
 ): number {
   let first = 0;
-  return instants.reduce((most, at, index) => {
-    while (instants[first]! <= at - window) {
+  return times.reduce((max, at, index) => {
+    while (times[first]! <= at - windowMs) {
       first++;
     }
-    return Math.max(most, index - first + 1);
+    return Math.max(max, index - first + 1);
   }, 0);
 }
--- a/playground/src/fleet/blueprint.ts
+++ b/playground/src/fleet/blueprint.ts
@@ -1,18 +1,18 @@
 /**
- * The two deployments at the sizes of today, with stand-ins for all that they need.
+ * The two example deployments at their present sizes, with stand-ins for every service they depend on.
  *
  * @module
  */
 import { readFileSync } from "node:fs";
 import type { EngineOptions } from "../stand_ins/index.ts";
 
-/** Where something runs. */
-export interface Place {
+/** The availability zone and region in which a process runs. */
+export interface Location {
   readonly zone: string;
   readonly region: string;
 }
 
-/** A customer that a client may act as. */
+/** A customer of an example deployment, with the token that authenticates its clients. */
 export interface DemoCustomer {
   readonly id: string;
   readonly home: string;
@@ -20,13 +20,13 @@
   readonly token: string;
 }
 
-/** Everything that one fleet consists of. */
+/** The processes, configuration and customers of one fleet. */
 export interface Blueprint {
   readonly name: "peachtree" | "mfuko";
-  readonly text: string;
-  readonly entries: readonly Place[];
-  readonly engines: readonly Place[];
-  readonly plains: readonly Place[];
+  readonly configurationText: string;
+  readonly entries: readonly Location[];
+  readonly engines: readonly Location[];
+  readonly plainServices: readonly Location[];
   readonly modelService: string;
   readonly plainService: string;
   readonly engine: Partial<EngineOptions>;
@@ -35,17 +35,22 @@
 
 const EXAMPLES = new URL("../../../examples/", import.meta.url);
 
-/** Reads the text and sizes of a deployment. */
+/** Returns the blueprint of an example deployment, with its configuration text read from disk. */
 export function readBlueprint(name: "peachtree" | "mfuko"): Blueprint {
-  const text = readFileSync(new URL(`${name}.ini`, EXAMPLES), "utf8");
-  return name === "peachtree" ? peachtree(text) : mfuko(text);
+  const configurationText = readFileSync(
+    new URL(`${name}.ini`, EXAMPLES),
+    "utf8",
+  );
+  return name === "peachtree"
+    ? peachtree(configurationText)
+    : mfuko(configurationText);
 }
 
-function peachtree(text: string): Blueprint {
+function peachtree(configurationText: string): Blueprint {
   return {
     name: "peachtree",
-    text,
-    entries: places({
+    configurationText,
+    entries: locations({
       "atlanta-a": 2,
       "atlanta-b": 2,
       "savannah-a": 1,
@@ -53,7 +58,7 @@
       "macon-a": 1,
       "macon-b": 1,
     }),
-    engines: places({
+    engines: locations({
       "atlanta-a": 3,
       "atlanta-b": 3,
       "savannah-a": 2,
@@ -61,7 +66,7 @@
       "macon-a": 2,
       "macon-b": 1,
     }),
-    plains: places({ "atlanta-a": 1, "savannah-a": 1, "macon-a": 1 }),
+    plainServices: locations({ "atlanta-a": 1, "savannah-a": 1, "macon-a": 1 }),
     modelService: "pool",
     plainService: "check-in",
     engine: { model: "guest-8b@v1" },
@@ -74,25 +79,25 @@
   };
 }
 
-function mfuko(text: string): Blueprint {
+function mfuko(configurationText: string): Blueprint {
   return {
     name: "mfuko",
-    text,
-    entries: places({
+    configurationText,
+    entries: locations({
       "nairobi-a": 2,
       "nairobi-b": 1,
       "mombasa-a": 1,
       "mombasa-b": 1,
       "kisumu-a": 2,
     }),
-    engines: places({
+    engines: locations({
       "nairobi-a": 2,
       "nairobi-b": 1,
       "mombasa-a": 1,
       "mombasa-b": 1,
       "kisumu-a": 2,
     }),
-    plains: places({ "nairobi-a": 1, "mombasa-a": 1, "kisumu-a": 1 }),
+    plainServices: locations({ "nairobi-a": 1, "mombasa-a": 1, "kisumu-a": 1 }),
     modelService: "assistant",
     plainService: "wallet",
     engine: { model: "mfuko-7b@v1", decodeMs: 15, slots: 3 },
@@ -109,8 +114,8 @@
   return { id, home, bound, token: `demo-${id}` };
 }
 
-/** Zone names begin with their region's name. */
-function places(counts: Readonly<Record<string, number>>): Place[] {
+/** Expands counts per zone into locations. A zone's name is its region's name and a suffix after the last `-`. */
+function locations(counts: Readonly<Record<string, number>>): Location[] {
   return Object.entries(counts).flatMap(([zone, count]) => {
     const region = zone.slice(0, zone.lastIndexOf("-"));
     return Array.from({ length: count }, () => ({ zone, region }));
--- a/playground/src/fleet/child.ts
+++ b/playground/src/fleet/child.ts
@@ -1,5 +1,5 @@
 /**
- * Processes that the playground starts, and ends by their own id.
+ * Child processes of the playground. Each is signalled and ended through its own process id.
  *
  * @module
  */
@@ -8,16 +8,16 @@
 import { fileURLToPath } from "node:url";
 
 const DIST = new URL("../../../", import.meta.url);
-const KEPT_LINES = 200;
+const MAX_KEPT_LINES = 200;
 const START_TIMEOUT_MS = 20_000;
 
-/** One started process. */
+/** A Node process started from a built script, whose output lines are recorded. */
 export class Child {
   readonly process: ChildProcess;
-  /** Last lines that it printed. */
+  /** The last lines printed to stdout and stderr, at most `MAX_KEPT_LINES`. */
   readonly lines: string[] = [];
   readonly exited: Promise<number | null>;
-  readonly #watchers = new Set<(line: string) => void>();
+  readonly #lineListeners = new Set<(line: string) => void>();
 
   constructor(script: string, args: readonly string[]) {
     const path = fileURLToPath(new URL(script, DIST));
@@ -25,7 +25,10 @@
       stdio: ["ignore", "pipe", "pipe"],
     });
     for (const stream of [this.process.stdout!, this.process.stderr!]) {
-      createInterface({ input: stream }).on("line", (line) => this.#note(line));
+      createInterface({ input: stream }).on(
+        "line",
+        (line) => this.#recordLine(line),
+      );
     }
     this.exited = new Promise((resolve) =>
       this.process.once("exit", (code) => resolve(code))
@@ -36,26 +39,28 @@
     return this.process.pid!;
   }
 
-  /** The first JSON line, printed or to come, that has `field`. */
-  async lineWith<Line extends object>(field: string): Promise<Line> {
+  /** Resolves with the first JSON line, already printed or still to come, that has the given field. */
+  async waitForLineWith<Line extends object>(field: string): Promise<Line> {
     return await new Promise<Line>((resolve, reject) => {
       const onLine = (line: string): void => {
-        const found = parseLine(line);
-        if (found !== undefined && field in found) {
+        const parsed = parseLine(line);
+        if (parsed !== undefined && field in parsed) {
           clearTimeout(timer);
-          this.#watchers.delete(onLine);
-          resolve(found as Line);
+          this.#lineListeners.delete(onLine);
+          resolve(parsed as Line);
         }
       };
-      const fail = (): void =>
+      const rejectWithOutput = (): void =>
         reject(
           new Error(
-            `Process printed no "${field}": ${this.lines.slice(-5).join("\n")}`,
+            `The process printed no JSON line with "${field}". Its last lines: ${
+              this.lines.slice(-5).join("\n")
+            }`,
           ),
         );
-      const timer = setTimeout(fail, START_TIMEOUT_MS);
-      void this.exited.then(fail);
-      this.#watchers.add(onLine);
+      const timer = setTimeout(rejectWithOutput, START_TIMEOUT_MS);
+      void this.exited.then(rejectWithOutput);
+      this.#lineListeners.add(onLine);
       this.lines.forEach(onLine);
     });
   }
@@ -66,18 +71,18 @@
     }
   }
 
-  /** Ends the process whatever it does. */
+  /** Kills the process with SIGKILL and waits for its exit. */
   async kill(): Promise<void> {
     this.signal("SIGKILL");
     await this.exited;
   }
 
-  #note(line: string): void {
+  #recordLine(line: string): void {
     this.lines.push(line);
-    if (this.lines.length > KEPT_LINES) {
+    if (this.lines.length > MAX_KEPT_LINES) {
       this.lines.shift();
     }
-    this.#watchers.forEach((watch) => watch(line));
+    this.#lineListeners.forEach((listener) => listener(line));
   }
 }
 
--- a/playground/src/fleet/fleet.ts
+++ b/playground/src/fleet/fleet.ts
@@ -1,5 +1,5 @@
 /**
- * A whole fleet of real processes on loopback: stand-ins, and entries in three regions.
+ * A fleet of real processes on loopback: stand-ins, and entries in three regions.
  *
  * @module
  */
@@ -8,26 +8,26 @@
 import { join } from "node:path";
 import { Credentials, PeerClients, type Status } from "@sassafrasstep/daemon";
 import type { PublishedVm } from "../stand_ins/index.ts";
-import type { Blueprint, Place } from "./blueprint.ts";
+import type { Blueprint, Location } from "./blueprint.ts";
 import { Child } from "./child.ts";
 import { Relay } from "./relay.ts";
 import { waitFor } from "./wait_for.ts";
 
-/** Secret of every fleet of the playground. */
+/** The shared secret of peers in every playground fleet. */
 export const PLAYGROUND_SECRET = "playground-secret-0123456789";
 
-/** A running entry. */
-export interface FleetEntry extends Place {
+/** A running entry process and its addresses. */
+export interface FleetEntry extends Location {
   readonly id: string;
   readonly child: Child;
   readonly url: string;
   readonly controlUrl: string;
-  /** Control address that peers are told. */
+  /** The control address that is advertised to peers. */
   readonly peerUrl: string;
 }
 
-/** A running stand-in. */
-export interface FleetStandIn extends Place {
+/** A running stand-in process. */
+export interface FleetStandIn extends Location {
   readonly id: string;
   readonly kind:
     | "configuration"
@@ -39,28 +39,28 @@
   readonly url: string;
 }
 
-/** What differs from the blueprint. */
+/** Settings of a fleet that its blueprint does not define. */
 export interface FleetOptions {
   readonly heartbeatPeriodMs?: number;
   readonly epochLengthMs?: number;
   readonly balancer?: string;
-  /** Whether entries reach the platform and each other through relays, which `cut` can cut. */
+  /** Whether entries reach the platform and each other through relays, which `partition` interrupts. */
   readonly relayed?: boolean;
 }
 
-/** Starts, changes and ends the processes of one fleet. */
+/** Starts, changes and stops the processes of one fleet. */
 export class Fleet {
   readonly blueprint: Blueprint;
   readonly entries: FleetEntry[] = [];
   readonly standIns: FleetStandIn[] = [];
   readonly peers: PeerClients;
   readonly #options: FleetOptions;
-  /** Addresses that entries are given for the platform. */
+  /** Addresses of the platform services in the entries' settings. */
   readonly #platformUrls = new Map<string, string>();
   readonly #relays = new Map<string, Relay>();
-  readonly #folder = mkdtempSync(join(tmpdir(), "sassafrasstep-"));
+  readonly #settingsDirectory = mkdtempSync(join(tmpdir(), "sassafrasstep-"));
   #vmStates = new Map<string, "live" | "leaving">();
-  #counter = 0;
+  #idCounter = 0;
 
   constructor(blueprint: Blueprint, options: FleetOptions = {}) {
     this.blueprint = blueprint;
@@ -70,17 +70,17 @@
     );
   }
 
-  /** Starts everything and waits until each entry is ready and knows all others. */
+  /** Starts all processes and waits until each entry is ready and sees all others as live. */
   async start(): Promise<void> {
     const { blueprint } = this;
-    const nowhere = { zone: "", region: "" };
+    const platformLocation = { zone: "", region: "" };
     await Promise.all([
-      this.addStandIn("configuration", nowhere),
-      this.addStandIn("vm-list", nowhere, { lagMs: 100 }),
-      this.addStandIn("weight-store", nowhere),
+      this.addStandIn("configuration", platformLocation),
+      this.addStandIn("vm-list", platformLocation, { lagMs: 100 }),
+      this.addStandIn("weight-store", platformLocation),
     ]);
     for (const name of ["configuration", "vm-list"]) {
-      const url = this.urlOf(name);
+      const url = this.standInUrl(name);
       this.#platformUrls.set(
         name,
         this.#options.relayed === true
@@ -90,34 +90,38 @@
     }
     const engineOptions = {
       ...blueprint.engine,
-      weightStoreUrl: this.urlOf("weight-store"),
+      weightStoreUrl: this.standInUrl("weight-store"),
     };
     await Promise.all([
-      ...blueprint.engines.map((place) =>
-        this.addStandIn("engine", place, engineOptions)
+      ...blueprint.engines.map((location) =>
+        this.addStandIn("engine", location, engineOptions)
+      ),
+      ...blueprint.plainServices.map((location) =>
+        this.addStandIn("plain", location)
       ),
-      ...blueprint.plains.map((place) => this.addStandIn("plain", place)),
     ]);
-    await this.publish(blueprint.text);
-    await Promise.all(blueprint.entries.map((place) => this.addEntry(place)));
+    await this.publishConfiguration(blueprint.configurationText);
+    await Promise.all(
+      blueprint.entries.map((location) => this.addEntry(location)),
+    );
     await this.publishVms();
     await this.waitUntilReady();
   }
 
-  /** Ends every process. */
+  /** Kills all processes, stops the relays and deletes the settings files. */
   async stop(): Promise<void> {
     await Promise.all(
       [...this.entries, ...this.standIns].map(({ child }) => child.kill()),
     );
     await Promise.all([...this.#relays.values()].map((relay) => relay.stop()));
     await this.peers.close();
-    rmSync(this.#folder, { recursive: true, force: true });
+    rmSync(this.#settingsDirectory, { recursive: true, force: true });
   }
 
-  /** Starts a stand-in. Engines and plain services are listed once `publishVms` is called. */
+  /** Starts a stand-in. An engine or plain service appears in the VM list after the next `publishVms`. */
   async addStandIn(
     kind: FleetStandIn["kind"],
-    place: Place,
+    location: Location,
     options: object = {},
   ): Promise<FleetStandIn> {
     const child = new Child("playground/dist/stand_ins/main.js", [
@@ -126,76 +130,80 @@
       "--options",
       JSON.stringify(options),
     ]);
-    this.#counter++;
-    const id = place.zone === ""
+    this.#idCounter++;
+    const id = location.zone === ""
       ? kind
-      : `${kind}-${place.zone}-${this.#counter}`;
-    const { url } = await child.lineWith<{ url: string }>("url");
-    const standIn = { id, kind, child, url, ...place };
+      : `${kind}-${location.zone}-${this.#idCounter}`;
+    const { url } = await child.waitForLineWith<{ url: string }>("url");
+    const standIn = { id, kind, child, url, ...location };
     this.standIns.push(standIn);
     return standIn;
   }
 
-  /** Starts an entry. */
-  async addEntry(place: Place): Promise<FleetEntry> {
-    this.#counter++;
-    const id = `entry-${place.zone}-${this.#counter}`;
-    const path = join(this.#folder, `${id}.ini`);
+  /** Starts an entry. It appears in the VM list after the next `publishVms`. */
+  async addEntry(location: Location): Promise<FleetEntry> {
+    this.#idCounter++;
+    const id = `entry-${location.zone}-${this.#idCounter}`;
+    const path = join(this.#settingsDirectory, `${id}.ini`);
     const relay = this.#options.relayed === true
       ? await this.#addRelay(id)
       : undefined;
-    writeFileSync(path, this.#settingsOf(id, place, relay?.url));
+    writeFileSync(path, this.#settingsText(id, location, relay?.url));
     const child = new Child("packages/daemon/dist/main.js", [
       "--settings",
       path,
     ]);
-    const line = await child.lineWith<
+    const line = await child.waitForLineWith<
       { localUrl: string; localControlUrl: string; controlUrl: string }
     >("controlUrl");
-    relay?.relay.aimAt(line.localControlUrl);
+    relay?.relay.setTarget(line.localControlUrl);
     const entry = {
       id,
       child,
       url: line.localUrl,
       controlUrl: line.localControlUrl,
       peerUrl: line.controlUrl,
-      ...place,
+      ...location,
     };
     this.entries.push(entry);
     return entry;
   }
 
-  /** Cuts every entry off from the platform and from every other entry. */
-  cut(): void {
-    this.#relays.forEach((relay) => relay.cut());
+  /** Isolates every entry from the platform and from every other entry. Requires `relayed`. */
+  partition(): void {
+    this.#relays.forEach((relay) => relay.interrupt());
   }
 
-  /** Bytes that passed each relay in both directions. */
+  /** Returns the bytes that each relay has forwarded in both directions, by relay name. */
   relayBytes(): Map<string, number> {
     return new Map(
       [...this.#relays].map(([name, relay]) => [name, relay.bytes]),
     );
   }
 
+  /** Ends a partition. */
   heal(): void {
-    this.#relays.forEach((relay) => relay.heal());
+    this.#relays.forEach((relay) => relay.restore());
   }
 
-  /** Publishes a text; returns its revision. */
-  async publish(text: string): Promise<number> {
-    const answer = await fetch(`${this.urlOf("configuration")}/control/text`, {
-      method: "PUT",
-      body: text,
-    });
+  /** Publishes a configuration text and returns its revision. */
+  async publishConfiguration(text: string): Promise<number> {
+    const answer = await fetch(
+      `${this.standInUrl("configuration")}/control/text`,
+      {
+        method: "PUT",
+        body: text,
+      },
+    );
     return (await answer.json() as { revision: number }).revision;
   }
 
-  /** Publishes all VMs that run, each live unless it was marked as leaving. */
+  /** Publishes the VM list: every VM of the fleet, live unless it was marked as leaving. */
   async publishVms(): Promise<void> {
-    await this.control("vm-list", "vms", { vms: this.vms() });
+    await this.putControl("vm-list", "vms", { vms: this.vms() });
   }
 
-  /** Lists a VM as leaving, or not at all. */
+  /** Publishes a VM as leaving, or removes it from the VM list. */
   async markVm(id: string, state: "leaving" | "gone"): Promise<void> {
     if (state === "gone") {
       const index = this.standIns.findIndex((standIn) => standIn.id === id);
@@ -238,63 +246,65 @@
     ];
   }
 
-  /** Calls a control route of a stand-in by kind or id. */
-  async control(name: string, route: string, body: object): Promise<void> {
-    await fetch(`${this.urlOf(name)}/control/${route}`, {
+  /** Sends a body to a control route of the stand-in with the given kind or id. */
+  async putControl(name: string, route: string, body: object): Promise<void> {
+    await fetch(`${this.standInUrl(name)}/control/${route}`, {
       method: "PUT",
       body: JSON.stringify(body),
     });
   }
 
-  /** Reads a control route of a stand-in by kind or id. */
+  /** Reads a control route of the stand-in with the given kind or id. */
   async readControl<Answer>(name: string, route: string): Promise<Answer> {
-    return await (await fetch(`${this.urlOf(name)}/control/${route}`))
+    return await (await fetch(`${this.standInUrl(name)}/control/${route}`))
       .json() as Answer;
   }
 
-  urlOf(name: string): string {
-    return this.#standIn(name).url;
+  standInUrl(name: string): string {
+    return this.#findStandIn(name).url;
   }
 
-  entriesIn(region: string): FleetEntry[] {
+  entriesInRegion(region: string): FleetEntry[] {
     return this.entries.filter((entry) => entry.region === region);
   }
 
-  standInsOf(kind: FleetStandIn["kind"]): FleetStandIn[] {
+  standInsOfKind(kind: FleetStandIn["kind"]): FleetStandIn[] {
     return this.standIns.filter((standIn) => standIn.kind === kind);
   }
 
-  /** One entry's picture. */
+  /** Queries an entry's status. */
   async status(entry: FleetEntry): Promise<Status> {
     return await this.peers.at(entry.controlUrl).status.query();
   }
 
-  /** Waits until each entry is ready and hears all others. */
+  /** Waits until each entry is ready, sees all others as live and ready, and knows every endpoint's slots. */
   async waitUntilReady(
     entries: readonly FleetEntry[] = this.entries,
   ): Promise<void> {
     await waitFor("all entries to be ready", async () => {
-      const all = await Promise.all(entries.map((entry) => this.status(entry)));
-      return all.every((status) => {
+      const statuses = await Promise.all(
+        entries.map((entry) => this.status(entry)),
+      );
+      return statuses.every((status) => {
         const live = status.members.filter(({ health, state }) =>
           health === "live" && state === "ready"
         );
-        const known = status.endpoints.length > 0 &&
+        const slotsKnown = status.endpoints.length > 0 &&
           status.endpoints.every(({ slots }) => slots > 0);
         return status.phase === "ready" && live.length === entries.length - 1 &&
-          known;
+          slotsKnown;
       });
     });
   }
 
-  #standIn(name: string): FleetStandIn {
-    const found = this.standIns.find(({ id, kind }) =>
+  #findStandIn(name: string): FleetStandIn {
+    const standIn = this.standIns.find(({ id, kind }) =>
       id === name || kind === name
     );
-    if (found === undefined) {
-      throw new Error(`The fleet has no stand-in "${name}"`);
+    if (standIn === undefined) {
+      throw new Error(`The fleet has no stand-in of kind or id "${name}"`);
     }
-    return found;
+    return standIn;
   }
 
   async #addRelay(
@@ -306,10 +316,10 @@
     return { relay, url: await relay.start() };
   }
 
-  #settingsOf(
+  #settingsText(
     id: string,
-    { zone, region }: Place,
-    advertised: string | undefined,
+    { zone, region }: Location,
+    advertisedControlUrl: string | undefined,
   ): string {
     const {
       heartbeatPeriodMs = 200,
@@ -323,7 +333,11 @@
 zone = ${zone}
 listen = 127.0.0.1:0
 control = 127.0.0.1:0
-${advertised === undefined ? "" : `advertised_control_url = ${advertised}`}
+${
+      advertisedControlUrl === undefined
+        ? ""
+        : `advertised_control_url = ${advertisedControlUrl}`
+    }
 secret = ${PLAYGROUND_SECRET}
 
 [platform]
--- a/playground/src/fleet/index.ts
+++ b/playground/src/fleet/index.ts
@@ -1,7 +1,7 @@
 export {
   type Blueprint,
   type DemoCustomer,
-  type Place,
+  type Location,
   readBlueprint,
 } from "./blueprint.ts";
 export { Child } from "./child.ts";
--- a/playground/src/fleet/relay.ts
+++ b/playground/src/fleet/relay.ts
@@ -1,5 +1,5 @@
 /**
- * A TCP relay that can be cut, to bring about partitions between real processes.
+ * A TCP relay that can be interrupted, to simulate network partitions between real processes.
  *
  * @module
  */
@@ -11,12 +11,12 @@
   type Socket,
 } from "node:net";
 
-/** Forwards connections to a port until it is cut. */
+/** Forwards connections to a port on loopback, unless it is interrupted. */
 export class Relay {
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
   #targetPort: number;
-  #cut = false;
+  #interrupted = false;
   #bytes = 0;
 
   constructor(targetUrl = "http://127.0.0.1:0") {
@@ -24,7 +24,7 @@
     this.#server = createServer((socket) => this.#accept(socket));
   }
 
-  /** Starts and returns the base URL. */
+  /** Starts listening on a free port and returns the base URL. */
   async start(): Promise<string> {
     await new Promise<void>((resolve) =>
       this.#server.listen(0, "127.0.0.1", resolve)
@@ -32,33 +32,34 @@
     return `http://127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** Sets where connections go, once that is known. */
-  aimAt(targetUrl: string): void {
+  /** Sets the target of new connections, for a relay that is started before its target. */
+  setTarget(targetUrl: string): void {
     this.#targetPort = Number(new URL(targetUrl).port);
   }
 
-  /** Bytes that passed in both directions. */
+  /** Bytes forwarded in both directions. */
   get bytes(): number {
     return this.#bytes;
   }
 
-  /** Drops what is open and refuses what comes, until `heal`. */
-  cut(): void {
-    this.#cut = true;
+  /** Closes all open connections, and each new one at once, until `restore`. */
+  interrupt(): void {
+    this.#interrupted = true;
     this.#sockets.forEach((socket) => socket.destroy());
   }
 
-  heal(): void {
-    this.#cut = false;
+  /** Accepts connections again. */
+  restore(): void {
+    this.#interrupted = false;
   }
 
   async stop(): Promise<void> {
-    this.cut();
+    this.interrupt();
     await new Promise<void>((resolve) => this.#server.close(() => resolve()));
   }
 
   #accept(socket: Socket): void {
-    if (this.#cut) {
+    if (this.#interrupted) {
       socket.destroy();
       return;
     }
--- a/playground/src/fleet/wait_for.ts
+++ b/playground/src/fleet/wait_for.ts
@@ -1,29 +1,32 @@
 /**
- * Waits for conditions.
+ * Polls conditions until they hold.
  *
  * @module
  */
 
-const READY_TIMEOUT_MS = 30_000;
+const DEFAULT_TIMEOUT_MS = 30_000;
 const POLL_MS = 50;
 
-/** Polls a condition; throws with its name when it does not come true in time. */
+/**
+ * Polls a condition until it holds; one that throws does not hold yet. Throws an error with the condition's
+ * name on timeout.
+ */
 export async function waitFor(
   name: string,
   condition: () => Promise<boolean> | boolean,
-  timeoutMs = READY_TIMEOUT_MS,
+  timeoutMs = DEFAULT_TIMEOUT_MS,
 ): Promise<void> {
-  const until = performance.now() + timeoutMs;
-  while (performance.now() < until) {
-    if (await attempt(condition)) {
+  const deadline = performance.now() + timeoutMs;
+  while (performance.now() < deadline) {
+    if (await evaluate(condition)) {
       return;
     }
     await new Promise((resolve) => setTimeout(resolve, POLL_MS));
   }
-  throw new Error(`Waited ${timeoutMs} ms in vain for ${name}`);
+  throw new Error(`Timed out after ${timeoutMs} ms waiting for ${name}`);
 }
 
-async function attempt(
+async function evaluate(
   condition: () => Promise<boolean> | boolean,
 ): Promise<boolean> {
   try {
--- a/playground/src/fleet_main.ts
+++ b/playground/src/fleet_main.ts
@@ -1,5 +1,6 @@
 /**
- * Starts a fleet and holds it: `npm run playground -- --hold --json [--deployment peachtree|mfuko]`.
+ * Starts a fleet, prints its addresses and, with `--hold`, keeps it running:
+ * `npm run playground -- --hold --json [--deployment peachtree|mfuko]`.
  *
  * @module
  */
@@ -49,9 +50,9 @@
     $ npm run playground -- [--hold] [--json] [--deployment peachtree|mfuko]
 
   Options
-    --hold        stay up until SIGINT
+    --hold        keep the fleet running until SIGINT
     --json        print one JSON object on one line
-    --deployment  which of the two examples
+    --deployment  the example deployment to start
 `,
   {
     importMeta: import.meta,
@@ -77,13 +78,13 @@
 process.once("SIGINT", () => void stop());
 process.once("SIGTERM", () => void stop());
 await fleet.start();
-print();
+printDescription();
 if (!cli.flags.hold) {
   await stop();
 }
 
-function print(): void {
-  const description = describe();
+function printDescription(): void {
+  const description = describeFleet();
   if (cli.flags.json) {
     console.log(JSON.stringify(description));
     return;
@@ -101,7 +102,7 @@
   console.table(description.customers);
 }
 
-function describe(): FleetDescription {
+function describeFleet(): FleetDescription {
   const { blueprint } = fleet;
   return {
     deployment: blueprint.name,
--- a/playground/src/index.ts
+++ b/playground/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-ins, fleets of real processes and a client, for cases and measurements.
+ * Stand-ins, fleets of real processes and a client, for tests and measurements.
  *
  * @module
  */
--- a/playground/src/measure/cases.ts
+++ b/playground/src/measure/cases.ts
@@ -1,5 +1,5 @@
 /**
- * What is measured: situations of the brief at the sizes of today.
+ * The situations to measure, at the present sizes of the example deployment.
  *
  * @module
  */
@@ -7,24 +7,24 @@
 import type { EngineOptions } from "../stand_ins/index.ts";
 import type { LoadShape } from "./load.ts";
 
-/** One situation. */
+/** A situation in which balancers are compared. */
 export interface MeasuredCase {
   readonly name: string;
   readonly objective: "tail" | "cost";
   readonly engine: Partial<EngineOptions>;
   readonly shape: LoadShape;
-  /** Happens in the middle of the load. */
+  /** Changes the fleet in the middle of the load. */
   readonly halfway?: (fleet: Fleet) => Promise<void>;
 }
 
 const REGION = "atlanta";
-const ENGINE: Partial<EngineOptions> = {
+const ENGINE_OPTIONS: Partial<EngineOptions> = {
   slots: 4,
   prefillRate: 3_000,
   decodeMs: 5,
   cacheBlocks: 160,
 };
-const SHAPE: LoadShape = {
+const LOAD_SHAPE: LoadShape = {
   seed: 7,
   seconds: 8,
   perSecond: 36,
@@ -35,67 +35,72 @@
   }],
 };
 
-/** All situations. */
+/** All measured situations. */
 export const CASES: readonly MeasuredCase[] = [
-  { name: "morning rush", objective: "tail", engine: ENGINE, shape: SHAPE },
+  {
+    name: "morning rush",
+    objective: "tail",
+    engine: ENGINE_OPTIONS,
+    shape: LOAD_SHAPE,
+  },
   {
     name: "morning rush, cost first",
     objective: "cost",
-    engine: ENGINE,
-    shape: SHAPE,
+    engine: ENGINE_OPTIONS,
+    shape: LOAD_SHAPE,
   },
   {
     name: "reports late by 2 s",
     objective: "tail",
-    engine: { ...ENGINE, loadLagMs: 2_000 },
-    shape: SHAPE,
+    engine: { ...ENGINE_OPTIONS, loadLagMs: 2_000 },
+    shape: LOAD_SHAPE,
   },
   {
     name: "an endpoint is lost",
     objective: "tail",
-    engine: ENGINE,
-    shape: SHAPE,
-    halfway: loseEndpoint,
+    engine: ENGINE_OPTIONS,
+    shape: LOAD_SHAPE,
+    halfway: killEndpoint,
   },
   {
     name: "a zone's endpoints are lost",
     objective: "tail",
-    engine: ENGINE,
-    shape: SHAPE,
-    halfway: loseZone,
+    engine: ENGINE_OPTIONS,
+    shape: LOAD_SHAPE,
+    halfway: killZoneEndpoints,
   },
   {
     name: "caches turn cold",
     objective: "tail",
-    engine: ENGINE,
-    shape: SHAPE,
-    halfway: turnCold,
+    engine: ENGINE_OPTIONS,
+    shape: LOAD_SHAPE,
+    halfway: clearCaches,
   },
   {
     name: "overload",
     objective: "tail",
-    engine: ENGINE,
-    shape: { ...SHAPE, perSecond: 75 },
+    engine: ENGINE_OPTIONS,
+    shape: { ...LOAD_SHAPE, perSecond: 75 },
   },
 ];
 
-async function loseEndpoint(fleet: Fleet): Promise<void> {
-  const engine = fleet.standInsOf("engine").find(({ region }) =>
+async function killEndpoint(fleet: Fleet): Promise<void> {
+  const engine = fleet.standInsOfKind("engine").find(({ region }) =>
     region === REGION
   )!;
   await engine.child.kill();
 }
 
-async function loseZone(fleet: Fleet): Promise<void> {
-  const engines = fleet.standInsOf("engine").filter(({ zone }) =>
+async function killZoneEndpoints(fleet: Fleet): Promise<void> {
+  const engines = fleet.standInsOfKind("engine").filter(({ zone }) =>
     zone === `${REGION}-b`
   );
   await Promise.all(engines.map(({ child }) => child.kill()));
 }
 
-async function turnCold(fleet: Fleet): Promise<void> {
-  const engines = fleet.standInsOf("engine").filter(({ region }) =>
+async function clearCaches(fleet: Fleet): Promise<void> {
+  const engines = fleet.standInsOfKind("engine").filter(({ region }) =>
     region === REGION
   );
-  await Promise.all(engines.map(({ id }) => fleet.control(id, "cold", {})));
+  await Promise.all(engines.map(({ id }) => fleet.putControl(id, "cold", {})));
 }
--- a/playground/src/measure/load.ts
+++ b/playground/src/measure/load.ts
@@ -1,24 +1,24 @@
 /**
- * A seeded load of one region: the same requests at the same times for every policy.
+ * A seeded load on one region: every balancer gets the same requests at the same times.
  *
  * @module
  */
 import { type Randomness, SeededRandomness } from "@sassafrasstep/core";
-import type { Client, KnownEntry } from "../client/index.ts";
+import type { Client, ListedEntry } from "../client/index.ts";
 
-/** One request of the load. */
+/** A request of the load, with the time at which to send it. */
 export interface PlannedRequest {
   readonly atMs: number;
   readonly customer: string;
   readonly requestClass: "screen" | "summary";
   readonly prompt: string;
   readonly maxTokens: number;
-  /** Which of the region's entries gets it. */
+  /** Index of the entry of the region that gets the request. */
   readonly entry: number;
 }
 
-/** What came of one request. */
-export interface Observed {
+/** The outcome and timings of one request. */
+export interface ObservedRequest {
   readonly requestClass: "screen" | "summary";
   readonly atMs: number;
   readonly status: number;
@@ -27,12 +27,12 @@
   readonly wholeMs: number;
 }
 
-/** How heavy a load is. */
+/** The rate, duration and distributions of a load. */
 export interface LoadShape {
   readonly seed: number;
   readonly seconds: number;
   readonly perSecond: number;
-  /** Tenants whose long policy begins their prompts. */
+  /** Number of tenants. A tenant's prompts all begin with the same long policy text. */
   readonly tenants: number;
   readonly customers: readonly {
     readonly id: string;
@@ -40,14 +40,14 @@
   }[];
 }
 
-const POLICY_CHARACTERS = 6_000;
+const POLICY_LENGTH_CHARACTERS = 6_000;
 const SUMMARY_SHARE = 0.2;
 const SCREEN_TOKENS = 30;
 const SUMMARY_TOKENS = 100;
 const DEADLINE_MS = 15_000;
-const ENTRIES = 4;
+const ENTRY_COUNT = 4;
 
-/** Plans a load: exponential gaps, tenants by a Zipf-like share. */
+/** Plans a load with exponential gaps between requests and a Zipf-like distribution of tenants. */
 export function planLoad(shape: LoadShape): PlannedRequest[] {
   const random = new SeededRandomness(shape.seed);
   const planned: PlannedRequest[] = [];
@@ -70,7 +70,7 @@
   const tenant = Math.floor(tenants ** random.next()) - 1;
   const requestClass = random.next() < SUMMARY_SHARE ? "summary" : "screen";
   const policy = `Policy of tenant ${tenant}. `.padEnd(
-    POLICY_CHARACTERS,
+    POLICY_LENGTH_CHARACTERS,
     `Visitors of tenant ${tenant} wait in the lobby. `,
   );
   return {
@@ -79,7 +79,7 @@
     requestClass,
     prompt: `${policy} Question ${number}.`,
     maxTokens: requestClass === "summary" ? SUMMARY_TOKENS : SCREEN_TOKENS,
-    entry: Math.floor(random.next() * ENTRIES),
+    entry: Math.floor(random.next() * ENTRY_COUNT),
   };
 }
 
@@ -88,8 +88,8 @@
   share: number,
 ): string {
   let sum = 0;
-  for (const { id, share: own } of customers) {
-    sum += own;
+  for (const { id, share: customerShare } of customers) {
+    sum += customerShare;
     if (share < sum) {
       return id;
     }
@@ -97,42 +97,45 @@
   return customers.at(-1)!.id;
 }
 
-/** Sends a load on time and waits for every answer. */
+/** Sends each request of a load at its planned time and waits for all answers. */
 export async function runLoad(
   planned: readonly PlannedRequest[],
   { clients, entries }: {
     clients: ReadonlyMap<string, Client>;
-    entries: readonly KnownEntry[];
+    entries: readonly ListedEntry[];
   },
-): Promise<Observed[]> {
+): Promise<ObservedRequest[]> {
   const startedAt = performance.now();
-  return await Promise.all(planned.map(async (request): Promise<Observed> => {
-    const { atMs, customer, requestClass, prompt, maxTokens, entry } = request;
-    await new Promise((resolve) =>
-      setTimeout(resolve, atMs - (performance.now() - startedAt))
-    );
-    try {
-      const { url } = entries[entry % entries.length]!;
-      const question = {
-        prompt,
-        maxTokens,
-        requestClass,
-        deadlineMs: DEADLINE_MS,
-        service: "pool",
-      };
-      const { status, whole, firstTokenMs, wholeMs } = await clients.get(
-        customer,
-      )!.ask(url, question);
-      return { requestClass, atMs, status, whole, firstTokenMs, wholeMs };
-    } catch {
-      return {
-        requestClass,
-        atMs,
-        status: 0,
-        whole: false,
-        firstTokenMs: 0,
-        wholeMs: 0,
-      };
-    }
-  }));
+  return await Promise.all(
+    planned.map(async (request): Promise<ObservedRequest> => {
+      const { atMs, customer, requestClass, prompt, maxTokens, entry } =
+        request;
+      await new Promise((resolve) =>
+        setTimeout(resolve, atMs - (performance.now() - startedAt))
+      );
+      try {
+        const { url } = entries[entry % entries.length]!;
+        const chatRequest = {
+          prompt,
+          maxTokens,
+          requestClass,
+          deadlineMs: DEADLINE_MS,
+          service: "pool",
+        };
+        const { status, whole, firstTokenMs, wholeMs } = await clients.get(
+          customer,
+        )!.streamChat(url, chatRequest);
+        return { requestClass, atMs, status, whole, firstTokenMs, wholeMs };
+      } catch {
+        return {
+          requestClass,
+          atMs,
+          status: 0,
+          whole: false,
+          firstTokenMs: 0,
+          wholeMs: 0,
+        };
+      }
+    }),
+  );
 }
--- a/playground/src/measure/main.ts
+++ b/playground/src/measure/main.ts
@@ -1,7 +1,6 @@
 /**
- * Measures policies against each other over real processes: `npm run measure [-- CASE...]`. Policies take
- * turns within one run. `--write=FILE`
- * writes it as Markdown.
+ * Compares balancers over real processes: `npm run measure [-- CASE...]`. Each case runs with all balancers,
+ * one after the other. `--write=FILE` writes the results as Markdown.
  *
  * @module
  */
@@ -27,15 +26,21 @@
 const names = process.argv.slice(2).filter((argument) =>
   !argument.startsWith("--")
 );
-/** Only this policy, for a quick look: `--only=estimate`. */
-const only = process.argv.find((argument) => argument.startsWith("--only="))
+/** Restricts the run to one balancer: `--only=estimate`. */
+const onlyBalancer = process.argv.find((argument) =>
+  argument.startsWith("--only=")
+)
   ?.slice("--only=".length);
 const chosen = CASES.filter(({ name }) =>
   names.length === 0 || names.some((part) => name.includes(part))
 );
 const results: MeasuredResult[] = [];
 for (const measured of chosen) {
-  for (const balancer of BALANCERS.filter((name) => name === (only ?? name))) {
+  for (
+    const balancer of BALANCERS.filter((name) =>
+      name === (onlyBalancer ?? name)
+    )
+  ) {
     const result = await measureCase(measured, balancer);
     results.push(result);
     console.error(formatResults([result]).split("\n").at(-1));
@@ -43,10 +48,12 @@
 }
 const table = formatResults(results);
 console.log(table);
-const target = process.argv.find((argument) => argument.startsWith("--write="));
-if (target !== undefined) {
+const writeArgument = process.argv.find((argument) =>
+  argument.startsWith("--write=")
+);
+if (writeArgument !== undefined) {
   writeFileSync(
-    target.slice("--write=".length),
+    writeArgument.slice("--write=".length),
     `# Measurements
 
 ${table}
@@ -59,14 +66,14 @@
   balancer: string,
 ): Promise<MeasuredResult> {
   const blueprint = readBlueprint("peachtree");
-  const text = blueprint.text.replace(
+  const configurationText = blueprint.configurationText.replace(
     "objective = tail",
     `objective = ${measured.objective}`,
   )
     .replaceAll(/requests_per_s = \d+/g, "requests_per_s = 10000");
   const fleet = new Fleet({
     ...blueprint,
-    text,
+    configurationText,
     engine: { ...blueprint.engine, ...measured.engine },
   }, { balancer });
   const clients = new Map(
@@ -75,7 +82,7 @@
   try {
     await fleet.start();
     const entries = await clients.get("clinic-north")!.entries(
-      fleet.entriesIn(REGION)[0]!.url,
+      fleet.entriesInRegion(REGION)[0]!.url,
       "pool",
     );
     const halfway = setTimeout(
@@ -107,14 +114,14 @@
     "engineSeconds" | "prefilledTokens" | "spills" | "retries" | "refusals"
   >
 > {
-  const alive = fleet.standInsOf("engine").filter(({ child }) =>
+  const running = fleet.standInsOfKind("engine").filter(({ child }) =>
     child.process.signalCode === null
   );
   const states = await Promise.all(
-    alive.map(({ id }) => fleet.readControl<EngineState>(id, "state")),
+    running.map(({ id }) => fleet.readControl<EngineState>(id, "state")),
   );
   const metrics = await Promise.all(
-    fleet.entriesIn(REGION).map(({ controlUrl }) =>
+    fleet.entriesInRegion(REGION).map(({ controlUrl }) =>
       fleet.peers.at(controlUrl).metrics.query()
     ),
   );
--- a/playground/src/measure/report.ts
+++ b/playground/src/measure/report.ts
@@ -1,15 +1,15 @@
 /**
- * Results of measured cases as a table.
+ * Formats the results of measured cases as a table.
  *
  * @module
  */
-import type { Observed } from "./load.ts";
+import type { ObservedRequest } from "./load.ts";
 
-/** What one policy came to in one case. */
+/** The results of one balancer in one case. */
 export interface MeasuredResult {
   readonly name: string;
   readonly balancer: string;
-  readonly observed: readonly Observed[];
+  readonly observed: readonly ObservedRequest[];
   readonly engineSeconds: number;
   readonly prefilledTokens: number;
   readonly spills: number;
@@ -31,7 +31,7 @@
   "broken",
 ];
 
-/** A Markdown table, one row a case and policy. */
+/** Formats results as a Markdown table with a row per case and balancer. */
 export function formatResults(results: readonly MeasuredResult[]): string {
   const head = [
     `| ${COLUMNS.join(" | ")} |`,
@@ -39,11 +39,11 @@
   ];
   return [
     ...head,
-    ...results.map((result) => `| ${cells(result).join(" | ")} |`),
+    ...results.map((result) => `| ${formatCells(result).join(" | ")} |`),
   ].join("\n");
 }
 
-function cells(result: MeasuredResult): string[] {
+function formatCells(result: MeasuredResult): string[] {
   const { observed } = result;
   const answered = observed.filter(({ whole }) => whole);
   const screen = answered.filter(({ requestClass }) =>
@@ -81,6 +81,6 @@
   ] ?? 0;
 }
 
-function percent(part: number, whole: number): string {
-  return `${((100 * part) / whole).toFixed(1)}%`;
+function percent(part: number, total: number): string {
+  return `${((100 * part) / total).toFixed(1)}%`;
 }
--- a/playground/src/overhead/main.ts
+++ b/playground/src/overhead/main.ts
@@ -1,6 +1,6 @@
 /**
- * What one entry costs: added time to the first byte, tokens a second, memory. Engine asked directly
- * and through the entry in turns, in one run: `npm run overhead`.
+ * Measures the overhead of one entry: added time to the first byte, tokens per second and memory. Requests go
+ * to the engine directly and through the entry in turns, in one run: `npm run overhead`.
  *
  * @module
  */
@@ -13,8 +13,8 @@
   readBlueprint,
 } from "../index.ts";
 
-const ROUNDS = 300;
-const STREAMS = 200;
+const FIRST_BYTE_ROUNDS = 300;
+const CONCURRENT_STREAMS = 200;
 const STREAM_TOKENS = 400;
 const FAST_ENGINE = {
   slots: 400,
@@ -23,22 +23,22 @@
   model: "guest-8b@v1",
 };
 const PROMPT = "Where do I find my host?";
-const KB_PER_MB = 1_024;
+const KIB_PER_MIB = 1_024;
 
 const fleet = new Fleet({
   ...readBlueprint("peachtree"),
   entries: [{ zone: "atlanta-a", region: "atlanta" }],
   engines: [{ zone: "atlanta-a", region: "atlanta" }],
-  plains: [{ zone: "atlanta-a", region: "atlanta" }],
+  plainServices: [{ zone: "atlanta-a", region: "atlanta" }],
   engine: FAST_ENGINE,
 });
 await fleet.start();
 const entry = fleet.entries[0]!;
-const engine = fleet.standInsOf("engine")[0]!;
+const engine = fleet.standInsOfKind("engine")[0]!;
 const client = new Client("demo-clinic-north");
-// The customer's limit would be measured otherwise.
-await fleet.publish(
-  fleet.blueprint.text.replaceAll(
+// Raises the customers' rate limits, which would otherwise limit the measured throughput.
+await fleet.publishConfiguration(
+  fleet.blueprint.configurationText.replaceAll(
     /requests_per_s = \d+/g,
     "requests_per_s = 100000",
   ),
@@ -52,43 +52,50 @@
 
 async function measure(): Promise<string> {
   const idleMb = rssMb(entry);
-  const { direct, through } = await firstByteTimes(engine, entry);
-  const { perSecond, peakMb, cpuShare } = await throughput(entry);
+  const { direct, viaEntry } = await measureFirstByteTimes(
+    engine,
+    entry,
+  );
+  const { perSecond, peakMb, cpuShare } = await measureThroughput(entry);
   const row = (name: string, values: number[]): string =>
     `| ${name} | ${quantile(values, 0.5).toFixed(2)} | ${
       quantile(values, 0.99).toFixed(2)
     } |`;
-  const added = through.map((value, index) => value - direct[index]!);
+  const added = viaEntry.map((value, index) => value - direct[index]!);
   return [
-    `| time to first byte, ms (${ROUNDS} in turns) | median | p99 |`,
+    `| time to first byte, ms (${FIRST_BYTE_ROUNDS} in turns) | median | p99 |`,
     "| --- | --- | --- |",
     row("engine directly", direct),
-    row("through one entry", through),
+    row("through one entry", viaEntry),
     row("added, by pairs", added),
     "",
-    `Tokens a second through one process, ${STREAMS} streams at once: ${
+    `Tokens a second through one process, ${CONCURRENT_STREAMS} streams at once: ${
       Math.round(perSecond)
     }`,
     `CPU of the entry meanwhile: ${(cpuShare * 100).toFixed(0)}% of a core`,
     `RSS of the entry: ${idleMb.toFixed(0)} MB idle, ${
       peakMb.toFixed(0)
-    } MB under ${STREAMS} streams`,
+    } MB under ${CONCURRENT_STREAMS} streams`,
   ].join("\n");
 }
 
-async function firstByteTimes(
-  target: FleetStandIn,
-  through: FleetEntry,
-): Promise<{ direct: number[]; through: number[] }> {
-  const times = { direct: [] as number[], through: [] as number[] };
-  for (let round = 0; round < ROUNDS; round++) {
-    times.direct.push(await firstByte(`${target.url}/v1/generate`));
-    times.through.push(await firstByte(`${through.url}/v1/chat/completions`));
+async function measureFirstByteTimes(
+  engineTarget: FleetStandIn,
+  entryTarget: FleetEntry,
+): Promise<{ direct: number[]; viaEntry: number[] }> {
+  const times = { direct: [] as number[], viaEntry: [] as number[] };
+  for (let round = 0; round < FIRST_BYTE_ROUNDS; round++) {
+    times.direct.push(
+      await measureFirstByte(`${engineTarget.url}/v1/generate`),
+    );
+    times.viaEntry.push(
+      await measureFirstByte(`${entryTarget.url}/v1/chat/completions`),
+    );
   }
   return times;
 }
 
-async function firstByte(url: string): Promise<number> {
+async function measureFirstByte(url: string): Promise<number> {
   const startedAt = performance.now();
   const response = await fetch(url, {
     method: "POST",
@@ -107,12 +114,12 @@
   await reader.read();
   const elapsed = performance.now() - startedAt;
   while (!(await reader.read()).done) {
-    // Reads to the end, so that the connection is free again.
+    // Reads to the end so that the connection can be reused.
   }
   return elapsed;
 }
 
-async function throughput(
+async function measureThroughput(
   target: FleetEntry,
 ): Promise<{ perSecond: number; peakMb: number; cpuShare: number }> {
   let peakMb = 0;
@@ -123,9 +130,9 @@
   const cpuBefore = cpuSeconds(target);
   const answers = await Promise.all(
     Array.from(
-      { length: STREAMS },
+      { length: CONCURRENT_STREAMS },
       () =>
-        client.ask(target.url, {
+        client.streamChat(target.url, {
           prompt: PROMPT,
           maxTokens: STREAM_TOKENS,
           deadlineMs: 120_000,
@@ -135,9 +142,11 @@
   clearInterval(timer);
   const seconds = (performance.now() - startedAt) / 1_000;
   const tokens = answers.reduce((sum, answer) => sum + answer.tokens, 0);
-  const whole = answers.filter((answer) => answer.whole).length;
-  if (whole !== STREAMS) {
-    throw new Error(`Only ${whole} of ${STREAMS} streams were whole`);
+  const completeCount = answers.filter((answer) => answer.whole).length;
+  if (completeCount !== CONCURRENT_STREAMS) {
+    throw new Error(
+      `Only ${completeCount} of ${CONCURRENT_STREAMS} streams were complete`,
+    );
   }
   return {
     perSecond: tokens / seconds,
@@ -148,7 +157,7 @@
 
 function rssMb({ child }: FleetEntry): number {
   const status = readFileSync(`/proc/${child.pid}/status`, "utf8");
-  return Number(/VmRSS:\s+(\d+)/.exec(status)![1]) / KB_PER_MB;
+  return Number(/VmRSS:\s+(\d+)/.exec(status)![1]) / KIB_PER_MIB;
 }
 
 function cpuSeconds({ child }: FleetEntry): number {
--- a/playground/src/quickstart.ts
+++ b/playground/src/quickstart.ts
@@ -1,6 +1,6 @@
 /**
- * The main job on embedded stand-ins: three regions of entries, a streamed answer, a badge printed once
- * despite a retry at another entry, and the fleet's status.
+ * A short demonstration with stand-ins: entries in three regions, a streamed answer, a badge that is printed
+ * once despite a retry at another entry, and the fleet's status.
  *
  * @module
  */
@@ -38,11 +38,11 @@
   await askQuestion(client, first!.url);
   await printBadge(client, [first!, second!]);
   await client.close();
-  await showStatus();
+  await printStatus();
 }
 
 async function askQuestion(client: Client, url: string): Promise<void> {
-  const answer = await client.ask(url, {
+  const answer = await client.streamChat(url, {
     prompt: "A visitor asks: where do I find my host?",
     maxTokens: 12,
   });
@@ -59,34 +59,34 @@
     { url: string; id: string },
   ],
 ): Promise<void> {
-  const badge = {
+  const call = {
     service: "check-in",
     path: "/badges",
     key: client.newKey(owner.owner_token),
     body: '{"visitor":"Ada"}',
   };
-  const once = await client.call(owner.url, badge);
-  const again = await client.call(other.url, badge);
+  const firstResponse = await client.call(owner.url, call);
+  const repeatedResponse = await client.call(other.url, call);
   console.log(
-    `\nBadge at ${owner.id}: ${once.status}, verdict ${once.verdict}`,
+    `\nBadge at ${owner.id}: ${firstResponse.status}, verdict ${firstResponse.verdict}`,
   );
   console.log(
-    `The same key at ${other.id}: ${again.status}, verdict ${again.verdict}`,
+    `The same key at ${other.id}: ${repeatedResponse.status}, verdict ${repeatedResponse.verdict}`,
   );
-  const printers = fleet.standInsOf("plain");
+  const printers = fleet.standInsOfKind("plain");
   const runs = await Promise.all(
     printers.map(({ id }) =>
       fleet.readControl<{ runs: Record<string, number> }>(id, "runs")
     ),
   );
   const printed = runs.reduce(
-    (sum, state) => sum + (state.runs[badge.key] ?? 0),
+    (sum, state) => sum + (state.runs[call.key] ?? 0),
     0,
   );
   console.log(`Badges printed: ${printed}`);
 }
 
-async function showStatus(): Promise<void> {
+async function printStatus(): Promise<void> {
   console.log("\n$ sassafrasstep status");
   const args = [
     "status",
