--- a/playground/src/load/__tests__/engine_model.test.ts
+++ b/playground/src/load/__tests__/engine_model.test.ts
@@ -2,35 +2,35 @@
 import { beforeEach, describe, expect, it } from "vitest";
 import type { BackendRequest } from "../../routes/fake_backend.ts";
 import { VirtualTime } from "../../scenario/virtual_time.ts";
-import { type EngineFigures, EngineModel } from "../engine_model.ts";
+import { EngineModel, type EngineParameters } from "../engine_model.ts";
 
-/** Round figures, so that times can be worked out by head. */
-const FIGURES: EngineFigures = {
+/** Round values, so that expected times are easy to calculate. */
+const PARAMETERS: EngineParameters = {
   slots: 2,
   cacheTokens: 10_000,
   stepMs: 5,
-  slotMs: 0,
-  contextMs: 0,
-  readRate: 50,
-  chunk: 1_000,
-  pairsMs: 0,
-  stride: 2,
-  firstMs: 10,
+  stepMsPerRequest: 0,
+  stepMsPerThousandContextTokens: 0,
+  prefillTokensPerMs: 50,
+  maxPrefillTokensPerStep: 1_000,
+  msPerMillionTokenPairs: 0,
+  tokensPerEvent: 2,
+  startDelayMs: 10,
   fetchMs: 3,
-  fetchThousandMs: 1,
-  slowness: 1,
+  fetchMsPerThousandTokens: 1,
+  slowdown: 1,
 };
 const SHARED = { id: "shared", tokens: 2_000 };
 
-interface Seen {
+interface RecordedAnswer {
   readonly events: { id: number; at: number }[];
   ended: "complete" | "lost" | undefined;
 }
 
 describe("a modelled engine", () => {
   let time: VirtualTime;
-  let one: EngineModel;
-  let two: EngineModel;
+  let firstEngine: EngineModel;
+  let secondEngine: EngineModel;
 
   beforeEach(() => {
     time = new VirtualTime();
@@ -41,33 +41,34 @@
         id: name,
         service: "pool",
         spot: { zone: "z", region: "r" },
-        slots: FIGURES.slots,
+        slots: PARAMETERS.slots,
         work: 0,
       }, {
         time,
         runs: [],
-        figures: FIGURES,
-        peers: (address) => engines.find((engine) => engine.name === address),
+        figures: PARAMETERS,
+        engineAt: (address) =>
+          engines.find((engine) => engine.name === address),
       });
-    one = build("one");
-    two = build("two");
-    engines.push(one, two);
+    firstEngine = build("one");
+    secondEngine = build("two");
+    engines.push(firstEngine, secondEngine);
   });
 
   function send(
     engine: EngineModel,
-    { own = 1_000, shared = false, events = 3, urgency, prefixFrom }: {
-      own?: number;
+    { ownTokens = 1_000, shared = false, events = 3, urgency, prefixFrom }: {
+      ownTokens?: number;
       shared?: boolean;
       events?: number;
       urgency?: number;
       prefixFrom?: string;
     } = {},
-  ): Seen {
-    const seen: Seen = { events: [], ended: undefined };
+  ): RecordedAnswer {
+    const recorded: RecordedAnswer = { events: [], ended: undefined };
     const parts = [...shared ? [SHARED] : [], {
-      id: `own-${own}`,
-      tokens: own,
+      id: `own-${ownTokens}`,
+      tokens: ownTokens,
     }];
     const head = {
       prompt: {
@@ -96,33 +97,33 @@
       target,
       answer: {
         head: () => {},
-        event: (id) => seen.events.push({ id, at: Math.round(time.now) }),
-        complete: () => seen.ended = "complete",
-        lost: () => seen.ended = "lost",
+        event: (id) => recorded.events.push({ id, at: Math.round(time.now) }),
+        complete: () => recorded.ended = "complete",
+        lost: () => recorded.ended = "lost",
       },
     };
     engine.take(request);
-    return seen;
+    return recorded;
   }
 
-  it("reads a prompt in chunks, then gives a token a step", () => {
-    const seen = send(one, { own: 2_000 });
+  it("prefills a prompt in chunks, then generates one token per step", () => {
+    const recorded = send(firstEngine, { ownTokens: 2_000 });
     time.runUntil(1_000);
-    // 10 to begin, two steps of 5 + 20 that read; the second gives the first token.
-    expect(seen.events).toEqual([
+    // A start delay of 10 ms and two prefill steps of 5 + 20 ms; the second generates the first token.
+    expect(recorded.events).toEqual([
       { id: 1, at: 60 },
       { id: 2, at: 65 },
       { id: 3, at: 75 },
       { id: 4, at: 85 },
     ]);
-    expect(seen.ended).toBe("complete");
-    expect(one.counts.read).toBe(2_000);
+    expect(recorded.ended).toBe("complete");
+    expect(firstEngine.counts.prefilledTokens).toBe(2_000);
   });
 
-  it("slows what runs while it reads", () => {
-    const running = send(one, { own: 100, events: 20 });
+  it("slows running requests during prefill", () => {
+    const running = send(firstEngine, { ownTokens: 100, events: 20 });
     time.runUntil(50);
-    send(one, { own: 4_000 });
+    send(firstEngine, { ownTokens: 4_000 });
     time.runUntil(1_000);
     const gaps = running.events.map(({ at }, index) =>
       at - (running.events[index - 1]?.at ?? at)
@@ -131,41 +132,51 @@
     expect(Math.min(...gaps.slice(2))).toBeLessThanOrEqual(10);
   });
 
-  it("does not read again what it keeps", () => {
-    send(one, { shared: true, own: 1_001 });
+  it("does not prefill cached parts again", () => {
+    send(firstEngine, { shared: true, ownTokens: 1_001 });
     time.runUntil(500);
-    send(one, { shared: true, own: 1_002 });
+    send(firstEngine, { shared: true, ownTokens: 1_002 });
     time.runUntil(1_000);
-    expect(one.counts.read).toBe(3_001 + 1_002);
-    expect(one.counts.kept).toBe(2_000);
+    expect(firstEngine.counts.prefilledTokens).toBe(3_001 + 1_002);
+    expect(firstEngine.counts.cachedTokens).toBe(2_000);
   });
 
-  it("fetches what another keeps, and says so in time", () => {
-    send(one, { shared: true, own: 1_001 });
+  it("fetches parts cached at another engine, which takes time", () => {
+    send(firstEngine, { shared: true, ownTokens: 1_001 });
     time.runUntil(500);
-    const seen = send(two, { shared: true, own: 1_000, prefixFrom: "one" });
+    const recorded = send(secondEngine, {
+      shared: true,
+      ownTokens: 1_000,
+      prefixFrom: "one",
+    });
     time.runUntil(1_000);
-    expect(two.counts.read).toBe(1_000);
-    // 3 + 2 for the fetch, 10 to begin, one step of 25.
-    expect(seen.events[0]!.at).toBe(540);
+    expect(secondEngine.counts.prefilledTokens).toBe(1_000);
+    // A fetch of 3 + 2 ms, a start delay of 10 ms and one step of 25 ms.
+    expect(recorded.events[0]!.at).toBe(540);
   });
 
-  it("takes the more urgent first where it has no place", () => {
-    send(one, { own: 100, events: 40 });
-    send(one, { own: 101, events: 40 });
-    const late = send(one, { own: 102, urgency: 8 });
-    const soon = send(one, { own: 103, urgency: 2 });
+  it("admits more urgent requests first when all slots are occupied", () => {
+    send(firstEngine, { ownTokens: 100, events: 40 });
+    send(firstEngine, { ownTokens: 101, events: 40 });
+    const lessUrgent = send(firstEngine, { ownTokens: 102, urgency: 8 });
+    const moreUrgent = send(firstEngine, { ownTokens: 103, urgency: 2 });
     time.runUntil(5_000);
-    expect(soon.events[0]!.at).toBeLessThanOrEqual(late.events[0]!.at);
-    expect(late.ended).toBe("complete");
+    expect(moreUrgent.events[0]!.at).toBeLessThanOrEqual(
+      lessUrgent.events[0]!.at,
+    );
+    expect(lessUrgent.ended).toBe("complete");
   });
 
-  it("loses what it runs and what it keeps when it crashes", () => {
-    const seen = send(one, { shared: true, own: 1_000, events: 40 });
+  it("loses its running requests and its cache when it crashes", () => {
+    const recorded = send(firstEngine, {
+      shared: true,
+      ownTokens: 1_000,
+      events: 40,
+    });
     time.runUntil(150);
-    one.crash();
+    firstEngine.crash();
     time.runUntil(1_000);
-    expect(seen.ended).toBe("lost");
-    expect(one.cache.kept([SHARED])).toBe(0);
+    expect(recorded.ended).toBe("lost");
+    expect(firstEngine.cache.cachedTokens([SHARED])).toBe(0);
   });
 });
--- a/playground/src/load/__tests__/load.test.ts
+++ b/playground/src/load/__tests__/load.test.ts
@@ -9,20 +9,23 @@
   return readFileSync(new URL(`${name}.setting`, FOLDER), "utf8");
 }
 
-function play(name: string, seeds: readonly number[] = SEEDS): LoadReport[] {
+function runSeeds(
+  name: string,
+  seeds: readonly number[] = SEEDS,
+): LoadReport[] {
   const text = readFileSync(new URL(`${name}.load`, FOLDER), "utf8");
   return seeds.map((seed) => reportLoad(runLoad(text, { seed, loadSetting })));
 }
 
 function mean(
   reports: readonly LoadReport[],
-  figure: (report: LoadReport) => number,
+  metric: (report: LoadReport) => number,
 ): number {
-  return reports.reduce((sum, report) => sum + figure(report), 0) /
+  return reports.reduce((sum, report) => sum + metric(report), 0) /
     reports.length;
 }
 
-function partOf(
+function shareOf(
   kind: string,
   end: "left" | "refused",
 ): (report: LoadReport) => number {
@@ -35,38 +38,37 @@
     let reports: LoadReport[];
 
     beforeAll(() => {
-      reports = play("evacuated_peak");
+      reports = runSeeds("evacuated_peak");
     });
 
     /**
-     * Symptom: requests of the first rank are refused as overloaded while others get places.
-     * Sequence: long prompts of the last rank wait; an urgent short one arrives.
-     * Cause: its wait was counted with all that waits, though it goes before them.
+     * Guards against requests of the first rank being refused as overloaded while others get slots. Long
+     * prompts of the last rank are queued when a short urgent one arrives. Its predicted wait included the
+     * whole queue, although it is served before them.
      */
-    it("refuses next to nothing that goes before what waits", () => {
-      expect(mean(reports, partOf("extract", "refused"))).toBeLessThan(0.01);
+    it("refuses almost no request that is served before the queued ones", () => {
+      expect(mean(reports, shareOf("extract", "refused"))).toBeLessThan(0.01);
       expect(mean(reports, ({ kinds }) => kinds["extract"]!.earned))
         .toBeGreaterThan(0.97);
     });
 
     /**
-     * Symptom: callers leave answers whose events still come.
-     * Sequence: engines read prompts nine tenths of the time; a step that reads takes ten times as
-     * long as one that does not, and an answer has hundreds.
-     * Cause: reading was bounded in a row, but not as a part of time.
+     * Guards against callers abandoning answers that still make progress. Engines spent most of their time on
+     * prefill; a step with prefill takes far longer than one without, and an answer has hundreds of steps.
+     * The number of consecutive prefill steps was limited, but not the share of time spent on prefill.
      */
-    it("ends the answers that it begins", () => {
-      expect(mean(reports, partOf("chat", "left"))).toBeLessThan(0.05);
-      expect(mean(reports, partOf("review", "left"))).toBeLessThan(0.13);
+    it("completes the answers that it starts", () => {
+      expect(mean(reports, shareOf("chat", "left"))).toBeLessThan(0.05);
+      expect(mean(reports, shareOf("review", "left"))).toBeLessThan(0.13);
     });
 
     /**
-     * Symptom: under overload nearly all long requests begin some hundred milliseconds too late.
-     * Sequence: a queue in order of arrival; each gets its place when its objective is nearly over, and
-     * reading its prompt takes the rest.
-     * Cause: what an engine takes to begin did not count where on time and late were told apart.
+     * Guards against nearly all long requests starting some hundred milliseconds too late under overload. In
+     * a queue in order of arrival each gets its slot when its objective has nearly passed, and the prefill
+     * takes the rest. The engine's time to the first token was not counted in the decision whether a request
+     * can still be on time.
      */
-    it("gives places to those that can still be on time", () => {
+    it("gives slots to requests that can still be on time", () => {
       expect(mean(reports, ({ kinds }) => kinds["review"]!.earned))
         .toBeGreaterThan(0.7);
       expect(mean(reports, ({ worstWindows }) => worstWindows))
@@ -78,50 +80,49 @@
     let reports: LoadReport[];
 
     beforeAll(() => {
-      reports = play("moving_peak");
+      reports = runSeeds("moving_peak");
     });
 
-    it("is carried by the regions that rest", () => {
+    it("is served by the regions with spare capacity", () => {
       expect(mean(reports, ({ all }) => all.earned)).toBeGreaterThan(0.97);
       expect(mean(reports, ({ worstWindows }) => worstWindows))
         .toBeGreaterThan(0.93);
     });
 
     /**
-     * Symptom: engines read shared parts again that another region has just read.
-     * Sequence: callers of a subject are sent to the regions by who they are.
-     * Cause: no region was the one for a subject; a fifth of the prompt tokens were found kept.
+     * Guards against engines prefilling shared parts that another region has just prefilled. Callers of a
+     * subject were distributed over the regions by their identity, since no region was preferred for a
+     * subject, and too few prompt tokens were found in caches.
      */
-    it("has each subject read in one region", () => {
-      const kept = mean(
+    it("has each subject prefilled in one region", () => {
+      const cachedShare = mean(
         reports,
         ({ keptThousands, readThousands }) =>
           keptThousands / (keptThousands + readThousands),
       );
-      expect(kept).toBeGreaterThan(0.24);
+      expect(cachedShare).toBeGreaterThan(0.24);
     });
   });
 
   describe("the peak of a large region", () => {
     /**
-     * Symptom: the same day earns 0.97 with four entries a region and 0.70 with 65.
-     * Sequence: each of sixty entries gives eighteen engines four requests a second, and hears late of
-     * what the others gave them; each takes what waits at itself for what waits everywhere.
-     * Cause: every entry was named to callers, so that none knew its engines. With all sixty named this
-     * load earned 0.818, with four 0.883.
+     * Guards against a load that earns much less with 65 entries in a region than with four. Each of sixty
+     * entries sends 18 engines four requests a second, learns late what the others sent, and takes its own
+     * queue for that of the region. All entries were listed to callers, so that none knew the state of its
+     * engines; the load earned less with all sixty listed than with four.
      */
-    it("is carried as well before sixty entries as before four", () => {
+    it("earns almost as much with sixty entries as with four", () => {
       const earned = (name: string): number =>
-        mean(play(name, [1, 2]), ({ all }) => all.earned);
+        mean(runSeeds(name, [1, 2]), ({ all }) => all.earned);
       expect(earned("few_entries") - earned("many_entries"))
         .toBeLessThan(0.05);
     });
   });
 
-  it("is the same each time it is played", () => {
+  it("gives the same result for the same seed", () => {
     const text = readFileSync(new URL("moving_peak.load", FOLDER), "utf8");
-    const one = reportLoad(runLoad(text, { seed: 5, loadSetting }));
-    const two = reportLoad(runLoad(text, { seed: 5, loadSetting }));
-    expect(two).toEqual(one);
+    const first = reportLoad(runLoad(text, { seed: 5, loadSetting }));
+    const second = reportLoad(runLoad(text, { seed: 5, loadSetting }));
+    expect(second).toEqual(first);
   });
 });
--- a/playground/src/load/engine_model.ts
+++ b/playground/src/load/engine_model.ts
@@ -1,6 +1,6 @@
 /**
- * A model engine under virtual time: continuous batching by steps, prompts read in chunks between the
- * tokens of running answers, a prefix cache that yields the parts used least recently.
+ * A model of an inference engine under virtual time: continuous batching, chunked prefill between the tokens
+ * of running answers, and a prefix cache with least-recently-used eviction.
  *
  * @module
  */
@@ -9,50 +9,58 @@
   type BackendRequest,
   FakeBackend,
 } from "../routes/fake_backend.ts";
-import { PartCache } from "./part_cache.ts";
+import { PromptPartCache } from "./part_cache.ts";
 
-/** Figures of an engine, from the sheets of those that it stands for. */
-export interface EngineFigures {
+/** Performance parameters of an engine, taken from the data sheets of the modelled engines. */
+export interface EngineParameters {
+  /** The maximum number of requests in a batch. */
   readonly slots: number;
+  /** The capacity for the context of running requests and cached prefixes, in tokens. */
   readonly cacheTokens: number;
-  /** A step without reading, and what each running request adds to it, in milliseconds. */
+  /** Duration of a step without prefill, and the time that each running request adds to it, in milliseconds. */
   readonly stepMs: number;
-  readonly slotMs: number;
-  /** What a thousand tokens of context add to a step, in milliseconds. */
-  readonly contextMs: number;
-  /** Prompt tokens read in a millisecond, and the most in one step. */
-  readonly readRate: number;
-  readonly chunk: number;
-  /** Cost of a million pairs of chunk and context tokens, in milliseconds. */
-  readonly pairsMs: number;
-  /** Tokens of an event. */
-  readonly stride: number;
-  /** Before a request's first step, in milliseconds. */
-  readonly firstMs: number;
-  /** Time of a fetch from another engine, and of a thousand tokens of it, in milliseconds. */
+  readonly stepMsPerRequest: number;
+  /** Time that a thousand tokens of context add to a step, in milliseconds. */
+  readonly stepMsPerThousandContextTokens: number;
+  /** Prompt tokens processed in a millisecond, and the maximum number in one step. */
+  readonly prefillTokensPerMs: number;
+  readonly maxPrefillTokensPerStep: number;
+  /** Attention cost of a million pairs of prefilled and context tokens, in milliseconds. */
+  readonly msPerMillionTokenPairs: number;
+  /** Tokens in each streamed event. */
+  readonly tokensPerEvent: number;
+  /** Delay from a request's arrival until it is queued, in milliseconds. */
+  readonly startDelayMs: number;
+  /** Fixed time of a prefix fetch from another engine, and its time per thousand tokens, in milliseconds. */
   readonly fetchMs: number;
-  readonly fetchThousandMs: number;
-  /** How much slower than these figures it is, 1 for not at all. */
-  readonly slowness: number;
+  readonly fetchMsPerThousandTokens: number;
+  /** Factor on the duration of each step; 1 is the nominal speed. */
+  readonly slowdown: number;
 }
 
+/** A request in the queue or in the batch. */
 interface Job {
   readonly request: BackendRequest;
   readonly urgency: number;
   readonly order: number;
-  /** Prompt tokens still to be read. */
-  unread: number;
-  context: number;
-  produced: number;
-  readonly wanted: number;
+  /** Prompt tokens that are not yet prefilled. */
+  promptTokensLeft: number;
+  contextTokens: number;
+  generatedTokens: number;
+  readonly requestedTokens: number;
 }
 
-/** One engine. */
+/** An endpoint that models the timing of an inference engine. */
 export class EngineModel extends FakeBackend {
-  readonly figures: EngineFigures;
-  readonly cache: PartCache;
-  readonly counts = { read: 0, kept: 0, readingMs: 0, steps: 0 };
-  readonly #peers: (address: string) => EngineModel | undefined;
+  readonly figures: EngineParameters;
+  readonly cache: PromptPartCache;
+  readonly counts = {
+    prefilledTokens: 0,
+    cachedTokens: 0,
+    prefillMs: 0,
+    steps: 0,
+  };
+  readonly #engineAt: (address: string) => EngineModel | undefined;
   readonly #jobs = new Map<BackendAnswer, Job>();
   readonly #waiting: Job[] = [];
   readonly #running: Job[] = [];
@@ -62,25 +70,25 @@
   constructor(
     place: ConstructorParameters<typeof FakeBackend>[0],
     tools: ConstructorParameters<typeof FakeBackend>[1] & {
-      figures: EngineFigures;
-      peers: (address: string) => EngineModel | undefined;
+      figures: EngineParameters;
+      engineAt: (address: string) => EngineModel | undefined;
     },
   ) {
     super(place, tools);
     this.figures = tools.figures;
-    this.#peers = tools.peers;
-    this.cache = new PartCache();
+    this.#engineAt = tools.engineAt;
+    this.cache = new PromptPartCache();
   }
 
   override cancel(answer: BackendAnswer): void {
     super.cancel(answer);
     const job = this.#jobs.get(answer);
     if (job !== undefined) {
-      this.#drop(job);
+      this.#removeJob(job);
     }
   }
 
-  /** Ends at once: what runs is lost, the cache is empty. */
+  /** Loses all requests and the cache, and refuses connections. */
   crash(): void {
     this.mode = "refuse";
     const jobs = [...this.#jobs.keys()];
@@ -98,43 +106,44 @@
       request,
       urgency: target.urgency ?? 5,
       order: this.#order,
-      unread: head.prompt?.promptTokens ?? 0,
-      context: 0,
-      produced: request.resumeAfter * this.figures.stride,
-      wanted: Math.max(1, events) * this.figures.stride,
+      promptTokensLeft: head.prompt?.promptTokens ?? 0,
+      contextTokens: 0,
+      generatedTokens: request.resumeAfter * this.figures.tokensPerEvent,
+      requestedTokens: Math.max(1, events) * this.figures.tokensPerEvent,
     };
     this.#jobs.set(answer, job);
-    const fetch = this.#fetch(request);
-    this.time.after(fetch + this.figures.firstMs, () => {
+    const fetchDelayMs = this.#fetchPrefix(request);
+    this.time.after(fetchDelayMs + this.figures.startDelayMs, () => {
       if (this.#jobs.has(answer)) {
         this.#waiting.push(job);
-        this.#wake();
+        this.#startStepping();
       }
     });
   }
 
-  /** Copies what another engine keeps; returns how long that takes. */
-  #fetch({ head, target }: BackendRequest): number {
-    const from = target.prefixFrom === undefined
+  /** Copies the cached prompt prefix from the engine named by the request; returns the time this takes. */
+  #fetchPrefix({ head, target }: BackendRequest): number {
+    const source = target.prefixFrom === undefined
       ? undefined
-      : this.#peers(target.prefixFrom);
+      : this.#engineAt(target.prefixFrom);
     const parts = head.prompt?.parts.slice(0, -1) ?? [];
-    const more = (from?.cache.kept(parts) ?? 0) - this.cache.kept(parts);
-    if (from === undefined || more <= 0) {
+    const missingTokens = (source?.cache.cachedTokens(parts) ?? 0) -
+      this.cache.cachedTokens(parts);
+    if (source === undefined || missingTokens <= 0) {
       return 0;
     }
-    let tokens = from.cache.kept(parts);
+    let tokens = source.cache.cachedTokens(parts);
     for (const part of parts) {
       if (tokens > 0) {
-        this.cache.use([part]);
+        this.cache.touch([part]);
       }
       tokens -= part.tokens;
     }
-    const { fetchMs, fetchThousandMs } = this.figures;
-    return fetchMs + fetchThousandMs * more / 1_000;
+    const { fetchMs, fetchMsPerThousandTokens } = this.figures;
+    return fetchMs + fetchMsPerThousandTokens * missingTokens / 1_000;
   }
 
-  #wake(): void {
+  #startStepping(): void {
     if (!this.#stepping && this.#waiting.length + this.#running.length > 0) {
       this.#stepping = true;
       this.#step();
@@ -147,17 +156,21 @@
       this.#stepping = false;
       return;
     }
-    const chunk = this.#readChunk();
-    const context = this.#running.reduce((sum, job) => sum + job.context, 0);
+    const chunk = this.#prefillChunk();
+    const contextTokens = this.#running.reduce(
+      (sum, job) => sum + job.contextTokens,
+      0,
+    );
     const { figures } = this;
-    const took = figures.slowness *
-      (figures.stepMs + figures.slotMs * this.#running.length +
-        figures.contextMs * context / 1_000 + chunk.tokens / figures.readRate +
-        figures.pairsMs * chunk.pairs / 1_000_000);
+    const stepDurationMs = figures.slowdown *
+      (figures.stepMs + figures.stepMsPerRequest * this.#running.length +
+        figures.stepMsPerThousandContextTokens * contextTokens / 1_000 +
+        chunk.tokens / figures.prefillTokensPerMs +
+        figures.msPerMillionTokenPairs * chunk.pairs / 1_000_000);
     this.counts.steps++;
-    this.counts.readingMs += chunk.tokens > 0 ? took : 0;
-    this.time.after(took, () => {
-      this.#produce();
+    this.counts.prefillMs += chunk.tokens > 0 ? stepDurationMs : 0;
+    this.time.after(stepDurationMs, () => {
+      this.#generateTokens();
       this.#step();
     });
   }
@@ -170,72 +183,77 @@
     while (this.#waiting.length > 0 && this.#running.length < slots) {
       const [job] = this.#waiting;
       const { prompt } = job!.request.head;
-      const held = this.#running.reduce(
-        (sum, { context, unread }) => sum + context + unread,
+      const heldTokens = this.#running.reduce(
+        (sum, { contextTokens, promptTokensLeft }) =>
+          sum + contextTokens + promptTokensLeft,
         0,
       );
-      const need = prompt?.promptTokens ?? 0;
-      if (this.#running.length > 0 && held + need > cacheTokens) {
+      const neededTokens = prompt?.promptTokens ?? 0;
+      if (this.#running.length > 0 && heldTokens + neededTokens > cacheTokens) {
         return;
       }
       this.#waiting.shift();
-      const shared = prompt?.parts.slice(0, -1) ?? [];
-      const kept = Math.min(need, this.cache.kept(shared));
-      this.counts.kept += kept;
-      job!.unread = need - kept;
-      job!.context = kept;
-      this.cache.use(shared);
-      this.cache.shrink(cacheTokens - held - need);
+      const sharedParts = prompt?.parts.slice(0, -1) ?? [];
+      const cachedTokens = Math.min(
+        neededTokens,
+        this.cache.cachedTokens(sharedParts),
+      );
+      this.counts.cachedTokens += cachedTokens;
+      job!.promptTokensLeft = neededTokens - cachedTokens;
+      job!.contextTokens = cachedTokens;
+      this.cache.touch(sharedParts);
+      this.cache.evictTo(cacheTokens - heldTokens - neededTokens);
       this.#running.push(job!);
     }
   }
 
-  #readChunk(): { tokens: number; pairs: number } {
-    let left = this.figures.chunk;
+  #prefillChunk(): { tokens: number; pairs: number } {
+    let tokensLeft = this.figures.maxPrefillTokensPerStep;
     let pairs = 0;
     for (const job of this.#running) {
-      const part = Math.min(left, job.unread);
-      job.unread -= part;
-      pairs += part * (job.context + part / 2);
-      job.context += part;
-      left -= part;
+      const tokensNow = Math.min(tokensLeft, job.promptTokensLeft);
+      job.promptTokensLeft -= tokensNow;
+      pairs += tokensNow * (job.contextTokens + tokensNow / 2);
+      job.contextTokens += tokensNow;
+      tokensLeft -= tokensNow;
     }
-    const tokens = this.figures.chunk - left;
-    this.counts.read += tokens;
+    const tokens = this.figures.maxPrefillTokensPerStep - tokensLeft;
+    this.counts.prefilledTokens += tokens;
     return { tokens, pairs };
   }
 
-  /** Each answer whose prompt has been read gets one token. */
-  #produce(): void {
+  /** Generates one token for each running request whose prompt is prefilled. */
+  #generateTokens(): void {
     if (this.mode === "dark") {
       return;
     }
     for (const job of [...this.#running]) {
-      if (job.unread === 0 && this.#jobs.has(job.request.answer)) {
-        this.#produceToken(job);
+      if (job.promptTokensLeft === 0 && this.#jobs.has(job.request.answer)) {
+        this.#generateToken(job);
       }
     }
   }
 
-  #produceToken(job: Job): void {
+  #generateToken(job: Job): void {
     const { answer } = job.request;
-    const { stride } = this.figures;
-    job.produced++;
-    job.context++;
-    const first = job.produced === 1 + job.request.resumeAfter * stride;
+    const { tokensPerEvent } = this.figures;
+    job.generatedTokens++;
+    job.contextTokens++;
+    const first =
+      job.generatedTokens === 1 + job.request.resumeAfter * tokensPerEvent;
     if (first) {
       answer.head(200, false);
     }
-    if (first || job.produced % stride === 0) {
-      answer.event(Math.floor(job.produced / stride) + 1);
+    if (first || job.generatedTokens % tokensPerEvent === 0) {
+      answer.event(Math.floor(job.generatedTokens / tokensPerEvent) + 1);
     }
-    if (job.produced >= job.wanted) {
-      this.#drop(job);
+    if (job.generatedTokens >= job.requestedTokens) {
+      this.#removeJob(job);
       answer.complete();
     }
   }
 
-  #drop(job: Job): void {
+  #removeJob(job: Job): void {
     this.#jobs.delete(job.request.answer);
     remove(this.#waiting, job);
     remove(this.#running, job);
--- a/playground/src/load/load_caller.ts
+++ b/playground/src/load/load_caller.ts
@@ -1,6 +1,6 @@
 /**
- * Callers of a load: they ask which entries to use, send, wait as long as their kind does, and come back
- * once after a refusal.
+ * The callers of a load. A caller looks up the entries to use, sends its request, waits until the kind's
+ * deadline and retries once after a refusal.
  *
  * @module
  */
@@ -15,45 +15,48 @@
 } from "@sassafrasstep/core";
 import { fingerprintOf, type RouteWorld } from "../routes/route_world.ts";
 import type { VirtualGateway } from "../routes/virtual_gateway.ts";
-import type { DrawnRequest, LoadEnd, LoadOutcome } from "./load_types.ts";
+import type { DrawnRequest, LoadOutcome, RequestEnd } from "./load_types.ts";
 
-/** One way between a caller and an entry, in milliseconds. */
-const CALLER_MS = 3;
-/** A third of callers keep a list for three times its lifetime. */
-const KEEPERS = 3;
-/** Callers leave a stream after a gap of this, or so many objectives or pauses, whichever is longest. */
-const LEAST_PATIENCE_MS = 2_000;
-const OBJECTIVES_OF_PATIENCE = 4;
-const PAUSES_OF_PATIENCE = 8;
-/** Part of the time left up to which callers wait as they are told. */
-const RETRY_PART = 1 / 3;
-const UNAVAILABLE = 503;
+/** One-way network delay between a caller and the region of an entry. */
+const CALLER_ONE_WAY_DELAY_MS = 3;
+/** One caller in three uses an entry list for three times its lifetime. */
+const EXTENDED_LIST_FACTOR = 3;
+/**
+ * Callers abandon a stream that has been silent for this time, or for this many of the route's objectives for
+ * the first event or for pauses, whichever is longest.
+ */
+const MIN_STALL_TIMEOUT_MS = 2_000;
+const OBJECTIVES_PER_STALL_TIMEOUT = 4;
+const PAUSES_PER_STALL_TIMEOUT = 8;
+/** Callers respect `retry-after` up to this share of the time left until their deadline. */
+const MAX_RETRY_WAIT_SHARE = 1 / 3;
+const SERVICE_UNAVAILABLE = 503;
 
-/** A try under way. */
-interface Try {
+/** One attempt to send a request. */
+interface Attempt {
   readonly drawn: DrawnRequest;
   readonly name: string;
   readonly startedAt: number;
   readonly number: number;
 }
 
-/** How a try ended. */
-interface TryEnd {
-  readonly end: LoadEnd;
+/** The result of an attempt. */
+interface AttemptResult {
+  readonly end: RequestEnd;
   readonly retryAfter: number | undefined;
-  readonly firstAfter: number | undefined;
+  readonly firstEventMs: number | undefined;
 }
 
-/** One caller. */
+/** A caller in one zone. */
 export class LoadCaller {
   readonly #name: string;
   readonly #zone: string;
   readonly #region: string;
   readonly #world: RouteWorld;
-  readonly #keepFactor: number;
-  readonly #done: (outcome: LoadOutcome) => void;
-  #list: readonly string[] = [];
-  #listUntil = 0;
+  readonly #listLifetimeFactor: number;
+  readonly #onOutcome: (outcome: LoadOutcome) => void;
+  #entryAddresses: readonly string[] = [];
+  #listExpiresAt = 0;
 
   constructor(
     { name, zone, region, index }: {
@@ -62,136 +65,147 @@
       region: string;
       index: number;
     },
-    { world, done }: {
+    { world, onOutcome }: {
       world: RouteWorld;
-      done: (outcome: LoadOutcome) => void;
+      onOutcome: (outcome: LoadOutcome) => void;
     },
   ) {
     this.#name = name;
     this.#zone = zone;
     this.#region = region;
     this.#world = world;
-    this.#keepFactor = index % KEEPERS === 0 ? KEEPERS : 1;
-    this.#done = done;
+    this.#listLifetimeFactor = index % EXTENDED_LIST_FACTOR === 0
+      ? EXTENDED_LIST_FACTOR
+      : 1;
+    this.#onOutcome = onOutcome;
   }
 
   send(drawn: DrawnRequest, name: string): void {
-    this.#try({ drawn, name, startedAt: this.#world.time.now, number: 1 });
+    this.#startAttempt({
+      drawn,
+      name,
+      startedAt: this.#world.time.now,
+      number: 1,
+    });
   }
 
-  #try(attempt: Try): void {
-    const entry = this.#pick(attempt.drawn);
+  #startAttempt(attempt: Attempt): void {
+    const entry = this.#pickEntry(attempt.drawn);
     if (entry === undefined) {
-      return this.#again(attempt, { wait: 300, end: "failed" });
+      return this.#retryOnce(attempt, { waitMs: 300, end: "failed" });
     }
-    new CallerTry(attempt, {
+    new CallerAttempt(attempt, {
       world: this.#world,
       entry,
-      ended: (how) => this.#ended(attempt, how),
+      onResult: (result) => this.#handleResult(attempt, result),
     }).start();
   }
 
-  #ended(attempt: Try, { end, retryAfter, firstAfter }: TryEnd): void {
+  #handleResult(
+    attempt: Attempt,
+    { end, retryAfter, firstEventMs }: AttemptResult,
+  ): void {
     if (end === "refused") {
-      return this.#again(attempt, { wait: retryAfter ?? 0, end });
+      return this.#retryOnce(attempt, { waitMs: retryAfter ?? 0, end });
     }
-    this.#finish(attempt, end, firstAfter);
+    this.#finish(attempt, end, firstEventMs);
   }
 
-  /** Comes back once, if there is time. */
-  #again(
-    attempt: Try,
-    { wait, end }: { wait: number; end: LoadEnd },
+  /** Retries once, unless the deadline has passed. */
+  #retryOnce(
+    attempt: Attempt,
+    { waitMs, end }: { waitMs: number; end: RequestEnd },
   ): void {
     const { time } = this.#world;
-    const left = attempt.startedAt + attempt.drawn.kind.deadline - time.now;
-    if (attempt.number > 1 || left <= 0) {
+    const leftMs = attempt.startedAt + attempt.drawn.kind.deadlineMs - time.now;
+    if (attempt.number > 1 || leftMs <= 0) {
       return this.#finish(attempt, end);
     }
-    this.#listUntil = 0;
+    this.#listExpiresAt = 0;
     time.after(
-      Math.min(wait, left * RETRY_PART),
-      () => this.#try({ ...attempt, number: attempt.number + 1 }),
+      Math.min(waitMs, leftMs * MAX_RETRY_WAIT_SHARE),
+      () => this.#startAttempt({ ...attempt, number: attempt.number + 1 }),
     );
   }
 
   #finish(
-    { drawn, startedAt, number }: Try,
-    end: LoadEnd,
-    firstAfter?: number,
+    { drawn, startedAt, number }: Attempt,
+    end: RequestEnd,
+    firstEventMs?: number,
   ): void {
-    const { worth, kind } = drawn;
-    const late = worth * kind.lateWorth / kind.worth;
-    this.#done({
+    const { value, kind } = drawn;
+    const lateValue = value * kind.lateValue / kind.value;
+    this.#onOutcome({
       kind: kind.name,
       region: this.#region,
       at: startedAt - this.#world.startOfScript,
-      worth,
-      earned: end === "on_time" ? worth : end === "late" ? late : 0,
+      value,
+      earnedValue: end === "on_time" ? value : end === "late" ? lateValue : 0,
       end,
-      tries: number,
-      firstAfter,
+      attempts: number,
+      firstEventMs,
     });
   }
 
-  #pick({ kind }: DrawnRequest): VirtualGateway | undefined {
+  #pickEntry({ kind }: DrawnRequest): VirtualGateway | undefined {
     const { time, random } = this.#world;
-    if (time.now >= this.#listUntil) {
-      this.#ask(kind.route);
+    if (time.now >= this.#listExpiresAt) {
+      this.#fetchEntryList(kind.route);
     }
-    const alive = this.#list.map((address) =>
+    const alive = this.#entryAddresses.map((address) =>
       this.#world.entries.get(address.split(":")[0]!)
     ).filter((entry) => entry?.alive === true);
     return sample(alive, 1, random)[0];
   }
 
-  #ask(route: string): void {
+  #fetchEntryList(route: string): void {
     const { time, random, entries, store } = this.#world;
-    const near = [...entries.values()].filter(({ alive, spot }) =>
+    const sameRegion = [...entries.values()].filter(({ alive, spot }) =>
       alive && spot.region === this.#region
     );
-    const any = near.length > 0
-      ? near
+    const candidates = sameRegion.length > 0
+      ? sameRegion
       : [...entries.values()].filter(({ alive }) => alive);
-    const [asked] = sample(any, 1, random);
-    const answer = asked?.gateway?.nameEntries({
+    const [entry] = sample(candidates, 1, random);
+    const answer = entry?.gateway?.nameEntries({
       host: store.routes.get(route)?.host ?? "",
       region: this.#region as RegionId,
       zone: this.#zone as ZoneId,
       caller: this.#name,
     }, instant(time.now));
     if (answer !== undefined) {
-      this.#list = answer.addresses;
-      this.#listUntil = time.now + answer.lifetime * this.#keepFactor;
+      this.#entryAddresses = answer.addresses;
+      this.#listExpiresAt = time.now +
+        answer.lifetime * this.#listLifetimeFactor;
     }
   }
 }
 
-/** One try at one entry. */
-class CallerTry {
-  readonly #attempt: Try;
+/** One attempt at one entry. */
+class CallerAttempt {
+  readonly #attempt: Attempt;
   readonly #world: RouteWorld;
   readonly #entry: VirtualGateway;
-  readonly #ended: (how: TryEnd) => void;
+  readonly #onResult: (result: AttemptResult) => void;
   #status = 0;
   #retryAfter: number | undefined;
-  #late = false;
-  #heardAt: number | undefined;
-  #firstAfter: number | undefined;
-  #over = false;
+  #missedObjective = false;
+  #lastEventAt: number | undefined;
+  #firstEventMs: number | undefined;
+  #finished = false;
 
   constructor(
-    attempt: Try,
-    { world, entry, ended }: {
+    attempt: Attempt,
+    { world, entry, onResult }: {
       world: RouteWorld;
       entry: VirtualGateway;
-      ended: (how: TryEnd) => void;
+      onResult: (result: AttemptResult) => void;
     },
   ) {
     this.#attempt = attempt;
     this.#world = world;
     this.#entry = entry;
-    this.#ended = ended;
+    this.#onResult = onResult;
   }
 
   start(): void {
@@ -199,26 +213,27 @@
     const from = [...spots.values()].find(({ region }) =>
       region === this.#entry.spot.region
     )!;
-    const way = CALLER_MS + network.delay(from, this.#entry.spot);
-    time.after(way, () => this.#arrive(way));
+    const oneWayMs = CALLER_ONE_WAY_DELAY_MS +
+      network.delay(from, this.#entry.spot);
+    time.after(oneWayMs, () => this.#sendToEntry(oneWayMs));
   }
 
-  #arrive(way: number): void {
+  #sendToEntry(oneWayMs: number): void {
     const { drawn, name, startedAt, number } = this.#attempt;
     const { store, time } = this.#world;
     const route = store.routes.get(drawn.kind.route)!;
-    const left = startedAt + drawn.kind.deadline - time.now;
+    const leftMs = startedAt + drawn.kind.deadlineMs - time.now;
     const call = `${name}.${number}`;
     this.#world.expectEvents(
       call,
-      Math.max(1, Math.round(drawn.answerTokens / this.#stride())),
+      Math.max(1, Math.round(drawn.answerTokens / this.#tokensPerEvent())),
     );
-    const back = (run: () => void): void => time.after(way, run);
+    const deliver = (run: () => void): void => time.after(oneWayMs, run);
     const id = this.#entry.arrive({
       call: call as CallId,
       host: route.host,
       target: `${route.pathPrefix}x`,
-      timeLeft: milliseconds(Math.max(1, left)),
+      timeLeft: milliseconds(Math.max(1, leftMs)),
       prompt: drawn.prompt,
       key: undefined,
       lastEventId: undefined,
@@ -226,87 +241,88 @@
       fingerprint: fingerprintOf(name, this.#attempt.drawn.kind.name),
       relay: undefined,
     }, {
-      head: (answer) => back(() => this.#head(answer)),
-      event: () => back(() => this.#event()),
-      complete: () => back(() => this.#complete()),
-      broken: () => back(() => this.#finish("failed")),
+      head: (answer) => deliver(() => this.#handleHead(answer)),
+      event: () => deliver(() => this.#handleEvent()),
+      complete: () => deliver(() => this.#handleComplete()),
+      broken: () => deliver(() => this.#finish("failed")),
     });
-    const leave = (): void => {
-      if (!this.#over) {
+    const abandon = (): void => {
+      if (!this.#finished) {
         this.#finish("left");
         this.#entry.alive && this.#entry.leave(id);
       }
     };
-    time.after(Math.max(0, left), leave);
-    this.#watch(leave);
+    time.after(Math.max(0, leftMs), abandon);
+    this.#watchForStall(abandon);
   }
 
-  #stride(): number {
+  #tokensPerEvent(): number {
     const [engine] = [...this.#world.backends.values()];
     return "figures" in engine!
-      ? (engine as unknown as { figures: { stride: number } }).figures.stride
+      ? (engine as unknown as { figures: { tokensPerEvent: number } }).figures
+        .tokensPerEvent
       : 1;
   }
 
-  /** Leaves a stream that stands still. */
-  #watch(leave: () => void): void {
+  /** Abandons a stream that has stalled. */
+  #watchForStall(abandon: () => void): void {
     const { time, store } = this.#world;
     const { kind } = this.#attempt.drawn;
     const { objective, pauseObjective } = store.routes.get(kind.route)!;
-    const patience = Math.max(
-      LEAST_PATIENCE_MS,
-      OBJECTIVES_OF_PATIENCE * objective,
-      PAUSES_OF_PATIENCE * (pauseObjective ?? 0),
+    const stallTimeoutMs = Math.max(
+      MIN_STALL_TIMEOUT_MS,
+      OBJECTIVES_PER_STALL_TIMEOUT * objective,
+      PAUSES_PER_STALL_TIMEOUT * (pauseObjective ?? 0),
     );
-    const since = this.#heardAt ?? time.now;
-    time.after(since + patience - time.now, () => {
-      if (this.#over) {
+    const waitingSince = this.#lastEventAt ?? time.now;
+    time.after(waitingSince + stallTimeoutMs - time.now, () => {
+      if (this.#finished) {
         return;
       }
-      const quiet = time.now - (this.#heardAt ?? since);
-      quiet >= patience ? leave() : this.#watch(leave);
+      const idleMs = time.now - (this.#lastEventAt ?? waitingSince);
+      idleMs >= stallTimeoutMs ? abandon() : this.#watchForStall(abandon);
     });
   }
 
-  #head({ status, retryAfter }: AnswerHead): void {
+  #handleHead({ status, retryAfter }: AnswerHead): void {
     this.#status = status;
     this.#retryAfter = retryAfter;
   }
 
-  #event(): void {
+  #handleEvent(): void {
     const { time, store } = this.#world;
     const { drawn, startedAt } = this.#attempt;
     const { objective, pauseObjective } = store.routes.get(drawn.kind.route)!;
-    const gap = time.now - (this.#heardAt ?? startedAt);
-    const most = this.#heardAt === undefined
+    const gapMs = time.now - (this.#lastEventAt ?? startedAt);
+    const maxGapMs = this.#lastEventAt === undefined
       ? objective
       : pauseObjective ?? Infinity;
-    this.#late ||= gap > most;
-    this.#firstAfter ??= time.now - startedAt;
-    this.#heardAt = time.now;
+    this.#missedObjective ||= gapMs > maxGapMs;
+    this.#firstEventMs ??= time.now - startedAt;
+    this.#lastEventAt = time.now;
   }
 
-  #complete(): void {
-    const refused = this.#status === UNAVAILABLE;
+  #handleComplete(): void {
+    const refused = this.#status === SERVICE_UNAVAILABLE;
     const served = this.#status === 200;
     this.#finish(
       refused
         ? "refused"
         : !served
         ? "failed"
-        : this.#late
+        : this.#missedObjective
         ? "late"
         : "on_time",
     );
   }
 
-  #finish(end: LoadEnd): void {
-    if (!this.#over) {
-      this.#over = true;
-      this.#ended({
+  #finish(end: RequestEnd): void {
+    if (!this.#finished) {
+      this.#finished = true;
+      this.#onResult({
         end,
         retryAfter: this.#retryAfter,
-        firstAfter: this.#firstAfter,
+        firstEventMs: this.#firstEventMs,
       });
     }
   }
--- a/playground/src/load/load_run.ts
+++ b/playground/src/load/load_run.ts
@@ -1,7 +1,7 @@
 /**
- * Runs a load: whole gateways of several regions before modelled engines, with callers that behave as
- * the protocol says. The language is that of the scenarios; its own words are `kind`, `engine` and
- * `traffic`.
+ * Runs a load: complete gateways of several regions in front of modelled engines, with callers that follow
+ * the protocol. A load file uses the language of the scenarios and adds `kind`, `engine`, `engines`,
+ * `entries`, `callers`, `traffic`, `crash` and `end`.
  *
  * @module
  */
@@ -19,41 +19,41 @@
   type TimedLine,
   word,
 } from "../scenario/script.ts";
-import { type EngineFigures, EngineModel } from "./engine_model.ts";
+import { EngineModel, type EngineParameters } from "./engine_model.ts";
 import { LoadCaller } from "./load_caller.ts";
 import { drawRequest } from "./load_draw.ts";
 import type { LoadKind, LoadOutcome } from "./load_types.ts";
 
-/** Steps begin when the fleet has found itself. */
-const START_MS = 4_000;
-/** After the traffic, so that what is under way ends. */
-const TAIL_MS = 11_000;
-const FIRST_VERSION = 4;
-const CALLERS_OF_REGION = 10;
-/** Arrivals come in clumps of this many, one after the other. */
-const CLUMP_MS = 10;
+/** Start of the load's steps, when all entries have discovered each other. */
+const STEPS_START_MS = 4_000;
+/** Run time after the last step, in which requests in flight end. */
+const COMPLETION_MS = 11_000;
+const FIRST_DOCUMENT_VERSION = 4;
+const DEFAULT_CALLERS_PER_ZONE = 10;
+/** Time between the arrivals of a burst. */
+const BURST_SPACING_MS = 10;
 const MS_PER_SECOND = 1_000;
-/** Seeds of the traffic and of the entries differ. */
-const TRAFFIC_SEED = 7_919;
+/** Factor that makes the seed of the traffic differ from that of the entries. */
+const TRAFFIC_SEED_FACTOR = 7_919;
 
-/** A large engine as its sheet has it, beside a network of 180 Gbit/s. */
-const FIGURES: EngineFigures = {
+/** A large engine according to its data sheet, with a network of 180 Gbit/s. */
+const LARGE_ENGINE: EngineParameters = {
   slots: 64,
   cacheTokens: 347_388,
   stepMs: 2.6,
-  slotMs: 0.12,
-  contextMs: 0.003_84,
-  readRate: 48.2,
-  chunk: 2_048,
-  pairsMs: 0.248,
-  stride: 9,
-  firstMs: 14,
+  stepMsPerRequest: 0.12,
+  stepMsPerThousandContextTokens: 0.003_84,
+  prefillTokensPerMs: 48.2,
+  maxPrefillTokensPerStep: 2_048,
+  msPerMillionTokenPairs: 0.248,
+  tokensPerEvent: 9,
+  startDelayMs: 14,
   fetchMs: 4,
-  fetchThousandMs: 0.82,
-  slowness: 1,
+  fetchMsPerThousandTokens: 0.82,
+  slowdown: 1,
 };
 
-/** What a load came to. */
+/** The outcomes of a load and the state after its run. */
 export interface LoadResult {
   readonly title: string;
   readonly outcomes: readonly LoadOutcome[];
@@ -61,22 +61,23 @@
   readonly world: RouteWorld;
 }
 
-/** How a load is run. */
+/** The seed of a load, and a function that reads the setting files that it names. */
 export interface LoadOptions {
   readonly seed: number;
   readonly loadSetting: (name: string) => string;
 }
 
-interface Stage extends RouteStage {
+/** The state of a running load. */
+interface LoadState extends RouteStage {
   readonly kinds: LoadKind[];
   readonly callers: Map<string, LoadCaller[]>;
   readonly rates: Map<string, number>;
   readonly random: SeededRandomness;
-  callersOfRegion: number;
+  callersPerZone: number;
   sent: number;
 }
 
-/** Runs a load to the end of what it began. */
+/** Runs a load until the requests that it sent have ended. */
 export function runLoad(
   text: string,
   { seed, loadSetting }: LoadOptions,
@@ -84,54 +85,54 @@
   const script = parseScript(text);
   const world = new RouteWorld(seed);
   const outcomes: LoadOutcome[] = [];
-  const stage: Stage = {
+  const state: LoadState = {
     world,
-    version: FIRST_VERSION,
+    version: FIRST_DOCUMENT_VERSION,
     sequence: 1,
     kinds: [],
     callers: new Map(),
     rates: new Map(),
-    random: new SeededRandomness(seed * TRAFFIC_SEED),
-    callersOfRegion: CALLERS_OF_REGION,
+    random: new SeededRandomness(seed * TRAFFIC_SEED_FACTOR),
+    callersPerZone: DEFAULT_CALLERS_PER_ZONE,
     sent: 0,
   };
-  settingOf(script, loadSetting).forEach((line) => setUpLoad(stage, line));
-  addCallers(stage, outcomes);
-  world.store.publishDocument(stage.version);
+  settingOf(script, loadSetting).forEach((line) => applySetting(state, line));
+  addCallers(state, outcomes);
+  world.store.publishDocument(state.version);
   [...world.entries.keys()].forEach((name) => world.startEntry(name));
-  world.time.runUntil(START_MS);
-  world.startOfScript = START_MS;
+  world.time.runUntil(STEPS_START_MS);
+  world.startOfScript = STEPS_START_MS;
   script.steps.forEach((step) =>
-    world.time.at(START_MS + step.at, () => actLoad(stage, step))
+    world.time.at(STEPS_START_MS + step.at, () => applyStep(state, step))
   );
-  const end = Math.max(...script.steps.map(({ at }) => at));
-  world.time.runUntil(START_MS + end + TAIL_MS);
+  const endMs = Math.max(...script.steps.map(({ at }) => at));
+  world.time.runUntil(STEPS_START_MS + endMs + COMPLETION_MS);
   const engines = [...world.backends.values()].filter((backend) =>
     backend instanceof EngineModel
   );
   return { title: script.title, outcomes, engines, world };
 }
 
-function setUpLoad(stage: Stage, line: Line): void {
+function applySetting(state: LoadState, line: Line): void {
   switch (line.words[0]) {
     case "kind":
-      stage.kinds.push(readKind(line));
+      state.kinds.push(readKind(line));
       return;
     case "engine":
-      return addEngine(stage.world, line);
+      return addEngine(state.world, line);
     case "entries":
-      return addEntries(stage.world, line);
+      return addEntries(state.world, line);
     case "engines":
-      return addEngines(stage.world, line);
+      return addEngines(state.world, line);
     case "callers":
-      stage.callersOfRegion = Number(word(line, 1, "a number"));
+      state.callersPerZone = Number(word(line, 1, "a number"));
       return;
     default:
-      return setUp(stage.world, line);
+      return setUp(state.world, line);
   }
 }
 
-/** `entries PREFIX COUNT ZONE`: as many entries in one zone. */
+/** `entries PREFIX COUNT ZONE`: adds COUNT entries in one zone. */
 function addEntries(world: RouteWorld, line: Line): void {
   const [, prefix, count, zone] = line.words;
   for (let index = 1; index <= Number(count); index++) {
@@ -139,7 +140,7 @@
   }
 }
 
-/** `engines PREFIX COUNT ZONE SERVICE`: as many engines in one zone. */
+/** `engines PREFIX COUNT ZONE SERVICE`: adds COUNT engines in one zone. */
 function addEngines(world: RouteWorld, line: Line): void {
   const [, prefix, count, ...rest] = line.words;
   for (let index = 1; index <= Number(count); index++) {
@@ -150,13 +151,16 @@
   }
 }
 
-/** `kind NAME ROUTE weight W prompt N:SPREAD answer N:SPREAD limit N worth W late W deadline T [shared A:N,A:N]` */
+/**
+ * `kind NAME ROUTE weight W prompt N:SPREAD answer N:SPREAD limit N worth W late W deadline T [shared A:N,A:N]`:
+ * adds a kind of request.
+ */
 function readKind(line: Line): LoadKind {
   const pair = (name: string): [number, number] => {
     const [mean, spread] = option(line, name, "1:0").split(":").map(Number);
     return [mean!, spread ?? 0];
   };
-  const [promptTokens, spread] = pair("prompt");
+  const [promptTokens, promptSpread] = pair("prompt");
   const [answerTokens, answerSpread] = pair("answer");
   const shared = option(line, "shared", "");
   return {
@@ -164,42 +168,42 @@
     route: word(line, 2, "a route"),
     weight: Number(option(line, "weight", "1")),
     promptTokens,
-    spread,
+    promptSpread,
     shared: shared === "" ? [] : shared.split(",").map((item) => {
-      const [among, tokens] = item.split(":").map(Number);
-      return { among: among!, tokens: tokens! };
+      const [variants, tokens] = item.split(":").map(Number);
+      return { variants: variants!, tokens: tokens! };
     }),
     answerTokens,
     answerSpread,
-    limit: Number(option(line, "limit", "1000")),
-    worth: Number(option(line, "worth", "1")),
-    lateWorth: Number(option(line, "late", "0.5")),
-    deadline: parseTime(line, option(line, "deadline", "10s")),
+    maxAnswerTokens: Number(option(line, "limit", "1000")),
+    value: Number(option(line, "worth", "1")),
+    lateValue: Number(option(line, "late", "0.5")),
+    deadlineMs: parseTime(line, option(line, "deadline", "10s")),
   };
 }
 
-/** `engine NAME ZONE SERVICE [slow X] [cold T]`: an engine, published at once. */
+/** `engine NAME ZONE SERVICE [slow X] [cold T]`: adds an engine and publishes it immediately. */
 function addEngine(world: RouteWorld, line: Line): void {
   const name = word(line, 1, "a name");
   const spot = world.spots.get(word(line, 2, "a zone"));
   if (spot === undefined) {
     throw new ScriptError(line, "a zone of a region above");
   }
-  const slowness = Number(option(line, "slow", "1"));
+  const slowdown = Number(option(line, "slow", "1"));
   const engine = new EngineModel({
     name,
     id: `i-${name}`,
     service: word(line, 3, "a service"),
     spot,
-    slots: FIGURES.slots,
+    slots: LARGE_ENGINE.slots,
     work: 0,
   }, {
     time: world.time,
     runs: world.runs,
-    figures: { ...FIGURES, slowness },
-    peers: (address) => {
-      const found = world.backendAt(address);
-      return found instanceof EngineModel ? found : undefined;
+    figures: { ...LARGE_ENGINE, slowdown },
+    engineAt: (address) => {
+      const backend = world.backendAt(address);
+      return backend instanceof EngineModel ? backend : undefined;
     },
   });
   world.backends.set(name, engine);
@@ -208,17 +212,17 @@
 }
 
 function addCallers(
-  { world, callers, callersOfRegion }: Stage,
+  { world, callers, callersPerZone }: LoadState,
   outcomes: LoadOutcome[],
 ): void {
   for (const { zone, region } of world.spots.values()) {
     const list = callers.get(region) ?? [];
-    for (let index = 0; index < callersOfRegion; index++) {
+    for (let index = 0; index < callersPerZone; index++) {
       const name = `${zone}-caller-${index}`;
       list.push(
         new LoadCaller({ name, zone, region, index }, {
           world,
-          done: (outcome) => outcomes.push(outcome),
+          onOutcome: (outcome) => outcomes.push(outcome),
         }),
       );
     }
@@ -226,52 +230,56 @@
   }
 }
 
-function actLoad(stage: Stage, step: TimedLine): void {
+function applyStep(state: LoadState, step: TimedLine): void {
   switch (step.words[0]) {
     case "traffic":
-      return setTraffic(stage, step);
+      return setTraffic(state, step);
     case "engine":
-      return addEngine(stage.world, step);
+      return addEngine(state.world, step);
     case "crash": {
-      const engine = stage.world.backends.get(word(step, 1, "an engine"));
+      const engine = state.world.backends.get(word(step, 1, "an engine"));
       engine instanceof EngineModel && engine.crash();
       return;
     }
     case "end":
-      return stage.rates.clear();
+      return state.rates.clear();
     default:
-      return act(stage, step);
+      return act(state, step);
   }
 }
 
-/** `traffic REGION RATE`: requests a second from now on. */
-function setTraffic(stage: Stage, step: TimedLine): void {
+/** `traffic REGION RATE`: sets the requests per second of a region. */
+function setTraffic(state: LoadState, step: TimedLine): void {
   const region = word(step, 1, "a region");
-  const running = (stage.rates.get(region) ?? 0) > 0;
-  stage.rates.set(region, Number(word(step, 2, "a rate")));
-  if (!running) {
-    nextClump(stage, region);
+  const wasRunning = (state.rates.get(region) ?? 0) > 0;
+  state.rates.set(region, Number(word(step, 2, "a rate")));
+  if (!wasRunning) {
+    scheduleBurst(state, region);
   }
 }
 
-function nextClump(stage: Stage, region: string): void {
-  const rate = stage.rates.get(region) ?? 0;
+/** Schedules a burst of one to five requests after an exponentially distributed gap, and then the next one. */
+function scheduleBurst(state: LoadState, region: string): void {
+  const rate = state.rates.get(region) ?? 0;
   if (rate <= 0) {
     return;
   }
-  const { random, world } = stage;
+  const { random, world } = state;
   const count = 1 + Math.floor(random.next() * 5);
-  const gap = -Math.log(1 - random.next()) * count * MS_PER_SECOND / rate;
+  const gapMs = -Math.log(1 - random.next()) * count * MS_PER_SECOND / rate;
   for (let index = 0; index < count; index++) {
-    world.time.after(gap + index * CLUMP_MS, () => sendOne(stage, region));
+    world.time.after(
+      gapMs + index * BURST_SPACING_MS,
+      () => sendRequest(state, region),
+    );
   }
-  world.time.after(gap, () => nextClump(stage, region));
+  world.time.after(gapMs, () => scheduleBurst(state, region));
 }
 
-function sendOne(stage: Stage, region: string): void {
-  const { random, kinds, callers } = stage;
-  stage.sent++;
-  const name = `c${stage.sent}`;
+function sendRequest(state: LoadState, region: string): void {
+  const { random, kinds, callers } = state;
+  state.sent++;
+  const name = `c${state.sent}`;
   const list = callers.get(region)!;
   const caller = list[Math.floor(random.next() * list.length)]!;
   caller.send(drawRequest(kinds, name, random), name);
--- a/playground/src/load/load_types.ts
+++ b/playground/src/load/load_types.ts
@@ -1,55 +1,56 @@
 /**
- * What a load is made of, and what came of it.
+ * Types of the requests in a load and of their outcomes.
  *
  * @module
  */
 import type { Prompt } from "@sassafrasstep/core";
 
-/** One kind of request. */
+/** A kind of request, with the distributions from which requests are drawn. */
 export interface LoadKind {
   readonly name: string;
   readonly route: string;
-  /** Share of the traffic, relative to other kinds. */
+  /** Share of the traffic, relative to the weights of other kinds. */
   readonly weight: number;
-  /** Own prompt tokens in the middle, and how far they spread (of a lognormal distribution). */
+  /** Mean and sigma of the lognormal distribution of unshared prompt tokens. */
   readonly promptTokens: number;
-  readonly spread: number;
-  /** Shared parts: among how many, of how many tokens. */
+  readonly promptSpread: number;
+  /** Shared prompt parts: the number of variants to draw from, and the tokens of each. */
   readonly shared: readonly {
-    readonly among: number;
+    readonly variants: number;
     readonly tokens: number;
   }[];
   readonly answerTokens: number;
   readonly answerSpread: number;
-  /** Longest answer that callers allow for. */
-  readonly limit: number;
-  readonly worth: number;
-  readonly lateWorth: number;
-  /** How long callers wait, in milliseconds. */
-  readonly deadline: number;
+  /** The output limit that callers state. */
+  readonly maxAnswerTokens: number;
+  /** Value of an answer that is on time, and of a late one, for a request of mean size. */
+  readonly value: number;
+  readonly lateValue: number;
+  /** Time until callers give up, in milliseconds. */
+  readonly deadlineMs: number;
 }
 
-/** One request with its facts drawn. */
+/** A request whose sizes and value have been drawn. */
 export interface DrawnRequest {
   readonly kind: LoadKind;
   readonly prompt: Prompt;
   readonly answerTokens: number;
-  readonly worth: number;
+  readonly value: number;
 }
 
-/** How a request ended for its caller. */
-export type LoadEnd = "on_time" | "late" | "refused" | "failed" | "left";
+/** How a request ended from its caller's point of view; `left` when the caller gave up. */
+export type RequestEnd = "on_time" | "late" | "refused" | "failed" | "left";
 
-/** One request as its caller saw it. */
+/** The outcome of one request, as its caller observed it. */
 export interface LoadOutcome {
   readonly kind: string;
   readonly region: string;
-  /** When it was first sent, in milliseconds since the load began. */
+  /** Time of the first attempt, in milliseconds since the start of the load's steps. */
   readonly at: number;
-  readonly worth: number;
-  readonly earned: number;
-  readonly end: LoadEnd;
-  readonly tries: number;
-  /** From the first try to the first event, in milliseconds; `undefined` without one. */
-  readonly firstAfter: number | undefined;
+  readonly value: number;
+  readonly earnedValue: number;
+  readonly end: RequestEnd;
+  readonly attempts: number;
+  /** Time from the first attempt to the first event, in milliseconds; `undefined` without an event. */
+  readonly firstEventMs: number | undefined;
 }
--- a/playground/src/load/main.ts
+++ b/playground/src/load/main.ts
@@ -1,5 +1,5 @@
 /**
- * Plays loads and prints what came of them: `npm run load -- CASE... [--seeds N] [--json]`.
+ * Runs loads and prints their summaries: `npm run load -- CASE... [--seeds N] [--json]`.
  *
  * @module
  */
@@ -12,10 +12,10 @@
 const cli = meow(
   `
   Usage
-    $ npm run load -- CASE...    play loads of playground/loads, by name
+    $ npm run load -- CASE...    run loads of playground/loads, by name
 
   Options
-    --seeds N  traffics and entries drawn anew, default 4
+    --seeds N  number of seeds for traffic and entries, default 4
     --json     print JSON
 `,
   {
@@ -45,8 +45,8 @@
 }
 
 function describe(name: string, reports: readonly LoadReport[]): string {
-  const mean = (figure: (report: LoadReport) => number): string =>
-    (reports.reduce((sum, report) => sum + figure(report), 0) / reports.length)
+  const mean = (metric: (report: LoadReport) => number): string =>
+    (reports.reduce((sum, report) => sum + metric(report), 0) / reports.length)
       .toFixed(3);
   const kinds = Object.keys(reports[0]!.kinds);
   return [
@@ -54,7 +54,9 @@
       reports.map(({ all }) => all.earned.toFixed(3)).join(", ")
     }), worst windows ${mean(({ worstWindows }) => worstWindows)}`,
     ...kinds.map((kind) => {
-      const of = (end: "on_time" | "late" | "refused" | "failed" | "left") =>
+      const formatShare = (
+        end: "on_time" | "late" | "refused" | "failed" | "left",
+      ) =>
         `${end} ${
           mean(({ kinds }) =>
             kinds[kind]!.ends[end] / Math.max(1, kinds[kind]!.requests)
@@ -65,9 +67,9 @@
       }, 95th ${mean(({ kinds }) => kinds[kind]!.firstP95)} ms`;
       return `  ${kind.padEnd(8)} earned ${
         mean(({ kinds }) => kinds[kind]!.earned)
-      }, ${of("on_time")}, ${of("late")}, ${of("refused")}, ${of("failed")}, ${
-        of("left")
-      }, ${first}`;
+      }, ${formatShare("on_time")}, ${formatShare("late")}, ${
+        formatShare("refused")
+      }, ${formatShare("failed")}, ${formatShare("left")}, ${first}`;
     }),
     `  read ${
       mean(({ readThousands }) => readThousands)
--- a/playground/src/load/part_cache.ts
+++ b/playground/src/load/part_cache.ts
@@ -1,24 +1,24 @@
 /**
- * Prompt parts that an engine keeps; the least recently used ones yield.
+ * The prompt parts in an engine's prefix cache, evicted least recently used first.
  *
- * Not the memory that entries keep of engines, though alike: a model that shared its code would share its
- * faults.
+ * Entries have a similar record of the caches of engines. This class does not share its code, since the model
+ * would then share its faults.
  *
  * @module
  */
 
-interface Part {
+interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** Keeps parts in order of last use. */
-export class PartCache {
+/** Holds prompt parts in order of last use. */
+export class PromptPartCache {
   readonly #parts = new Map<string, number>();
   #tokens = 0;
 
-  /** Tokens of the leading parts that are kept. */
-  kept(parts: readonly Part[]): number {
+  /** Returns the number of tokens in the longest cached prefix of the parts. */
+  cachedTokens(parts: readonly PromptPart[]): number {
     let tokens = 0;
     for (const part of parts) {
       if (!this.#parts.has(part.id)) {
@@ -29,7 +29,8 @@
     return tokens;
   }
 
-  use(parts: readonly Part[]): void {
+  /** Adds parts or marks them as just used. */
+  touch(parts: readonly PromptPart[]): void {
     for (const { id, tokens } of parts) {
       this.#tokens += tokens - (this.#parts.get(id) ?? 0);
       this.#parts.delete(id);
@@ -37,10 +38,10 @@
     }
   }
 
-  /** Lets parts go until no more than `most` tokens are kept. */
-  shrink(most: number): void {
+  /** Evicts parts until at most `maxTokens` tokens remain. */
+  evictTo(maxTokens: number): void {
     for (const [id, tokens] of this.#parts) {
-      if (this.#tokens <= most) {
+      if (this.#tokens <= maxTokens) {
         return;
       }
       this.#parts.delete(id);
