--- a/playground/src/slopes/fit.ts
+++ b/playground/src/slopes/fit.ts
@@ -1,24 +1,24 @@
 /**
- * Straight lines through measured points.
+ * Linear regression over measured points.
  *
  * @module
  */
 
-/** One measured point. */
+/** A value measured at one size. */
 export interface Point {
   readonly size: number;
   readonly value: number;
 }
 
 /** `value = base + slope * size`, and the largest residual as a share of the largest value. */
-export interface Fit {
+export interface LineFit {
   readonly base: number;
   readonly slope: number;
-  readonly residual: number;
+  readonly largestResidualShare: number;
 }
 
-/** Least squares. */
-export function fitLine(points: readonly Point[]): Fit {
+/** Fits a line through the points by least squares. */
+export function fitLine(points: readonly Point[]): LineFit {
   const count = points.length;
   const meanSize = points.reduce((sum, { size }) => sum + size, 0) / count;
   const meanValue = points.reduce((sum, { value }) => sum + value, 0) / count;
@@ -30,19 +30,25 @@
   }
   const slope = variance === 0 ? 0 : covariance / variance;
   const base = meanValue - slope * meanSize;
-  const largest = Math.max(...points.map(({ value }) => Math.abs(value)));
-  const worst = Math.max(
+  const largestValue = Math.max(...points.map(({ value }) => Math.abs(value)));
+  const largestResidual = Math.max(
     ...points.map(({ size, value }) => Math.abs(value - base - slope * size)),
   );
-  return { base, slope, residual: largest === 0 ? 0 : worst / largest };
+  return {
+    base,
+    slope,
+    largestResidualShare: largestValue === 0
+      ? 0
+      : largestResidual / largestValue,
+  };
 }
 
-/** The value that a fit gives for a size. */
-export function valueAt({ base, slope }: Fit, size: number): number {
+/** Returns the fitted value at a size. */
+export function valueAt({ base, slope }: LineFit, size: number): number {
   return base + slope * size;
 }
 
-/** Median of repeated measurements, against the noise of a shared machine. */
+/** Returns the median, which suppresses the noise of a shared machine in repeated measurements. */
 export function median(values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right);
   return sorted[Math.floor(sorted.length / 2)] ?? 0;
--- a/playground/src/slopes/fleet_spread.ts
+++ b/playground/src/slopes/fleet_spread.ts
@@ -1,6 +1,6 @@
 /**
- * Cores of a whole fleet under virtual time: how fast a text and a member's death spread, what is sent
- * for it, and what it costs. No requests and no endpoints: only control.
+ * Measures the control plane of a fleet of cores under virtual time, without requests or endpoints: how fast
+ * a configuration text and a member's crash propagate, and the messages and CPU time this takes.
  *
  * @module
  */
@@ -20,34 +20,35 @@
 import { encodeHeartbeat, encodeHeartbeatReply } from "@sassafrasstep/daemon";
 import { FakeConfiguration } from "../scenario/platform_fakes.ts";
 import { VirtualTime } from "../scenario/virtual_time.ts";
-import { type FleetSize, makeText, zoneAt } from "./made_fleet.ts";
+import { type FleetSize, makeConfigurationText, zoneAt } from "./made_fleet.ts";
 
 const TICK_MS = 250;
-const NEAR_MS = 1;
-const FAR_MS = 90;
+const SAME_REGION_DELAY_MS = 1;
+const CROSS_REGION_DELAY_MS = 90;
 const WARM_UP_MS = 120_000;
-const STEADY_MS = 60_000;
-const SPREAD_LIMIT_MS = 60_000;
-const WATCH_WAIT_MS = 20_000;
+const STEADY_STATE_MS = 60_000;
+const MAX_PROPAGATION_MS = 60_000;
+const LONG_POLL_MS = 20_000;
 const INCARNATION_DIGITS = 8;
 
-/** What one size showed. */
-export interface Spread {
+/** The measurements of a fleet of one size. */
+export interface PropagationResult {
   readonly entries: number;
-  /** Time until a published text was in force everywhere. */
+  /** Time until a published text was in force in all entries. */
   readonly configurationMs: number;
-  /** Time until no live member of the region held a dead one for live. */
+  /** Time until no running member of the region considered a crashed one live. */
   readonly deathMs: number;
-  /** Live members of the own region that were held for dead, at the end of the steady time. */
+  /** Number of times that a running member was suspected by one of its region, at the end of the steady state. */
   readonly falseSuspects: number;
+  /** The largest number of members in any entry's view. */
   readonly knownMembers: number;
   readonly heartbeatsPerNodeSecond: number;
-  /** Bytes of messages as JSON, requests and replies, without HTTP. */
+  /** Bytes of heartbeats and replies as JSON, sent and received, without HTTP. */
   readonly messageBytesPerNodeSecond: number;
-  /** Of the busiest node. */
-  readonly heartbeatsOfBusiest: number;
+  /** Heartbeats per second from the node that sent the most. */
+  readonly heartbeatsPerSecondOfBusiest: number;
   readonly configurationCallsPerSecond: number;
-  /** CPU of all cores for a second of virtual time, per node, in microseconds. */
+  /** CPU time of the cores per node and second of virtual time, in microseconds. */
   readonly cpuMicrosPerNodeSecond: number;
 }
 
@@ -55,18 +56,19 @@
   readonly core: Core;
   readonly region: string;
   readonly url: string;
-  dead: boolean;
-  sent: number;
-  bytes: number;
+  crashed: boolean;
+  heartbeatsSent: number;
+  messageBytes: number;
 }
 
-/** Runs a fleet of a size. */
-export function measureSpread(size: FleetSize): Spread {
-  const run = new SpreadRun(size);
+/** Runs a fleet of the given size and measures it. */
+export function measurePropagation(size: FleetSize): PropagationResult {
+  const run = new PropagationRun(size);
   return run.measure();
 }
 
-class SpreadRun {
+/** A simulated fleet. */
+class PropagationRun {
   readonly #size: FleetSize;
   readonly #time = new VirtualTime();
   readonly #configuration = new FakeConfiguration();
@@ -75,19 +77,19 @@
 
   constructor(size: FleetSize) {
     this.#size = size;
-    this.#configuration.publish(makeText(size));
+    this.#configuration.publish(makeConfigurationText(size));
     for (let index = 0; index < size.entries; index++) {
-      this.#start(index);
+      this.#startNode(index);
     }
   }
 
-  measure(): Spread {
+  measure(): PropagationResult {
     this.#time.runUntil(WARM_UP_MS);
-    const steady = this.#measureSteady();
+    const steady = this.#measureSteadyState();
     const knownMembers = this.#knownMembers();
     const falseSuspects = this.#falseSuspects();
     const configurationMs = this.#measureConfiguration();
-    const deathMs = this.#measureDeath();
+    const deathMs = this.#measureCrashDetection();
     return {
       entries: this.#size.entries,
       configurationMs,
@@ -98,42 +100,46 @@
     };
   }
 
-  #measureSteady(): Omit<
-    Spread,
+  #measureSteadyState(): Omit<
+    PropagationResult,
     "entries" | "configurationMs" | "deathMs" | "falseSuspects" | "knownMembers"
   > {
     for (const node of this.#nodes) {
-      node.sent = 0;
-      node.bytes = 0;
+      node.heartbeatsSent = 0;
+      node.messageBytes = 0;
     }
     const calls = this.#configuration.calls;
     const cpu = process.cpuUsage();
-    this.#time.runUntil(this.#time.now + STEADY_MS);
-    const used = process.cpuUsage(cpu);
-    const seconds = STEADY_MS / 1_000;
-    const count = this.#nodes.length;
-    const sum = (of: (node: Node) => number): number =>
-      this.#nodes.reduce((total, node) => total + of(node), 0);
+    this.#time.runUntil(this.#time.now + STEADY_STATE_MS);
+    const cpuUsed = process.cpuUsage(cpu);
+    const seconds = STEADY_STATE_MS / 1_000;
+    const nodeCount = this.#nodes.length;
+    const sum = (count: (node: Node) => number): number =>
+      this.#nodes.reduce((total, node) => total + count(node), 0);
     return {
-      heartbeatsPerNodeSecond: sum(({ sent }) => sent) / count / seconds,
-      messageBytesPerNodeSecond: sum(({ bytes }) => bytes) / count / seconds,
-      heartbeatsOfBusiest: Math.max(...this.#nodes.map(({ sent }) => sent)) /
+      heartbeatsPerNodeSecond: sum(({ heartbeatsSent }) => heartbeatsSent) /
+        nodeCount / seconds,
+      messageBytesPerNodeSecond: sum(({ messageBytes }) => messageBytes) /
+        nodeCount / seconds,
+      heartbeatsPerSecondOfBusiest:
+        Math.max(...this.#nodes.map(({ heartbeatsSent }) => heartbeatsSent)) /
         seconds,
       configurationCallsPerSecond: (this.#configuration.calls - calls) /
         seconds,
-      cpuMicrosPerNodeSecond: (used.user + used.system) / count / seconds,
+      cpuMicrosPerNodeSecond: (cpuUsed.user + cpuUsed.system) / nodeCount /
+        seconds,
     };
   }
 
   #measureConfiguration(): number {
-    const text = makeText(this.#size).replace(
+    const text = makeConfigurationText(this.#size).replace(
       "requests_per_s = 100",
       "requests_per_s = 90",
     );
     const start = this.#time.now;
     this.#configuration.publish(text);
     const revision = this.#configuration.revision;
-    return this.#until(
+    return this.#timeUntil(
       start,
       () =>
         this.#nodes.every(({ core }) =>
@@ -142,23 +148,23 @@
     );
   }
 
-  #measureDeath(): number {
-    const [victim] = this.#nodes;
-    victim!.dead = true;
+  #measureCrashDetection(): number {
+    const [crashedNode] = this.#nodes;
+    crashedNode!.crashed = true;
     const start = this.#time.now;
-    const { incarnation } = victim!.core.board.self;
-    return this.#until(
+    const { incarnation } = crashedNode!.core.board.self;
+    return this.#timeUntil(
       start,
       () =>
         this.#nodes.every((node) =>
-          node === victim || node.region !== victim!.region ||
+          node === crashedNode || node.region !== crashedNode!.region ||
           node.core.board.membership.members.get(incarnation)?.health !== "live"
         ),
     );
   }
 
-  #until(start: number, done: () => boolean): number {
-    while (!done() && this.#time.now - start < SPREAD_LIMIT_MS) {
+  #timeUntil(start: number, done: () => boolean): number {
+    while (!done() && this.#time.now - start < MAX_PROPAGATION_MS) {
       this.#time.runUntil(this.#time.now + TICK_MS);
     }
     return this.#time.now - start;
@@ -183,11 +189,11 @@
     );
   }
 
-  #start(index: number): void {
+  #startNode(index: number): void {
     const { zone, region } = zoneAt(this.#size, index);
     const url = `http://10.1.${index >> 8}.${index & 255}:7001`;
     const random = new SeededRandomness(index + 1);
-    const clock = Math.floor(random.next() * 1_000_000);
+    const clockOffset = Math.floor(random.next() * 1_000_000);
     const core = new Core({
       self: {
         id: `entry-${zone}-${index}` as EntryId,
@@ -205,25 +211,37 @@
         epochLength: milliseconds(300_000),
       },
       random,
-    }, instant(clock));
-    const node: Node = { core, region, url, dead: false, sent: 0, bytes: 0 };
+    }, instant(clockOffset));
+    const node: Node = {
+      core,
+      region,
+      url,
+      crashed: false,
+      heartbeatsSent: 0,
+      messageBytes: 0,
+    };
     this.#nodes.push(node);
     this.#byUrl.set(url, node);
-    const tell = (event: CoreEvent): void => {
-      if (!node.dead) {
-        const effects = core.handle(event, instant(clock + this.#time.now));
-        effects.forEach((effect) => this.#carryOut(node, { effect, tell }));
+    const dispatch = (event: CoreEvent): void => {
+      if (!node.crashed) {
+        const effects = core.handle(
+          event,
+          instant(clockOffset + this.#time.now),
+        );
+        effects.forEach((effect) =>
+          this.#applyEffect(node, { effect, dispatch })
+        );
       }
     };
     const tick = (): void => {
-      tell({ kind: "tick" });
+      dispatch({ kind: "tick" });
       this.#time.after(TICK_MS, tick);
     };
     this.#time.after(random.next() * 1_000, tick);
-    tell({ kind: "vmsListed", vms: [] });
+    dispatch({ kind: "vmsListed", vms: [] });
   }
 
-  /** Two earlier entries of the region and one of the fleet, as the VM list would name them. */
+  /** Returns two earlier entries of the region and one of the fleet, as from the VM list. */
   #seedsFor(index: number): string[] {
     const { region } = zoneAt(this.#size, index);
     const near = this.#nodes.filter((node) => node.region === region).slice(
@@ -233,37 +251,45 @@
     return [...near, ...this.#nodes.slice(0, 1)].map(({ url }) => url);
   }
 
-  #carryOut(
+  #applyEffect(
     node: Node,
-    { effect, tell }: { effect: Effect; tell: (event: CoreEvent) => void },
+    { effect, dispatch }: {
+      effect: Effect;
+      dispatch: (event: CoreEvent) => void;
+    },
   ): void {
     if (effect.kind === "sendHeartbeat") {
       const peer = this.#byUrl.get(effect.url);
-      if (peer === undefined || peer.dead) {
+      if (peer === undefined || peer.crashed) {
         return;
       }
-      const delay = peer.region === node.region ? NEAR_MS : FAR_MS;
-      node.sent++;
+      const delay = peer.region === node.region
+        ? SAME_REGION_DELAY_MS
+        : CROSS_REGION_DELAY_MS;
+      node.heartbeatsSent++;
       const requestBytes =
         JSON.stringify(encodeHeartbeat(effect.heartbeat)).length;
       this.#time.after(delay, () => {
         const reply = peer.core.answerHeartbeat(
           effect.heartbeat,
-          this.#clockOf(peer),
+          this.#localTime(peer),
         );
         const bytes = requestBytes +
           JSON.stringify(encodeHeartbeatReply(reply)).length;
-        node.bytes += bytes;
-        peer.bytes += bytes;
-        this.#time.after(delay, () => tell({ kind: "heartbeatReply", reply }));
+        node.messageBytes += bytes;
+        peer.messageBytes += bytes;
+        this.#time.after(
+          delay,
+          () => dispatch({ kind: "heartbeatReply", reply }),
+        );
       });
     } else if (effect.kind === "copyConfiguration") {
       const peer = this.#byUrl.get(effect.url)!;
       const copy = peer.core.answerConfiguration(effect.have);
       this.#time.after(
-        2 * NEAR_MS,
+        2 * SAME_REGION_DELAY_MS,
         () =>
-          tell({
+          dispatch({
             kind: "configurationCopied",
             from: effect.from,
             copy,
@@ -271,26 +297,29 @@
           }),
       );
     } else if (effect.kind === "readConfiguration") {
-      this.#read(effect, tell);
+      this.#readConfiguration(effect, dispatch);
     } else if (effect.kind === "listVms") {
-      this.#time.after(NEAR_MS, () => tell({ kind: "vmsUnchanged" }));
+      this.#time.after(
+        SAME_REGION_DELAY_MS,
+        () => dispatch({ kind: "vmsUnchanged" }),
+      );
     }
   }
 
-  #clockOf(node: Node): ReturnType<typeof instant> {
+  #localTime(node: Node): ReturnType<typeof instant> {
     return instant(node.core.board.lifecycle.startedAt + this.#time.now);
   }
 
-  #read(
+  #readConfiguration(
     { after, wait }: { after: Revision; wait: boolean },
-    tell: (event: CoreEvent) => void,
+    dispatch: (event: CoreEvent) => void,
   ): void {
     this.#configuration.calls++;
     const published = this.#configuration.read()!;
     if (!wait || published.revision > after) {
       this.#time.after(
-        NEAR_MS,
-        () => tell({ kind: "configurationRead", ...published }),
+        SAME_REGION_DELAY_MS,
+        () => dispatch({ kind: "configurationRead", ...published }),
       );
       return;
     }
@@ -303,9 +332,9 @@
       unwatch();
       const now = this.#configuration.read()!;
       this.#time.after(
-        NEAR_MS,
+        SAME_REGION_DELAY_MS,
         () =>
-          tell(
+          dispatch(
             now.revision > after
               ? { kind: "configurationRead", ...now }
               : { kind: "configurationUnchanged" },
@@ -313,6 +342,6 @@
       );
     };
     const unwatch = this.#configuration.watch(answer);
-    this.#time.after(WATCH_WAIT_MS, answer);
+    this.#time.after(LONG_POLL_MS, answer);
   }
 }
--- a/playground/src/slopes/made_fleet.ts
+++ b/playground/src/slopes/made_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Texts, members and endpoints of any size, for slopes.
+ * Generates configuration texts, heartbeats and endpoints for fleets of any size.
  *
  * @module
  */
@@ -15,7 +15,7 @@
   type ZoneId,
 } from "@sassafrasstep/core";
 
-/** Size of a fleet. */
+/** The numbers of parts in a fleet. */
 export interface FleetSize {
   readonly regions: number;
   readonly zones: number;
@@ -25,8 +25,8 @@
   readonly models: number;
 }
 
-/** The size that letter 1 asks to build towards. */
-export const TARGET: FleetSize = {
+/** The fleet size that the software is designed for. */
+export const TARGET_FLEET_SIZE: FleetSize = {
   regions: 22,
   zones: 61,
   entries: 530,
@@ -35,7 +35,7 @@
   models: 25,
 };
 
-/** Zone number `index` of a fleet. */
+/** Returns the zone and region of the entry with the given index. */
 export function zoneAt(
   size: FleetSize,
   index: number,
@@ -44,8 +44,8 @@
   return { zone: `z${zone}`, region: `r${zone % size.regions}` };
 }
 
-/** An operators' text of a size. */
-export function makeText(
+/** Returns a configuration text for a fleet of the given size. */
+export function makeConfigurationText(
   { regions, zones, customers, models }: FleetSize,
 ): string {
   const regionNames = Array.from(
@@ -54,12 +54,14 @@
   );
   const lines = ["[deployment]", "name = made", "objective = tail", ""];
   for (const [index, region] of regionNames.entries()) {
-    const own = Array.from({ length: zones }, (_, zone) => zone).filter((
-      zone,
-    ) => zone % regions === index);
+    const zoneNumbers = Array.from({ length: zones }, (_, zone) => zone).filter(
+      (
+        zone,
+      ) => zone % regions === index,
+    );
     lines.push(
       `[region ${region}]`,
-      `zones = ${own.map((zone) => `z${zone}`).join(", ")}`,
+      `zones = ${zoneNumbers.map((zone) => `z${zone}`).join(", ")}`,
       "",
     );
   }
@@ -87,7 +89,7 @@
   return lines.join("\n");
 }
 
-/** Endpoints of one region. */
+/** Returns the VMs of endpoints in region `r0`. */
 export function makeVms(count: number, zones: number): ListedVm[] {
   return Array.from({ length: count }, (_, index) => ({
     id: `vm-0a1b2c3d4e5f${index}` as EndpointId,
@@ -100,7 +102,7 @@
   }));
 }
 
-/** A load report of one endpoint. */
+/** Returns the load report of an endpoint that serves the given model. */
 export function makeReport(model: string): LoadReport {
   return {
     age: milliseconds(0),
@@ -117,7 +119,7 @@
   };
 }
 
-/** A heartbeat as a delegate of a fleet sends it to another zone. */
+/** Returns a heartbeat as a zone's delegate sends it to another zone, with the given number of freshness entries. */
 export function makeHeartbeat(size: FleetSize, freshness: number): Heartbeat {
   const from = makeFreshness(0);
   const spare: SpareCapacity[] = Array.from(
--- a/playground/src/slopes/main.ts
+++ b/playground/src/slopes/main.ts
@@ -1,16 +1,16 @@
 /**
- * Measures slopes and prints them as Markdown: `npm run slopes [-- --fleet]`.
+ * Measures how costs grow with sizes and prints the slopes as Markdown: `npm run slopes [-- --fleet]`.
  *
  * @module
  */
 import { fitLine } from "./fit.ts";
-import { measureSpread, type Spread } from "./fleet_spread.ts";
-import { TARGET } from "./made_fleet.ts";
+import { measurePropagation, type PropagationResult } from "./fleet_spread.ts";
+import { TARGET_FLEET_SIZE } from "./made_fleet.ts";
 import { measureAll, newsBytes } from "./measurements.ts";
-import type { Measurement } from "./meter.ts";
+import type { SlopeMeasurement } from "./meter.ts";
 
 const PERCENT = 100;
-const FLEETS = [
+const FLEET_SIZES = [
   { regions: 3, zones: 6, entries: 8 },
   { regions: 8, zones: 20, entries: 130 },
   { regions: 22, zones: 61, entries: 530 },
@@ -18,27 +18,29 @@
 
 console.log(formatSlopes(await measureAll()));
 console.log(
-  `\nNews of one zone with ${TARGET.models} services: ${
-    newsBytes(TARGET.models)
+  `\nNews of one zone with ${TARGET_FLEET_SIZE.models} services: ${
+    newsBytes(TARGET_FLEET_SIZE.models)
   } bytes`,
 );
 if (process.argv.includes("--fleet")) {
   console.log(
-    formatSpreads(
-      FLEETS.map((fleet) => measureSpread({ ...TARGET, ...fleet })),
+    formatPropagation(
+      FLEET_SIZES.map((fleet) =>
+        measurePropagation({ ...TARGET_FLEET_SIZE, ...fleet })
+      ),
     ),
   );
 }
 
-function formatSlopes(measurements: readonly Measurement[]): string {
+function formatSlopes(measurements: readonly SlopeMeasurement[]): string {
   const rows = measurements.map(({ name, per, unit, points }) => {
-    const { base, slope, residual } = fitLine(points);
+    const { base, slope, largestResidualShare } = fitLine(points);
     const measured = points.map(({ size, value }) =>
-      `${short(size)}: ${short(value)}`
+      `${formatShort(size)}: ${formatShort(value)}`
     ).join(", ");
-    return `| ${name} | ${unit} | ${measured} | ${short(base)} | ${
-      short(slope)
-    } per ${per} | ${(residual * PERCENT).toFixed(0)}% |`;
+    return `| ${name} | ${unit} | ${measured} | ${formatShort(base)} | ${
+      formatShort(slope)
+    } per ${per} | ${(largestResidualShare * PERCENT).toFixed(0)}% |`;
   });
   return [
     "| what | unit | measured (size: value) | base | slope | largest residual |",
@@ -48,14 +50,14 @@
     .join("\n");
 }
 
-function formatSpreads(spreads: readonly Spread[]): string {
-  const rows = spreads.map((spread) =>
-    `| ${spread.entries} | ${spread.configurationMs} | ${spread.deathMs} | ${spread.falseSuspects} | ${spread.knownMembers} | ${
-      short(spread.heartbeatsPerNodeSecond)
-    } | ${short(spread.heartbeatsOfBusiest)} | ${
-      short(spread.messageBytesPerNodeSecond)
-    } | ${short(spread.configurationCallsPerSecond)} | ${
-      short(spread.cpuMicrosPerNodeSecond)
+function formatPropagation(results: readonly PropagationResult[]): string {
+  const rows = results.map((result) =>
+    `| ${result.entries} | ${result.configurationMs} | ${result.deathMs} | ${result.falseSuspects} | ${result.knownMembers} | ${
+      formatShort(result.heartbeatsPerNodeSecond)
+    } | ${formatShort(result.heartbeatsPerSecondOfBusiest)} | ${
+      formatShort(result.messageBytesPerNodeSecond)
+    } | ${formatShort(result.configurationCallsPerSecond)} | ${
+      formatShort(result.cpuMicrosPerNodeSecond)
     } |`
   );
   return [
@@ -66,7 +68,7 @@
   ].join("\n");
 }
 
-function short(value: number): string {
+function formatShort(value: number): string {
   return Math.abs(value) >= 100
     ? String(Math.round(value))
     : String(Number(value.toPrecision(3)));
--- a/playground/src/slopes/measured_core.ts
+++ b/playground/src/slopes/measured_core.ts
@@ -1,5 +1,5 @@
 /**
- * A core to measure, and what is done with it.
+ * Creates a core and drives it through the work to measure.
  *
  * @module
  */
@@ -18,12 +18,17 @@
   sha256,
   type ZoneId,
 } from "@sassafrasstep/core";
-import { makeReport, makeText, makeVms, TARGET } from "./made_fleet.ts";
+import {
+  makeConfigurationText,
+  makeReport,
+  makeVms,
+  TARGET_FLEET_SIZE,
+} from "./made_fleet.ts";
 
-/** Time at which a measured core begins, in milliseconds. */
+/** Start time of a measured core. */
 export const START_MS = 1_000_000;
 
-/** One request from its head to the end of its stream. */
+/** Drives one streamed request through a core, from its head to its end. */
 export function driveRequest(
   core: Core,
   { id, now }: { id: RequestId; now: number },
@@ -60,7 +65,7 @@
   }
 }
 
-/** A core with the text of the target size, whose limits refuse nothing. */
+/** Creates a core with a configuration of the target size, whose rate limits refuse nothing. */
 export function makeCore(): Core {
   const core = new Core({
     self: {
@@ -77,8 +82,8 @@
     },
     random: new SeededRandomness(1),
   }, instant(START_MS));
-  // High limits: the slope is that of serving, not of refusing.
-  const text = makeText(TARGET).replaceAll(
+  // With high limits the slope is the cost of served requests rather than of refused ones.
+  const text = makeConfigurationText(TARGET_FLEET_SIZE).replaceAll(
     "requests_per_s = 100",
     "requests_per_s = 900000",
   );
@@ -89,8 +94,8 @@
   return core;
 }
 
-/** Lists endpoints and has each report. */
-export function list(core: Core, endpoints: number): void {
+/** Adds endpoints to a core, each with one load report. */
+export function listEndpoints(core: Core, endpoints: number): void {
   core.handle(
     { kind: "vmsListed", vms: makeVms(endpoints, 3) },
     instant(START_MS),
--- a/playground/src/slopes/measurements.ts
+++ b/playground/src/slopes/measurements.ts
@@ -1,5 +1,5 @@
 /**
- * One measurement a function: the same work at three sizes or more.
+ * The measurements. Each does the same work at three or more sizes.
  *
  * @module
  */
@@ -20,26 +20,31 @@
 } from "@sassafrasstep/daemon";
 import { Relay } from "../fleet/index.ts";
 import { median, type Point } from "./fit.ts";
-import { driveRequest, list, makeCore, START_MS } from "./measured_core.ts";
 import {
-  BYTES_PER_KB,
-  cpuOf,
-  type Measurement,
-  memorySlope,
+  driveRequest,
+  listEndpoints,
+  makeCore,
+  START_MS,
+} from "./measured_core.ts";
+import {
+  BYTES_PER_KIB,
+  measureHeap,
+  medianCpuUs,
   REPEATS,
+  type SlopeMeasurement,
 } from "./meter.ts";
 import {
   type FleetSize,
+  makeConfigurationText,
   makeHeartbeat,
-  makeText,
-  TARGET,
+  TARGET_FLEET_SIZE,
 } from "./made_fleet.ts";
 import { startPeerSink } from "./peer_sink.ts";
 
-const MICROS_PER_MS = 1_000;
+const US_PER_MS = 1_000;
 
-/** Runs all measurements, one after the other. */
-export async function measureAll(): Promise<Measurement[]> {
+/** Runs all measurements in sequence. */
+export async function measureAll(): Promise<SlopeMeasurement[]> {
   return [
     await heartbeatBytes(),
     await heartbeatCpu(),
@@ -54,11 +59,11 @@
   ];
 }
 
-/** Bytes on the wire of one heartbeat with its answer, HTTP included, by freshness entries carried. */
-async function heartbeatBytes(): Promise<Measurement> {
+/** Bytes of one heartbeat and its answer on the wire, including HTTP, by the number of freshness entries. */
+async function heartbeatBytes(): Promise<SlopeMeasurement> {
   const points: Point[] = [];
   for (const freshness of [0, 8, 16, 22]) {
-    const value = await exchangeBytes(freshness);
+    const value = await measureHeartbeatBytes(freshness);
     points.push({ size: freshness, value });
   }
   return {
@@ -69,13 +74,16 @@
   };
 }
 
-async function exchangeBytes(freshness: number): Promise<number> {
+async function measureHeartbeatBytes(freshness: number): Promise<number> {
   const count = 200;
   const sink = await startPeerSink();
   const relay = new Relay(sink.url);
   const url = await relay.start();
   const clients = new PeerClients(new Credentials(sink.secret, "made"));
-  const heartbeat = { ...makeHeartbeat(TARGET, freshness), news: [] };
+  const heartbeat = {
+    ...makeHeartbeat(TARGET_FLEET_SIZE, freshness),
+    news: [],
+  };
   await sendHeartbeat(clients.at(url), heartbeat);
   const before = relay.bytes;
   for (let index = 0; index < count; index++) {
@@ -88,13 +96,13 @@
   return value;
 }
 
-/** CPU of one heartbeat, both sides together, HTTP and checks included, by services told of. */
-async function heartbeatCpu(): Promise<Measurement> {
+/** CPU time of one heartbeat on both sides, including HTTP and validation, by the number of services reported. */
+async function heartbeatCpu(): Promise<SlopeMeasurement> {
   const points: Point[] = [];
   for (const models of [1, 10, 25]) {
     const values: number[] = [];
     for (let repeat = 0; repeat < REPEATS; repeat++) {
-      values.push(await exchangeCpu({ ...TARGET, models }));
+      values.push(await measureHeartbeatCpu({ ...TARGET_FLEET_SIZE, models }));
     }
     points.push({ size: models, value: median(values) });
   }
@@ -106,7 +114,7 @@
   };
 }
 
-async function exchangeCpu(size: FleetSize): Promise<number> {
+async function measureHeartbeatCpu(size: FleetSize): Promise<number> {
   const count = 400;
   const sink = await startPeerSink();
   const clients = new PeerClients(new Credentials(sink.secret, "made"));
@@ -124,20 +132,21 @@
   return (used.user + used.system) / count;
 }
 
-/** Bytes that zone news add to a heartbeat. */
+/** Returns the bytes that one zone's news of the given number of services adds to a heartbeat. */
 export function newsBytes(models: number): number {
   const bytes = (size: FleetSize): number =>
     JSON.stringify(encodeHeartbeat(makeHeartbeat(size, 0))).length;
-  return bytes({ ...TARGET, models }) - bytes({ ...TARGET, models: 0 });
+  return bytes({ ...TARGET_FLEET_SIZE, models }) -
+    bytes({ ...TARGET_FLEET_SIZE, models: 0 });
 }
 
-/** CPU to read and check an operators' text. */
-function parseCpu(): Measurement {
+/** CPU time to parse and validate a configuration text, by its length. */
+function parseCpu(): SlopeMeasurement {
   const points = [65, 325, 650, 1300].map((customers): Point => {
-    const text = makeText({ ...TARGET, customers });
+    const text = makeConfigurationText({ ...TARGET_FLEET_SIZE, customers });
     return {
-      size: text.length / BYTES_PER_KB,
-      value: cpuOf(20, () => parseConfiguration(text)) / MICROS_PER_MS,
+      size: text.length / BYTES_PER_KIB,
+      value: medianCpuUs(20, () => parseConfiguration(text)) / US_PER_MS,
     };
   });
   return {
@@ -148,9 +157,9 @@
   };
 }
 
-/** Bytes of the difference after changes of customers far apart. */
-function patchBytes(): Measurement {
-  const text = makeText(TARGET);
+/** Bytes of a patch, by the number of changed customers; the changes are spread over the text. */
+function patchBytes(): SlopeMeasurement {
+  const text = makeConfigurationText(TARGET_FLEET_SIZE);
   const points = [1, 4, 16].map((changes): Point => {
     const lines = text.split("\n");
     const rates = lines.flatMap((line, index) =>
@@ -173,13 +182,13 @@
   };
 }
 
-/** CPU of one tick, by endpoints of the region. */
-function tickCpu(): Measurement {
+/** CPU time of one tick, by the number of endpoints in the region. */
+function tickCpu(): SlopeMeasurement {
   const points = [50, 200, 545, 1_000].map((endpoints): Point => {
     const core = makeCore();
-    list(core, endpoints);
+    listEndpoints(core, endpoints);
     let now = START_MS;
-    const value = cpuOf(2_000, () => {
+    const value = medianCpuUs(2_000, () => {
       now += 25;
       core.handle({ kind: "tick" }, instant(now));
     });
@@ -193,29 +202,29 @@
   };
 }
 
-/** Heap that endpoints take. */
-function endpointMemory(): Measurement {
-  return memorySlope(
+/** Heap used by endpoints. */
+function endpointMemory(): SlopeMeasurement {
+  return measureHeap(
     "endpoint",
     "endpoint of the region",
     [100, 545, 2_000],
     (count) => {
       const core = makeCore();
-      list(core, count);
+      listEndpoints(core, count);
       return core;
     },
   );
 }
 
-/** Heap that a text with its customers takes. */
-function customerMemory(): Measurement {
-  return memorySlope("customer", "customer", [65, 650, 2_000], (customers) => {
+/** Heap used by a configuration text and its customers. */
+function customerMemory(): SlopeMeasurement {
+  return measureHeap("customer", "customer", [65, 650, 2_000], (customers) => {
     const core = makeCore();
     core.handle(
       {
         kind: "configurationRead",
         revision: 2 as Revision,
-        text: makeText({ ...TARGET, customers }),
+        text: makeConfigurationText({ ...TARGET_FLEET_SIZE, customers }),
       },
       instant(START_MS),
     );
@@ -223,9 +232,9 @@
   });
 }
 
-/** Heap that used keys take, with a 200-byte answer each. */
-function keyMemory(): Measurement {
-  return memorySlope("used key", "key", [1_000, 5_000, 15_000], (keys) => {
+/** Heap used by idempotency keys, each with a stored answer whose body is padded to 272 characters. */
+function keyMemory(): SlopeMeasurement {
+  return measureHeap("used key", "key", [1_000, 5_000, 15_000], (keys) => {
     const core = makeCore();
     for (let index = 0; index < keys; index++) {
       const copy = {
@@ -253,14 +262,14 @@
   });
 }
 
-/** CPU of the core's decisions on one streamed request, from its head to its end. */
-function requestCpu(): Measurement {
+/** CPU time of the core's decisions on one streamed request, by the number of endpoints in the region. */
+function requestCpu(): SlopeMeasurement {
   const points = [24, 200, 545].map((endpoints): Point => {
     const core = makeCore();
-    list(core, endpoints);
+    listEndpoints(core, endpoints);
     core.handle({ kind: "tick" }, instant(START_MS));
     let count = 0;
-    const value = cpuOf(2_000, () => {
+    const value = medianCpuUs(2_000, () => {
       count++;
       driveRequest(core, {
         id: `r${count}` as RequestId,
@@ -277,10 +286,10 @@
   };
 }
 
-/** CPU to put tokens in order. */
-function tokenCpu(): Measurement {
+/** CPU time to put streamed tokens in order, by their number. */
+function tokenCpu(): SlopeMeasurement {
   const points = [100, 1_000, 10_000].map((tokens): Point => {
-    const value = cpuOf(50, () => {
+    const value = medianCpuUs(50, () => {
       const stream = new TokenStream().begin("r.1");
       for (let offset = 0; offset < tokens; offset++) {
         stream.accept({ id: "r.1", offset, token: " word" });
--- a/playground/src/slopes/meter.ts
+++ b/playground/src/slopes/meter.ts
@@ -1,24 +1,24 @@
 /**
- * Processor time and memory of repeated work.
+ * Measures the CPU time and heap of repeated work.
  *
  * @module
  */
 import { median, type Point } from "./fit.ts";
 
-/** Repeats of each measurement; the median counts. */
+/** Repetitions of each measurement, of which the median is taken. */
 export const REPEATS = 5;
-export const BYTES_PER_KB = 1_024;
+export const BYTES_PER_KIB = 1_024;
 
-/** A measured slope: what grows with what. */
-export interface Measurement {
+/** Values of a quantity at several sizes; `per` names what the size counts. */
+export interface SlopeMeasurement {
   readonly name: string;
   readonly per: string;
   readonly unit: string;
   readonly points: readonly Point[];
 }
 
-/** Median microseconds of CPU of one run. */
-export function cpuOf(count: number, run: () => unknown): number {
+/** Returns the median CPU time of one run in microseconds, after a warm-up of `count / 4` runs. */
+export function medianCpuUs(count: number, run: () => unknown): number {
   for (let index = 0; index < count / 4; index++) {
     run();
   }
@@ -33,18 +33,18 @@
   return median(values);
 }
 
-/** Kilobytes of heap that are kept at each size. */
-export function memorySlope(
+/** Measures the heap, in KB, that the object made at each size occupies. */
+export function measureHeap(
   name: string,
   per: string,
   sizes: readonly number[],
   make: (size: number) => unknown,
-): Measurement {
+): SlopeMeasurement {
   const points = sizes.map((size): Point => {
     const before = heapKb();
-    const kept = make(size);
+    const retained = make(size);
     const value = heapKb() - before;
-    return { size, value: kept === undefined ? 0 : value };
+    return { size, value: retained === undefined ? 0 : value };
   });
   return { name: `memory of ${name}s`, per, unit: "KB heap", points };
 }
@@ -55,5 +55,5 @@
   }
   globalThis.gc();
   globalThis.gc();
-  return process.memoryUsage().heapUsed / BYTES_PER_KB;
+  return process.memoryUsage().heapUsed / BYTES_PER_KIB;
 }
--- a/playground/src/slopes/peer_sink.ts
+++ b/playground/src/slopes/peer_sink.ts
@@ -1,5 +1,5 @@
 /**
- * A daemon's real control server in front of a core that answers heartbeats.
+ * Runs the daemon's real control server with a core that answers heartbeats.
  *
  * @module
  */
@@ -22,16 +22,16 @@
   Credentials,
 } from "@sassafrasstep/daemon";
 
-/** A running sink. */
+/** A running control server that receives heartbeats. */
 export interface PeerSink {
   readonly url: string;
   readonly secret: string;
   stop(): Promise<void>;
 }
 
-const SECRET = "secret-of-the-slopes";
+const SINK_SECRET = "secret-of-the-slopes";
 
-/** Starts a sink on loopback. */
+/** Starts a control server on a free port of the loopback interface. */
 export async function startPeerSink(): Promise<PeerSink> {
   const core = new Core({
     self: {
@@ -53,12 +53,15 @@
     heartbeat: (heartbeat: Heartbeat): HeartbeatReply =>
       core.answerHeartbeat(heartbeat, instant(performance.now())),
   } as unknown as ControlService;
-  const server = createControlServer(service, new Credentials(SECRET, "made"));
+  const server = createControlServer(
+    service,
+    new Credentials(SINK_SECRET, "made"),
+  );
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as AddressInfo;
   return {
     url: `http://127.0.0.1:${port}`,
-    secret: SECRET,
+    secret: SINK_SECRET,
     stop: async () => {
       await new Promise<void>((resolve) => {
         server.close(() => resolve());
--- a/playground/src/slopes/probe_fleet.ts
+++ b/playground/src/slopes/probe_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Fleets of entries before routes under virtual time: what finding and losing each other costs an entry,
- * and how long it takes. Bytes are those of the datagrams.
+ * Measures failure detection in fleets of entries that serve routes, under virtual time: the cost of pings per
+ * entry and the time until an entry that falls silent is detected. Bytes are those of the datagrams.
  *
  * @module
  */
@@ -22,29 +22,30 @@
 import { VirtualTime } from "../scenario/virtual_time.ts";
 
 const TICK_MS = 25;
-const PERIOD_MS = 500;
-const NEAR_MS = 1;
-const FAR_MS = 80;
+const PING_PERIOD_MS = 500;
+const SAME_REGION_DELAY_MS = 1;
+const CROSS_REGION_DELAY_MS = 80;
 const SETTLE_MS = 60_000;
 const MEASURE_MS = 20_000;
-const WATCH_MS = 30_000;
-const REGIONS = 22;
+const MAX_DETECTION_MS = 30_000;
+const MAX_REGIONS = 22;
 const US_PER_MS = 1_000;
 const MS_PER_SECOND = 1_000;
 
-/** What one size showed. */
+/** The measurements of a fleet of one size. */
 export interface ProbeFinding {
   readonly entries: number;
-  /** Both ways, a node and second. */
+  /** Bytes sent and received, per node and second. */
   readonly bytes: number;
+  /** Datagrams sent, per node and second. */
   readonly datagrams: number;
-  /** Largest datagram. */
+  /** Size of the largest datagram, in bytes. */
   readonly largest: number;
-  /** Processor time of the decisions, a node and second. */
+  /** Time that the controllers took, per node and second, in microseconds. */
   readonly cpuUs: number;
-  /** Until no live entry of its region holds a silent one for live. */
+  /** Time until no running entry of its region considers a silent entry live. */
   readonly lostInRegionMs: number;
-  /** The same over the whole fleet. */
+  /** Time until no running entry of the fleet considers a silent entry live. */
   readonly lostEverywhereMs: number;
   readonly falseSuspects: number;
 }
@@ -56,18 +57,18 @@
   alive: boolean;
 }
 
-/** Runs one size. */
+/** Runs and measures a fleet of the given size. */
 export function measureProbes(entries: number): ProbeFinding {
   const fleet = new ProbeFleet(entries);
   fleet.run(SETTLE_MS);
   const before = fleet.counts();
-  const suspects = fleet.suspects();
+  const suspectCount = fleet.countFalseSuspects();
   const started = performance.now();
   fleet.run(MEASURE_MS);
   const cpuMs = performance.now() - started;
   const after = fleet.counts();
   const perNode = entries * MEASURE_MS / MS_PER_SECOND;
-  const { region, everywhere } = fleet.lose();
+  const { region, everywhere } = fleet.measureDetection();
   return {
     entries,
     bytes: Math.round(2 * (after.bytes - before.bytes) / perNode),
@@ -76,10 +77,11 @@
     cpuUs: Math.round(cpuMs * US_PER_MS / perNode),
     lostInRegionMs: region,
     lostEverywhereMs: everywhere,
-    falseSuspects: suspects,
+    falseSuspects: suspectCount,
   };
 }
 
+/** A simulated fleet. */
 class ProbeFleet {
   readonly #time = new VirtualTime();
   readonly #nodes = new Map<string, Node>();
@@ -88,7 +90,10 @@
   #largest = 0;
 
   constructor(entries: number) {
-    const regions = Math.min(REGIONS, Math.max(3, Math.round(entries / 24)));
+    const regions = Math.min(
+      MAX_REGIONS,
+      Math.max(3, Math.round(entries / 24)),
+    );
     for (let index = 0; index < entries; index++) {
       this.#add(index, `r${index % regions}`);
     }
@@ -106,8 +111,8 @@
     };
   }
 
-  /** Opinions that are wrong: all are alive. */
-  suspects(): number {
+  /** Counts the entries that others do not consider live, while all are running. */
+  countFalseSuspects(): number {
     const nodes = [...this.#nodes.values()];
     return nodes.reduce(
       (sum, { controller }) =>
@@ -116,31 +121,33 @@
     );
   }
 
-  /** One entry falls silent; how long until nobody holds it for live. */
-  lose(): { region: number; everywhere: number } {
-    const [lost] = [...this.#nodes.values()];
-    lost!.alive = false;
-    const from = this.#time.now;
-    let region = WATCH_MS;
-    while (this.#time.now - from < WATCH_MS) {
+  /** Silences one entry and measures how long others still consider it live. */
+  measureDetection(): { region: number; everywhere: number } {
+    const [silenced] = [...this.#nodes.values()];
+    silenced!.alive = false;
+    const silencedAt = this.#time.now;
+    let region = MAX_DETECTION_MS;
+    while (this.#time.now - silencedAt < MAX_DETECTION_MS) {
       this.run(TICK_MS);
-      const holding = [...this.#nodes.values()].filter((
+      const stillLive = [...this.#nodes.values()].filter((
         { alive, controller },
       ) =>
         alive &&
         controller.liveMembers().some(({ record }) =>
-          record.incarnation === lost!.incarnation
+          record.incarnation === silenced!.incarnation
         )
       );
-      const near = holding.filter((node) => node.region === lost!.region);
-      if (near.length === 0 && region === WATCH_MS) {
-        region = this.#time.now - from;
+      const stillLiveInRegion = stillLive.filter((node) =>
+        node.region === silenced!.region
+      );
+      if (stillLiveInRegion.length === 0 && region === MAX_DETECTION_MS) {
+        region = this.#time.now - silencedAt;
       }
-      if (holding.length === 0) {
-        return { region, everywhere: this.#time.now - from };
+      if (stillLive.length === 0) {
+        return { region, everywhere: this.#time.now - silencedAt };
       }
     }
-    return { region, everywhere: WATCH_MS };
+    return { region, everywhere: MAX_DETECTION_MS };
   }
 
   #add(index: number, region: string): void {
@@ -157,7 +164,7 @@
         weight: 1,
       },
       seeds: ["n0:90", "n1:90", "n2:90"],
-      pingPeriodMs: PERIOD_MS,
+      pingPeriodMs: PING_PERIOD_MS,
       isStandby: () => false,
       nextHolds: () => [],
       random: new SeededRandomness(index + 1),
@@ -189,7 +196,9 @@
     this.#datagrams++;
     this.#largest = Math.max(this.#largest, size);
     const node = this.#nodes.get(to);
-    const delay = node?.region === from ? NEAR_MS : FAR_MS;
+    const delay = node?.region === from
+      ? SAME_REGION_DELAY_MS
+      : CROSS_REGION_DELAY_MS;
     this.#time.after(delay, () => {
       if (node?.alive === true) {
         node.controller.receive(message, instant(this.#time.now));
--- a/playground/src/slopes/probes_main.ts
+++ b/playground/src/slopes/probes_main.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run probes`: the table of fleets of entries before routes.
+ * Measures failure detection at several fleet sizes and prints a JSON line each: `npm run probes`.
  *
  * @module
  */
