--- a/packages/cli/src/commands/loss_commands.ts
+++ b/packages/cli/src/commands/loss_commands.ts
@@ -65,9 +65,7 @@
 /** Summarizes the log lines collected from any number of entries. */
 export function showLosses(files: readonly string[]): CommandResult {
   if (files.length === 0) {
-    throw new Error(
-      "Cannot summarize losses: no file of collected lines given",
-    );
+    throw new Error("Cannot add up losses: name a file of collected lines");
   }
   const report = summarizeLosses(files.flatMap((file) => readLines(file)));
   return { text: formatReport(report), json: report, exitCode: EXIT_CODES.ok };
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -110,7 +110,7 @@
     control === undefined || deployment === undefined || secret === undefined
   ) {
     throw new Error(
-      "Cannot query the fleet: set --control, --deployment and SASSAFRASSTEP_SECRET",
+      "Cannot ask the fleet: set --control, --deployment and SASSAFRASSTEP_SECRET",
     );
   }
   const fleet = new FleetClient({ controlUrl: control, deployment, secret });
--- a/packages/core/src/configuration/configuration_controller.ts
+++ b/packages/core/src/configuration/configuration_controller.ts
@@ -166,11 +166,11 @@
    * the first request after it would be served in the wrong region.
    */
   handleWake(now: Instant): void {
-    const { resumedAt: wokeAt } = this.#board.lifecycle;
-    if (wokeAt === undefined || wokeAt === this.#handledWakeAt) {
+    const { resumedAt } = this.#board.lifecycle;
+    if (resumedAt === undefined || resumedAt === this.#handledWakeAt) {
       return;
     }
-    this.#handledWakeAt = wokeAt;
+    this.#handledWakeAt = resumedAt;
     this.#section.unconfirmed = true;
     this.#unconfirmedSince = now;
     this.#isReading = false;
--- a/packages/core/src/configuration/index.ts
+++ b/packages/core/src/configuration/index.ts
@@ -2,7 +2,7 @@
 export {
   CONFIRMATION_WAIT_MS,
   COPY_TIMEOUT_MS,
-  createConfigurationView as createConfigurationView,
+  createConfigurationView,
   FALLBACK_READ_PERIOD_MS,
   INITIAL_READ_PERIOD_MS,
   READ_RETRY_DELAY_MS,
--- a/packages/core/src/gateway/__tests__/work_reporter.test.ts
+++ b/packages/core/src/gateway/__tests__/work_reporter.test.ts
@@ -79,7 +79,7 @@
       } as never,
       endpoints: {
         all: () => [ownZoneEngine, otherZoneEngine],
-        isOpen: (state: EndpointState) => available.has(state),
+        isInService: (state: EndpointState) => available.has(state),
         hasReport: (incarnation: string) => incarnation === "busy",
       } as unknown as EndpointRegistry,
       regions: { report: () => [] } as never,
--- a/packages/core/src/gateway/call_placer.ts
+++ b/packages/core/src/gateway/call_placer.ts
@@ -91,8 +91,8 @@
     // If one request has to wait, those of the same kind behind it have to wait too. Checking each of them
     // would cost more the longer the queue is, and slow the entry down when it has most to do.
     const blocked = new Set<string>();
-    const { prefillFraction: readPart } = this.#deps.regions;
-    for (const call of this.queue.ordered(readPart, now)) {
+    const { prefillFraction } = this.#deps.regions;
+    for (const call of this.queue.ordered(prefillFraction, now)) {
       if (this.#checkQuarantine(call, now) !== "free") {
         continue;
       }
--- a/packages/core/src/gateway/endpoint_records.ts
+++ b/packages/core/src/gateway/endpoint_records.ts
@@ -88,18 +88,18 @@
   /**
    * Replaces the records by those of a backup that the platform was restored from. A departed endpoint may
    * have a record in it and would get requests, at an address that may belong to another service by now.
-   * Such an endpoint is not used until it writes a newer record, or until `believedAt`: by then the
+   * Such an endpoint is not used until it writes a newer record, or until `acceptedAt`: by then the
    * platform has removed the records of silent endpoints.
    */
   restore(
     records: readonly EndpointRecord[],
-    { keptUntil, acceptedAt: believedAt }: {
+    { keptUntil, acceptedAt }: {
       keptUntil: Instant | undefined;
       acceptedAt: Instant;
     },
   ): void {
     for (const record of records.filter((item) => this.#hasDeparted(item))) {
-      this.#withheldRecords.set(record.id, { record, until: believedAt });
+      this.#withheldRecords.set(record.id, { record, until: acceptedAt });
     }
     this.replace(records, keptUntil);
   }
--- a/packages/core/src/gateway/endpoint_registry.ts
+++ b/packages/core/src/gateway/endpoint_registry.ts
@@ -44,24 +44,23 @@
   #generation = -1;
 
   constructor(
-    { region, regionByZone, catalogue, listened, isLeaving, backoffOf: restOf }:
-      {
-        region: RegionId;
-        regionByZone: ReadonlyMap<ZoneId, RegionId>;
-        catalogue: CatalogueView;
-        listened: StallAdjustedClockView;
-        /** Whether an endpoint has announced in an answer that it is leaving. */
-        isLeaving: (record: EndpointRecord) => boolean;
-        /** Time for which an endpoint has asked this entry to send no requests. */
-        backoffOf: (record: EndpointRecord, now: Instant) => Milliseconds;
-      },
+    { region, regionByZone, catalogue, listened, isLeaving, backoffOf }: {
+      region: RegionId;
+      regionByZone: ReadonlyMap<ZoneId, RegionId>;
+      catalogue: CatalogueView;
+      listened: StallAdjustedClockView;
+      /** Whether an endpoint has announced in an answer that it is leaving. */
+      isLeaving: (record: EndpointRecord) => boolean;
+      /** Time for which an endpoint has asked this entry to send no requests. */
+      backoffOf: (record: EndpointRecord, now: Instant) => Milliseconds;
+    },
   ) {
     this.#region = region;
     this.#regionByZone = regionByZone;
     this.#catalogue = catalogue;
     this.#listened = listened;
     this.#isLeaving = isLeaving;
-    this.#backoffOf = restOf;
+    this.#backoffOf = backoffOf;
   }
 
   get(id: EndpointId): EndpointState | undefined {
@@ -113,12 +112,13 @@
     service: ServiceId,
     isAllowed: (region: RegionId) => boolean,
   ): boolean {
-    const { endpoints, evacuatedZones: evacuated } = this.#catalogue;
+    const { endpoints, evacuatedZones } = this.#catalogue;
     for (const record of endpoints.values()) {
       const region = this.#regionByZone.get(record.zone);
       if (
         record.service === service && this.#isServing(record) &&
-        !evacuated.has(record.zone) && region !== undefined && isAllowed(region)
+        !evacuatedZones.has(record.zone) && region !== undefined &&
+        isAllowed(region)
       ) {
         return true;
       }
--- a/packages/core/src/gateway/index.ts
+++ b/packages/core/src/gateway/index.ts
@@ -1,9 +1,6 @@
 export { catalogueAge } from "./catalogue_controller.ts";
 export type { CatalogueView } from "./catalogue_view.ts";
-export type {
-  DirectoryAnswer,
-  DirectoryRequest as DirectoryQuestion,
-} from "./entry_directory.ts";
+export type { DirectoryAnswer, DirectoryRequest } from "./entry_directory.ts";
 export type { EndpointState } from "./endpoint_state.ts";
 export { Gateway } from "./gateway.ts";
 export * from "./messages.ts";
--- a/packages/core/src/gateway/local_catalogue.ts
+++ b/packages/core/src/gateway/local_catalogue.ts
@@ -201,10 +201,10 @@
     snapshot: CatalogueSnapshot,
     { keptUntil, now }: { keptUntil: Instant | undefined; now: Instant },
   ): void {
-    const believedAt = after(now, DEPARTED_WITHHELD_MS);
+    const acceptedAt = after(now, DEPARTED_WITHHELD_MS);
     this.#records.restore(snapshot.endpoints, {
       keptUntil,
-      acceptedAt: believedAt,
+      acceptedAt,
     });
     this.#evacuations.replace(
       snapshot.evacuated,
--- a/packages/core/src/gateway/local_placement.ts
+++ b/packages/core/src/gateway/local_placement.ts
@@ -201,11 +201,13 @@
  * would be refused because it has tried that endpoint before.
  */
 function untried(
-  { triedEndpoints: tried, unreachedEndpoints: unreached }: Call,
+  { triedEndpoints, unreachedEndpoints }: Call,
   states: readonly EndpointState[],
 ): readonly EndpointState[] {
-  const untriedStates = states.filter(({ record }) => !tried.has(record.id));
+  const untriedStates = states.filter(({ record }) =>
+    !triedEndpoints.has(record.id)
+  );
   return untriedStates.length > 0
     ? untriedStates
-    : states.filter(({ record }) => unreached.has(record.id));
+    : states.filter(({ record }) => unreachedEndpoints.has(record.id));
 }
--- a/packages/core/src/quarantine/quarantine_controller.ts
+++ b/packages/core/src/quarantine/quarantine_controller.ts
@@ -106,8 +106,8 @@
   constructor(deps: QuarantineControllerDependencies) {
     this.#deps = deps;
     this.#holdController = new HoldController(deps);
-    const { self: { incarnation }, claimDelay: claimTime } = deps;
-    this.#trials = new TrialCoordinator(incarnation, claimTime);
+    const { self: { incarnation }, claimDelay } = deps;
+    this.#trials = new TrialCoordinator(incarnation, claimDelay);
     this.#detector = new CrashDetector(({ id, life }) => {
       const current = deps.endpoints().get(id);
       return current === undefined || current.life !== life;
--- a/packages/core/src/quarantine/trial_permission.ts
+++ b/packages/core/src/quarantine/trial_permission.ts
@@ -30,7 +30,7 @@
  * the entries that serve a region with endpoints to try the request on.
  */
 export function createTrialPermission(
-  { self, endpoints, servingEntries: carriers }: TrialDependencies,
+  { self, endpoints, servingEntries }: TrialDependencies,
   { content, services }: {
     content: ContentDigest;
     services: readonly ServiceId[];
@@ -46,7 +46,11 @@
     if (zones.size === 0) {
       return false;
     }
-    const [owner] = rendezvous(content, carriers(zones), (entry) => entry);
+    const [owner] = rendezvous(
+      content,
+      servingEntries(zones),
+      (entry) => entry,
+    );
     return owner === self.incarnation;
   };
 }
--- a/packages/core/src/text/index.ts
+++ b/packages/core/src/text/index.ts
@@ -1,9 +1,5 @@
 export * from "./deployment.ts";
 export * from "./diff.ts";
-export {
-  type LineFault,
-  LineIndex,
-  toExcerpt as toExcerpt,
-} from "./line_index.ts";
+export { type LineFault, LineIndex, toExcerpt } from "./line_index.ts";
 export * from "./parse.ts";
 export * from "./patch.ts";
--- a/playground/src/guards/epoch_guards.ts
+++ b/playground/src/guards/epoch_guards.ts
@@ -69,8 +69,8 @@
     point: RESTORED,
     name: "a gone endpoint that a copy brings back is withheld",
     file: `${GATEWAY}/endpoint_records.ts`,
-    find: "return last !== undefined && !this.all.has(record.id) &&",
-    replace: "return last !== undefined && this.all.has(record.id) &&",
+    find: "return last !== undefined && !this.byId.has(record.id) &&",
+    replace: "return last !== undefined && this.byId.has(record.id) &&",
   },
   {
     point: RESTORED,
--- a/playground/src/guards/guards.ts
+++ b/playground/src/guards/guards.ts
@@ -190,9 +190,9 @@
     point: "isolation",
     name: "a booting entry asks its peers for the text",
     file: `${CORE}/configuration/configuration_controller.ts`,
-    find: "this.#section.missing = newestPeer?.revision;",
+    find: "this.#section.missingRevision = newestPeer?.revision;",
     replace:
-      "this.#section.missing = undefined; if (Date.now() > 0) { return; }",
+      "this.#section.missingRevision = undefined; if (Date.now() > 0) { return; }",
   },
   {
     point: "whole answers",
--- a/playground/src/guards/quarantine_guards.ts
+++ b/playground/src/guards/quarantine_guards.ts
@@ -78,7 +78,7 @@
     point: POINT,
     name: "pings carry holds",
     file: `${GATEWAY}/gateway.ts`,
-    find: "nextHolds: (at) => this.#quarantine.holds.next(at),",
+    find: "nextHolds: (at) => this.#quarantine.holds.nextNotices(at),",
     replace: "nextHolds: () => [],",
   },
 ];
--- a/playground/src/guards/route_guards.ts
+++ b/playground/src/guards/route_guards.ts
@@ -146,8 +146,8 @@
     point: "routes: store outage",
     name: "a missing record is doubted for a while after an outage",
     file: `${GATEWAY}/endpoint_records.ts`,
-    find: "if (keptUntil === undefined || !this.all.has(id)) {",
-    replace: "if (keptUntil !== null || !this.all.has(id)) {",
+    find: "if (keptUntil === undefined || !this.byId.has(id)) {",
+    replace: "if (keptUntil !== null || !this.byId.has(id)) {",
   },
   {
     point: "routes: store outage",
@@ -208,7 +208,7 @@
     name: "a suspect's trial is not refused by itself",
     file: `${GATEWAY}/call_router.ts`,
     find:
-      "return endpoints.isOpen(state) && endpoints.restOf(state, now) === 0 &&",
+      "return endpoints.isInService(state) &&\n      endpoints.backoffOf(state, now) === 0 &&",
     replace: "return endpoints.accepts(state, now) &&",
   },
   {
--- a/playground/src/guards/terms_guards.ts
+++ b/playground/src/guards/terms_guards.ts
@@ -106,11 +106,11 @@
     point: REST,
     name: "an endpoint that asked for rest gets none of what is placed",
     file: `${GATEWAY}/endpoint_registry.ts`,
-    find: "this.restOf(state, now) === 0;",
+    find: "this.backoffOf(state, now) === 0;",
     replace: "now > 0;",
     also: [{
       file: `${GATEWAY}/call_router.ts`,
-      find: "endpoints.restOf(state, now) === 0 &&",
+      find: "endpoints.backoffOf(state, now) === 0 &&",
       replace: "",
     }],
   },
--- a/soak/src/guard_list.ts
+++ b/soak/src/guard_list.ts
@@ -25,15 +25,26 @@
     kinds: FAULT_KINDS,
     name: "what an attempt half received lives and dies with it",
     file: `${DAEMON_GATEWAY}/outbound_call.ts`,
-    find: "this.#passage = new EventPassage(",
+    find: "  readonly #cutter = new EventCutter();",
     replace:
-      "const kept = this.#exchange as unknown as { passage?: EventPassage };\n      this.#passage = kept.passage ??= new EventPassage(",
+      "  get #cutter(): EventCutter { return cutterOf(this.#exchange); }",
+    also: [{
+      file: `${DAEMON_GATEWAY}/outbound_call.ts`,
+      find: "/** One attempt under way. */",
+      replace: `const CUTTERS = new WeakMap<Exchange, EventCutter>();
+function cutterOf(exchange: Exchange): EventCutter {
+  const cutter = CUTTERS.get(exchange) ?? new EventCutter();
+  CUTTERS.set(exchange, cutter);
+  return cutter;
+}
+/** One attempt under way. */`,
+    }],
   },
   {
     point: POINT,
     kinds: FAULT_KINDS,
     name: "an answer that ends inside an event is lost",
-    file: `${DAEMON_GATEWAY}/event_stream_reader.ts`,
+    file: `${DAEMON_GATEWAY}/outbound_call.ts`,
     find: "if (this.#cutter.unfinished > 0) {",
     replace: "if (this.#cutter.unfinished < 0) {",
   },
@@ -136,8 +147,8 @@
     kinds: FAULT_KINDS,
     name: "a stream is framed by its entry",
     file: `${DAEMON_GATEWAY}/outbound_call.ts`,
-    find: 'headers: mode === "events" ? withoutLength(headers) : headers,',
-    replace: "headers,",
+    find: "headers: withoutLength(protocol.answerHeaders(this.#headers)),",
+    replace: "headers: protocol.answerHeaders(this.#headers),",
   },
   {
     point: POINT,
