--- a/playground/src/platform/__tests__/bundle.test.ts
+++ b/playground/src/platform/__tests__/bundle.test.ts
@@ -9,8 +9,8 @@
 const ROOT = fileURLToPath(new URL("../../../../", import.meta.url));
 const EXIT_USAGE = 2;
 
-// All tests passed, and the file that is deployed could not be built any more: a module of the gateway had
-// come to import parts of the HTTP library that the bundle leaves out.
+// Guards against a deployed bundle that cannot be built while all other tests pass: this happened when a
+// gateway module started to import parts of the HTTP library that the bundle leaves out.
 describe("the file that is deployed", () => {
   const folder = mkdtempSync(join(tmpdir(), "bundle-"));
   afterAll(() => rmSync(folder, { recursive: true }));
--- a/playground/src/platform/__tests__/endpoint_limits.test.ts
+++ b/playground/src/platform/__tests__/endpoint_limits.test.ts
@@ -6,112 +6,132 @@
   PlatformFleet,
   type StandInEndpoint,
   SteadyLoad,
-  THREE_OF_EACH,
+  THREE_ENDPOINTS_PER_SERVICE,
 } from "../index.ts";
 
 const ENTRIES = 4;
-const EVERY_MS = 25;
-/** A plain answer takes so long that no endpoint can serve all. */
-const ANSWER_MS = 150;
+const REQUEST_INTERVAL_MS = 25;
+/** Long enough that no single endpoint can serve all plain requests. */
+const ANSWER_DELAY_MS = 150;
 const WINDOW_MS = 4_000;
-/** Until a stated limit has to be kept. */
+/** Time after which a stated limit must be kept. */
 const SETTLE_MS = 1_500;
 const MEASURED_MS = 6_000;
-/** An endpoint bears its rate times this, and the slack, in one window. */
+/** In one window an endpoint may get its rate times this factor, plus the slack. */
 const OVERSHOOT = 1.5;
-const SLACK = 5;
+const SLACK_REQUESTS = 5;
 
-const mostAllowed = (perSecond: number): number =>
-  Math.floor(perSecond * OVERSHOOT * WINDOW_MS / 1_000 + SLACK);
+const maxPerWindow = (perSecond: number): number =>
+  Math.floor(perSecond * OVERSHOOT * WINDOW_MS / 1_000 + SLACK_REQUESTS);
 
-// Guards against endpoints that are given more than the limit that they state, by all entries together.
+// Guards against endpoints that get more requests from all entries together than the limit that they state.
 describe("endpoints that state a limit", () => {
-  const fleet = new PlatformFleet({ endpoints: THREE_OF_EACH });
-  const of = fleet.endpointsOf.bind(fleet);
-  const state = (endpoints: readonly StandInEndpoint[], limit?: string): void =>
+  const fleet = new PlatformFleet({ endpoints: THREE_ENDPOINTS_PER_SERVICE });
+  const endpointsWith = fleet.endpointsWithPrefix.bind(fleet);
+  const stateLimit = (
+    endpoints: readonly StandInEndpoint[],
+    limit?: string,
+  ): void =>
     endpoints.forEach((endpoint) =>
-      endpoint.stated = limit === undefined ? {} : { [HEADERS.limit]: limit }
+      endpoint.statedHeaders = limit === undefined
+        ? {}
+        : { [HEADERS.limit]: limit }
     );
-  /** Arrivals at an endpoint in the worst window, and altogether, while a load runs. */
+  /** Arrivals per endpoint while a load runs: in the busiest window and in total. */
   const measure = async (
     load: SteadyLoad,
     endpoints: readonly StandInEndpoint[],
-  ): Promise<{ most: number[]; sums: number[] }> => {
-    await load.during(SETTLE_MS);
+  ): Promise<{ peaks: number[]; totals: number[] }> => {
+    await load.runFor(SETTLE_MS);
     const from = performance.now();
-    await load.during(MEASURED_MS);
-    const seen = endpoints.map(({ arrivals }) =>
-      arrivals.filter((at) => at >= from)
+    await load.runFor(MEASURED_MS);
+    const measured = endpoints.map(({ arrivalTimes }) =>
+      arrivalTimes.filter((at) => at >= from)
     );
     return {
-      most: seen.map((arrivals) => mostWithin(arrivals, WINDOW_MS)),
-      sums: seen.map(({ length }) => length),
+      peaks: measured.map((arrivalTimes) =>
+        mostWithin(arrivalTimes, WINDOW_MS)
+      ),
+      totals: measured.map(({ length }) => length),
     };
   };
   const busiest = async (
     load: SteadyLoad,
     endpoints: readonly StandInEndpoint[],
   ): Promise<StandInEndpoint> => {
-    const before = endpoints.map(({ arrivals }) => arrivals.length);
-    await load.during(SETTLE_MS);
-    const grown = endpoints.map(({ arrivals }, index) =>
-      arrivals.length - before[index]!
+    const before = endpoints.map(({ arrivalTimes }) => arrivalTimes.length);
+    await load.runFor(SETTLE_MS);
+    const increases = endpoints.map(({ arrivalTimes }, index) =>
+      arrivalTimes.length - before[index]!
     );
-    return endpoints[grown.indexOf(Math.max(...grown))]!;
+    return endpoints[increases.indexOf(Math.max(...increases))]!;
   };
-  const begin = (name: string, path: string): SteadyLoad =>
-    new SteadyLoad(fleet.entries, { every: EVERY_MS, paths: [path], name });
+  const startLoad = (callPrefix: string, path: string): SteadyLoad =>
+    new SteadyLoad(fleet.entries, {
+      intervalMs: REQUEST_INTERVAL_MS,
+      paths: [path],
+      callPrefix,
+    });
   const refused = (results: readonly LoadResult[]): readonly LoadResult[] =>
     results.filter(({ status }) => status !== 200);
 
   beforeAll(async () => {
     await fleet.prepare();
-    of("p").forEach((endpoint) => endpoint.delay = ANSWER_MS);
+    endpointsWith("p").forEach((endpoint) =>
+      endpoint.delayMs = ANSWER_DELAY_MS
+    );
     await fleet.start(ENTRIES);
   });
   afterAll(() => fleet.close());
-  beforeEach(() => state(fleet.endpoints));
+  beforeEach(() => stateLimit(fleet.endpoints));
 
   describe.each([["plain", "/again/x", "p"], ["stream", "/stream/x", "e"]])(
     "for %s requests",
-    (name, path, kind) => {
-      it("get no more where one of three states it, lowers it and lifts it", async () => {
-        const load = begin(`one-${name}`, path);
-        const limited = await busiest(load, of(kind));
-        state([limited], "4");
+    (name, path, idPrefix) => {
+      it("get no more than it where one of three states, lowers and lifts a limit", async () => {
+        const load = startLoad(`one-${name}`, path);
+        const limited = await busiest(load, endpointsWith(idPrefix));
+        stateLimit([limited], "4");
         const first = await measure(load, [limited]);
-        state([limited], "1.2");
+        stateLimit([limited], "1.2");
         const lowered = await measure(load, [limited]);
-        state([limited]);
+        stateLimit([limited]);
         const lifted = await measure(load, [limited]);
-        const results = await load.end();
-        expect(first.most[0]).toBeLessThanOrEqual(mostAllowed(4));
-        expect(lowered.most[0]).toBeLessThanOrEqual(mostAllowed(1.2));
-        expect(first.sums[0]).toBeGreaterThan(MEASURED_MS / 1_000 * 4 / 2);
-        expect(lowered.sums[0]).toBeGreaterThan(MEASURED_MS / 1_000 * 1.2 / 2);
-        expect(lifted.sums[0]).toBeGreaterThan(MEASURED_MS / EVERY_MS / 6);
+        const results = await load.stop();
+        expect(first.peaks[0]).toBeLessThanOrEqual(maxPerWindow(4));
+        expect(lowered.peaks[0]).toBeLessThanOrEqual(maxPerWindow(1.2));
+        expect(first.totals[0]).toBeGreaterThan(MEASURED_MS / 1_000 * 4 / 2);
+        expect(lowered.totals[0]).toBeGreaterThan(
+          MEASURED_MS / 1_000 * 1.2 / 2,
+        );
+        expect(lifted.totals[0]).toBeGreaterThan(
+          MEASURED_MS / REQUEST_INTERVAL_MS / 6,
+        );
         expect(refused(results)).toEqual([]);
       });
 
-      it("get no more where all state it, and the rest is refused at once", async () => {
-        const endpoints = of(kind);
-        state(endpoints, "2.2");
-        const load = begin(`all-${name}`, path);
-        const { most, sums } = await measure(load, endpoints);
-        const results = await load.end();
-        for (const found of most) {
-          expect(found).toBeLessThanOrEqual(mostAllowed(2.2));
+      it("get no more than it where all state a limit, and further requests are refused at once", async () => {
+        const endpoints = endpointsWith(idPrefix);
+        stateLimit(endpoints, "2.2");
+        const load = startLoad(`all-${name}`, path);
+        const { peaks, totals } = await measure(load, endpoints);
+        const results = await load.stop();
+        for (const peak of peaks) {
+          expect(peak).toBeLessThanOrEqual(maxPerWindow(2.2));
         }
-        const sum = sums.reduce((total, one) => total + one, 0);
+        const sum = totals.reduce((total, one) => total + one, 0);
         expect(sum).toBeGreaterThan(MEASURED_MS / 1_000 * 6.6 / 2);
-        const turnedAway = refused(results);
-        expect(turnedAway.length).toBeGreaterThan(results.length / 3);
-        for (const { status, retryAfter } of turnedAway) {
+        const refusedResults = refused(results);
+        expect(refusedResults.length).toBeGreaterThan(results.length / 3);
+        for (const { status, retryAfterS } of refusedResults) {
           expect(status).toBe(503);
-          expect(retryAfter).toBeGreaterThan(0.3);
+          expect(retryAfterS).toBeGreaterThan(0.3);
         }
-        const waits = turnedAway.map(({ took }) => took).sort((a, b) => a - b);
-        expect(waits[Math.floor(waits.length / 2)]).toBeLessThan(500);
+        const durationsMs = refusedResults.map(({ durationMs }) => durationMs)
+          .sort((a, b) => a - b);
+        expect(durationsMs[Math.floor(durationsMs.length / 2)]).toBeLessThan(
+          500,
+        );
       });
     },
   );
--- a/playground/src/platform/__tests__/endpoint_rest.test.ts
+++ b/playground/src/platform/__tests__/endpoint_rest.test.ts
@@ -4,116 +4,135 @@
   PlatformFleet,
   type StandInEndpoint,
   SteadyLoad,
-  THREE_OF_EACH,
+  THREE_ENDPOINTS_PER_SERVICE,
 } from "../index.ts";
 
-const EVERY_MS = 33;
-/** A plain answer takes so long that no endpoint can serve all. */
-const ANSWER_MS = 150;
-const REST_S = 3;
-const REST_MS = 3_000;
-/** What was under way when the endpoint answered may still arrive for so long. */
-const CROSSING_MS = 500;
-const MOST_IN_REST = 2;
-const AFTER_MS = 5_000;
-/** Requests that fall on an endpoint in the first moment after its rest. */
-const MOST_AT_ONCE = 3;
-const MOMENT_MS = 250;
+const REQUEST_INTERVAL_MS = 33;
+/** Long enough that no single endpoint can serve all plain requests. */
+const ANSWER_DELAY_MS = 150;
+const BACKOFF_S = 3;
+const BACKOFF_MS = 3_000;
+/** Requests that were in flight when the endpoint refused may still arrive for this time. */
+const IN_FLIGHT_MS = 500;
+const MAX_DURING_BACKOFF = 2;
+const AFTER_BACKOFF_MS = 5_000;
+/** Most requests that an endpoint may get in the first `RETURN_WINDOW_MS` after its backoff. */
+const MAX_ON_RETURN = 3;
+const RETURN_WINDOW_MS = 250;
 
-// Guards against requests to endpoints that turned one away and asked for rest, and against leaving them idle.
+// Guards against requests to endpoints that refused one and asked for a backoff, and against leaving such endpoints
+// idle after it.
 describe("endpoints that want rest", () => {
-  const fleet = new PlatformFleet({ endpoints: THREE_OF_EACH });
-  const of = fleet.endpointsOf.bind(fleet);
-  const tire = (endpoint: StandInEndpoint): void => {
+  const fleet = new PlatformFleet({ endpoints: THREE_ENDPOINTS_PER_SERVICE });
+  const endpointsWith = fleet.endpointsWithPrefix.bind(fleet);
+  const startRefusing = (endpoint: StandInEndpoint): void => {
     endpoint.fault = "full";
-    endpoint.stated = { [HEADERS.retryAfter]: String(REST_S) };
+    endpoint.statedHeaders = { [HEADERS.retryAfter]: String(BACKOFF_S) };
   };
-  const recover = (endpoint: StandInEndpoint): void => {
+  const stopRefusing = (endpoint: StandInEndpoint): void => {
     endpoint.fault = "none";
-    endpoint.stated = {};
+    endpoint.statedHeaders = {};
   };
-  const within = (
-    { arrivals }: StandInEndpoint,
+  const arrivalsWithin = (
+    { arrivalTimes }: StandInEndpoint,
     from: number,
     to: number,
-  ): readonly number[] => arrivals.filter((at) => at >= from && at < to);
-  /** When an endpoint next turns a request away. */
-  const turnsAway = async (
+  ): readonly number[] => arrivalTimes.filter((at) => at >= from && at < to);
+  /** Waits for the next request to a refusing endpoint; resolves with its arrival time. */
+  const nextRefusalTime = async (
     load: SteadyLoad,
     endpoint: StandInEndpoint,
   ): Promise<number> => {
-    const before = endpoint.arrivals.length;
-    while (endpoint.arrivals.length === before) {
-      await load.during(5);
+    const before = endpoint.arrivalTimes.length;
+    while (endpoint.arrivalTimes.length === before) {
+      await load.runFor(5);
     }
-    return endpoint.arrivals[before]!;
+    return endpoint.arrivalTimes[before]!;
   };
 
   beforeAll(async () => {
     await fleet.prepare();
-    of("p").forEach((endpoint) => endpoint.delay = ANSWER_MS);
+    endpointsWith("p").forEach((endpoint) =>
+      endpoint.delayMs = ANSWER_DELAY_MS
+    );
     await fleet.start(1);
   });
   afterAll(() => fleet.close());
-  beforeEach(() => fleet.endpoints.forEach(recover));
+  beforeEach(() => fleet.endpoints.forEach(stopRefusing));
 
   describe.each([["plain", "/again/x", "p"], ["stream", "/stream/x", "e"]])(
     "for %s requests",
-    (name, path, kind) => {
-      const begin = (what: string): SteadyLoad =>
+    (name, path, idPrefix) => {
+      const startLoad = (scope: string): SteadyLoad =>
         new SteadyLoad(fleet.entries, {
-          every: EVERY_MS,
+          intervalMs: REQUEST_INTERVAL_MS,
           paths: [path],
-          name: `${what}-${name}`,
+          callPrefix: `${scope}-${name}`,
         });
 
-      it("get it, and work again afterwards, but not at once all that there is", async () => {
-        const load = begin("one");
-        await load.during(1_500);
-        const [tired] = [...of(kind)].sort((left, right) =>
-          right.arrivals.length - left.arrivals.length
+      it("get it, and requests afterwards, but not all of them at once", async () => {
+        const load = startLoad("one");
+        await load.runFor(1_500);
+        const [refusing] = [...endpointsWith(idPrefix)].sort((left, right) =>
+          right.arrivalTimes.length - left.arrivalTimes.length
         );
-        tire(tired!);
-        const at = await turnsAway(load, tired!);
-        await load.during(CROSSING_MS);
-        recover(tired!);
-        await load.during(REST_MS + AFTER_MS);
-        const results = await load.end();
-        const rest = within(tired!, at + CROSSING_MS, at + REST_MS);
-        const after = within(tired!, at + REST_MS, at + REST_MS + AFTER_MS);
-        expect(rest.length).toBeLessThanOrEqual(MOST_IN_REST);
-        expect(after.length).toBeGreaterThan(5);
-        const back = within(tired!, after[0]!, after[0]! + MOMENT_MS);
-        expect(back.length).toBeLessThanOrEqual(MOST_AT_ONCE);
+        startRefusing(refusing!);
+        const refusedAt = await nextRefusalTime(load, refusing!);
+        await load.runFor(IN_FLIGHT_MS);
+        stopRefusing(refusing!);
+        await load.runFor(BACKOFF_MS + AFTER_BACKOFF_MS);
+        const results = await load.stop();
+        const duringBackoff = arrivalsWithin(
+          refusing!,
+          refusedAt + IN_FLIGHT_MS,
+          refusedAt + BACKOFF_MS,
+        );
+        const afterBackoff = arrivalsWithin(
+          refusing!,
+          refusedAt + BACKOFF_MS,
+          refusedAt + BACKOFF_MS + AFTER_BACKOFF_MS,
+        );
+        expect(duringBackoff.length).toBeLessThanOrEqual(MAX_DURING_BACKOFF);
+        expect(afterBackoff.length).toBeGreaterThan(5);
+        const onReturn = arrivalsWithin(
+          refusing!,
+          afterBackoff[0]!,
+          afterBackoff[0]! + RETURN_WINDOW_MS,
+        );
+        expect(onReturn.length).toBeLessThanOrEqual(MAX_ON_RETURN);
         expect(results.filter(({ status }) => status !== 200)).toEqual([]);
       });
 
-      it("get it where all want it, and requests are refused at once until the first is back", async () => {
-        const endpoints = of(kind);
-        const load = begin("all");
-        await load.during(500);
-        endpoints.forEach(tire);
-        const times = await Promise.all(
-          endpoints.map((endpoint) => turnsAway(load, endpoint)),
+      it("get it where all ask for it, and requests are refused at once until the first is back", async () => {
+        const endpoints = endpointsWith(idPrefix);
+        const load = startLoad("all");
+        await load.runFor(500);
+        endpoints.forEach(startRefusing);
+        const refusalTimes = await Promise.all(
+          endpoints.map((endpoint) => nextRefusalTime(load, endpoint)),
         );
-        await load.during(CROSSING_MS);
+        await load.runFor(IN_FLIGHT_MS);
         const from = performance.now();
-        endpoints.forEach(recover);
-        const last = Math.max(...times);
-        await load.during(last + REST_MS - from + AFTER_MS);
-        const results = await load.end();
+        endpoints.forEach(stopRefusing);
+        const lastRefusal = Math.max(...refusalTimes);
+        await load.runFor(lastRefusal + BACKOFF_MS - from + AFTER_BACKOFF_MS);
+        const results = await load.stop();
         endpoints.forEach((endpoint, index) => {
-          const at = times[index]!;
-          const rest = within(endpoint, at + CROSSING_MS, at + REST_MS);
-          expect(rest.length).toBeLessThanOrEqual(MOST_IN_REST);
+          const refusedAt = refusalTimes[index]!;
+          const duringBackoff = arrivalsWithin(
+            endpoint,
+            refusedAt + IN_FLIGHT_MS,
+            refusedAt + BACKOFF_MS,
+          );
+          expect(duringBackoff.length).toBeLessThanOrEqual(MAX_DURING_BACKOFF);
         });
         const refused = results.filter(({ status }) => status !== 200);
         expect(refused.length).toBeGreaterThan(20);
-        for (const { status, retryAfter, took } of refused) {
+        for (const { status, retryAfterS, durationMs } of refused) {
           expect(status).toBe(503);
-          expect(retryAfter).toBeGreaterThan(0);
-          expect(retryAfter).toBeLessThan(2 * REST_S);
-          expect(took).toBeLessThan(1_000);
+          expect(retryAfterS).toBeGreaterThan(0);
+          expect(retryAfterS).toBeLessThan(2 * BACKOFF_S);
+          expect(durationMs).toBeLessThan(1_000);
         }
         expect(results.slice(-30).map(({ status }) => status))
           .toEqual(new Array(30).fill(200));
--- a/playground/src/platform/__tests__/keys_path.test.ts
+++ b/playground/src/platform/__tests__/keys_path.test.ts
@@ -8,10 +8,10 @@
   ROUTES,
 } from "../index.ts";
 
-const LIFETIME_MS = 3_000;
+const KEY_LIFETIME_MS = 3_000;
 const KEYS = ["k-clinic-51c7", "k-lawyers-a09f", "k-later-77d2"] as const;
 const [CLINIC, LAWYERS, LATER] = KEYS;
-const PUBLIC = route("open", {
+const PUBLIC_ROUTE = route("open", {
   kind: "idempotent",
   service: "plain",
   public: true,
@@ -23,13 +23,13 @@
 
 describe("customers by key, over real processes", () => {
   const fleet = new PlatformFleet({
-    bounds: `key_lifetime_ms = ${LIFETIME_MS}\nstrict_keys = true\n`,
+    bounds: `key_lifetime_ms = ${KEY_LIFETIME_MS}\nstrict_keys = true\n`,
   });
-  let calls = 0;
+  let callCount = 0;
 
-  function publish(clinic: readonly string[]): void {
-    fleet.publishDocument([...ROUTES, PUBLIC], [
-      customer("clinic", clinic),
+  function publish(clinicKeys: readonly string[]): void {
+    fleet.publishDocument([...ROUTES, PUBLIC_ROUTE], [
+      customer("clinic", clinicKeys),
       customer("lawyers", [LAWYERS]),
       customer("scanner", ["k-scanner-0b1e"], {
         unit: "request",
@@ -47,7 +47,7 @@
       headers?: Record<string, string>;
     },
   ): Promise<{ call: string; status: number; retryAfter: number }> {
-    const call = `key-${++calls}`;
+    const call = `key-${++callCount}`;
     const answer = await callPlatform(fleet.entries[entry]!.callers, {
       path,
       call,
@@ -57,8 +57,10 @@
     return { call, status: answer.status, retryAfter };
   }
 
-  /** What an endpoint was told of a call, `undefined` where none got it. */
-  function seenOf(call: string): NodeJS.Dict<string | string[]> | undefined {
+  /** Request headers that an endpoint received for a call, `undefined` if no endpoint received it. */
+  function receivedHeaders(
+    call: string,
+  ): NodeJS.Dict<string | string[]> | undefined {
     return fleet.endpoints.flatMap(({ requests }) => requests)
       .find(({ headers }) => headers[HEADERS.callId] === call)?.headers;
   }
@@ -70,42 +72,45 @@
   });
   afterAll(() => fleet.close());
 
-  it("tells endpoints the name of the key's customer, and nothing of the key", async () => {
+  it("passes the name of the key's customer to endpoints, but not the key", async () => {
     const { call, status } = await send({
       key: CLINIC,
       headers: { [HEADERS.customer]: "lawyers" },
     });
     expect(status).toBe(200);
-    expect(seenOf(call)).toMatchObject({ [HEADERS.customer]: "clinic" });
-    expect(JSON.stringify(seenOf(call))).not.toContain(CLINIC);
+    expect(receivedHeaders(call)).toMatchObject({
+      [HEADERS.customer]: "clinic",
+    });
+    expect(JSON.stringify(receivedHeaders(call))).not.toContain(CLINIC);
   });
 
-  it("refuses a key that nobody has, and a request without one", async () => {
+  it("refuses an unknown key and a request without a key", async () => {
     expect((await send({ key: "k-nobody" })).status).toBe(401);
     expect((await send({})).status).toBe(401);
   });
 
-  it("asks for no key where the route is public", async () => {
+  it("requires no key where the route is public", async () => {
     const { call, status } = await send({ path: "/open/x" });
     expect(status).toBe(200);
-    expect(seenOf(call)?.[HEADERS.customer]).toBeUndefined();
+    expect(receivedHeaders(call)?.[HEADERS.customer]).toBeUndefined();
   });
 
-  it("limits a customer over all entries, and says when to come back", async () => {
+  it("limits a customer across all entries, and states when to retry", async () => {
     const answers = await Promise.all(
       Array.from(
         { length: 24 },
         (_, index) => send({ key: "k-scanner-0b1e", entry: index % 3 }),
       ),
     );
-    const over = answers.filter(({ status }) => status === 429);
-    expect(over.length).toBeGreaterThan(12);
-    expect(over.every(({ retryAfter }) => retryAfter > 0)).toBe(true);
-    expect(over.every(({ call }) => seenOf(call) === undefined)).toBe(true);
+    const overLimit = answers.filter(({ status }) => status === 429);
+    expect(overLimit.length).toBeGreaterThan(12);
+    expect(overLimit.every(({ retryAfter }) => retryAfter > 0)).toBe(true);
+    expect(overLimit.every(({ call }) => receivedHeaders(call) === undefined))
+      .toBe(true);
     expect((await send({ key: LAWYERS })).status).toBe(200);
   });
 
-  it("takes a key as soon as it is added, and none that is taken away", async () => {
+  it("accepts a key once it is added, and rejects it once it is removed", async () => {
     publish([LATER]);
     expect((await send({ key: LATER, entry: 1 })).status).toBe(200);
     await eventually(async () =>
@@ -113,38 +118,38 @@
     );
   });
 
-  // An entry that was stopped for seconds took the key of its old document: it had read it just now, by its
-  // own count.
-  it("takes no key that was taken away while its process stood still", async () => {
-    const { process: stopped } = fleet.entries[1]!;
-    stopped.kill("SIGSTOP");
+  // Guards against an entry that accepts a removed key after its process was paused for seconds: by its own
+  // clock it had only just read the old document.
+  it("rejects a key that was removed while the process was paused", async () => {
+    const { process: paused } = fleet.entries[1]!;
+    paused.kill("SIGSTOP");
     publish([CLINIC]);
-    await pause(LIFETIME_MS + 200);
-    const late = Promise.all(
+    await pause(KEY_LIFETIME_MS + 200);
+    const lateRequests = Promise.all(
       Array.from({ length: 5 }, () => send({ key: LATER, entry: 1 })),
     );
     await pause(50);
-    stopped.kill("SIGCONT");
-    const answers = await late;
-    expect(answers.map(({ call }) => seenOf(call))).toEqual(
+    paused.kill("SIGCONT");
+    const answers = await lateRequests;
+    expect(answers.map(({ call }) => receivedHeaders(call))).toEqual(
       answers.map(() => undefined),
     );
     expect((await send({ key: CLINIC, entry: 1 })).status).toBe(200);
   });
 
-  it("refuses keys once the store has been silent for their lifetime, and takes them again", async () => {
+  it("refuses keys once the store has been silent for their lifetime, and accepts them when it is back", async () => {
     fleet.store.fault = "silent";
-    await pause(LIFETIME_MS + 400);
+    await pause(KEY_LIFETIME_MS + 400);
     const { status, retryAfter, call } = await send({ key: CLINIC });
     expect(status).toBe(503);
     expect(retryAfter).toBeGreaterThan(0);
-    expect(seenOf(call)).toBeUndefined();
+    expect(receivedHeaders(call)).toBeUndefined();
     expect((await send({ path: "/open/x" })).status).toBe(200);
     fleet.store.fault = "none";
     await eventually(async () => (await send({ key: CLINIC })).status === 200);
   });
 
-  it("writes no key into any line, metric or status", async () => {
+  it("writes no key to any log line, metric or status", async () => {
     const pages = await Promise.all(
       fleet.entries.flatMap(({ control }) =>
         ["/metrics", "/trpc/status"].map(async (path) =>
@@ -161,6 +166,6 @@
   });
 });
 
-function pause(time: number): Promise<void> {
-  return new Promise((resolve) => setTimeout(resolve, time));
+function pause(durationMs: number): Promise<void> {
+  return new Promise((resolve) => setTimeout(resolve, durationMs));
 }
--- a/playground/src/platform/__tests__/platform_path.test.ts
+++ b/playground/src/platform/__tests__/platform_path.test.ts
@@ -29,86 +29,95 @@
     fleet.endpoints.forEach((endpoint) => endpoint.fault = "none");
   });
 
-  const first = (): string => fleet.entries[0]!.callers;
-  const runsOf = (call: string): number =>
-    fleet.endpoints.flatMap(({ runs }) => runs).filter((run) => run === call)
+  const firstEntryAddress = (): string => fleet.entries[0]!.callers;
+  const runCount = (call: string): number =>
+    fleet.endpoints.flatMap(({ executedCalls }) => executedCalls).filter((
+      run,
+    ) => run === call)
       .length;
 
   describe("a request", () => {
     it("gets the endpoint's answer with its seal", async () => {
-      const answer = await callPlatform(first(), {
+      const answer = await callPlatform(firstEntryAddress(), {
         path: "/once/a?b=c",
         call: "c1",
         body: "badge",
       });
       expect(answer.status).toBe(200);
-      expect(answer.body).toBe(StandInEndpoint.bodyOf("c1"));
+      expect(answer.body).toBe(StandInEndpoint.responseBody("c1"));
       expect(answer.headers[HEADERS.seal]).toBe("seal-c1");
-      const seen = fleet.endpoints.flatMap(({ requests }) => requests).find((
-        { headers },
-      ) => headers[HEADERS.callId] === "c1");
-      expect(seen?.url).toBe("/once/a?b=c");
-      expect(seen?.method).toBe("POST");
-      expect(Number(seen?.headers[HEADERS.timeLeft])).toBeLessThanOrEqual(
+      const received = fleet.endpoints.flatMap(({ requests }) => requests).find(
+        (
+          { headers },
+        ) => headers[HEADERS.callId] === "c1",
+      );
+      expect(received?.url).toBe("/once/a?b=c");
+      expect(received?.method).toBe("POST");
+      expect(Number(received?.headers[HEADERS.timeLeft])).toBeLessThanOrEqual(
         3_000,
       );
     });
 
-    it("has no header of its caller that only the system may set", async () => {
-      await callPlatform(first(), {
+    it("does not pass on caller headers that only the system may set", async () => {
+      await callPlatform(firstEntryAddress(), {
         path: "/again/x",
         call: "c2",
         headers: { "kv-from": "1.2.3.4:5/6", "x-cache-hold": "h" },
       });
-      const seen = fleet.endpoints.flatMap(({ requests }) => requests).find((
-        { headers },
-      ) => headers[HEADERS.callId] === "c2");
-      expect(seen?.headers["kv-from"]).toBeUndefined();
-      expect(seen?.headers["x-cache-hold"]).toBeUndefined();
+      const received = fleet.endpoints.flatMap(({ requests }) => requests).find(
+        (
+          { headers },
+        ) => headers[HEADERS.callId] === "c2",
+      );
+      expect(received?.headers["kv-from"]).toBeUndefined();
+      expect(received?.headers["x-cache-hold"]).toBeUndefined();
     });
 
-    it("that no route takes is a 404", async () => {
-      const answer = await callPlatform(first(), { path: "/no/x", call: "c3" });
+    it("that matches no route gets a 404", async () => {
+      const answer = await callPlatform(firstEntryAddress(), {
+        path: "/no/x",
+        call: "c3",
+      });
       expect(answer.status).toBe(404);
     });
 
-    it("that is too large is a 413", async () => {
-      const answer = await callPlatform(first(), {
+    it("that is too large gets a 413", async () => {
+      const answer = await callPlatform(firstEntryAddress(), {
         path: "/once/x",
         call: "c4",
         body: "x".repeat(70_000),
       });
       expect(answer.status).toBe(413);
-      expect(runsOf("c4")).toBe(0);
+      expect(runCount("c4")).toBe(0);
     });
 
-    it("that every endpoint turns away is a 503 with a time to come back", async () => {
+    it("that every endpoint refuses gets a 503 with a retry time", async () => {
       fleet.endpoints.forEach((endpoint) => endpoint.fault = "full");
-      const answer = await callPlatform(first(), {
+      const answer = await callPlatform(firstEntryAddress(), {
         path: "/once/x",
         call: "c5",
         body: "badge",
       });
       expect(answer.status).toBe(503);
       expect(Number(answer.headers[HEADERS.retryAfter])).toBeGreaterThan(0);
-      expect(runsOf("c5")).toBe(0);
+      expect(runCount("c5")).toBe(0);
     });
 
-    it("that may have run is a 502 and runs once", async () => {
+    it("that may have run gets a 502 and runs once", async () => {
       fleet.endpoints.forEach((endpoint) => endpoint.fault = "breaks");
-      const answer = await callPlatform(first(), {
+      const answer = await callPlatform(firstEntryAddress(), {
         path: "/once/x",
         call: "c6",
         body: "badge",
       });
       expect(answer.status).toBe(502);
-      expect(runsOf("c6")).toBe(1);
+      expect(runCount("c6")).toBe(1);
     });
 
-    it("that may repeat is answered by another endpoint", async () => {
+    it("that may be repeated is answered by another endpoint", async () => {
       fleet.endpoints[0]!.fault = "breaks";
       for (let index = 0; index < 6; index++) {
-        const answer = await callPlatform(first(), {
+        const answer = await callPlatform(firstEntryAddress(), {
           path: "/again/x",
           call: `c7-${index}`,
         });
@@ -119,7 +128,7 @@
 
   describe("a stream", () => {
     it("passes through byte for byte", async () => {
-      const answer = await callPlatform(first(), {
+      const answer = await callPlatform(firstEntryAddress(), {
         path: "/stream/x",
         call: "s1",
         tokens: "100,5",
@@ -129,10 +138,10 @@
       expect(answer.body).toBe(EVENTS);
     });
 
-    it("goes on at another engine where its route allows it", async () => {
+    it("continues at another engine where its route allows it", async () => {
       fleet.endpoints[2]!.fault = "torn";
       for (let index = 0; index < 4; index++) {
-        const answer = await callPlatform(first(), {
+        const answer = await callPlatform(firstEntryAddress(), {
           path: "/resume/x",
           call: `s2-${index}`,
           tokens: "100,5",
@@ -142,10 +151,10 @@
       }
     });
 
-    it("breaks off visibly where it does not", async () => {
+    it("is broken off visibly where its route does not allow it", async () => {
       fleet.endpoints[2]!.fault = "torn";
       fleet.endpoints[3]!.fault = "torn";
-      await expect(callPlatform(first(), {
+      await expect(callPlatform(firstEntryAddress(), {
         path: "/stream/x",
         call: "s3",
         tokens: "100,5",
@@ -155,7 +164,7 @@
   });
 
   describe("the operators' document", () => {
-    it("is in force at every entry, and a removed route is gone", async () => {
+    it("takes effect at every entry, and removes routes that it no longer contains", async () => {
       fleet.publishDocument([
         ...ROUTES,
         route("extra", { kind: "idempotent", service: "plain" }),
@@ -183,13 +192,16 @@
   });
 
   describe("an endpoint that leaves", () => {
-    it("gets nothing more", async () => {
+    it("gets no more requests", async () => {
       const [leaving] = fleet.endpoints;
       fleet.store.remove(`${STORE_KEYS.endpoint}${leaving!.id}`);
       await eventually(async () => {
         const before = leaving!.requests.length;
         for (let index = 0; index < 4; index++) {
-          await callPlatform(first(), { path: "/again/x", call: "e1" });
+          await callPlatform(firstEntryAddress(), {
+            path: "/again/x",
+            call: "e1",
+          });
         }
         return leaving!.requests.length === before;
       });
@@ -197,12 +209,12 @@
   });
 
   /**
-   * Symptom: entries end when their settings are changed.
-   * Sequence: the settings file is written anew, the process gets SIGHUP; then the same with a fault.
-   * Cause: a process without a listener for that signal is ended by it.
+   * Symptom: entries exit when their settings change.
+   * Sequence: the settings file is rewritten and the process gets SIGHUP; then the same with faulty settings.
+   * Cause: SIGHUP terminates a process that has no listener for it.
    */
   describe("changed settings", () => {
-    it("are read without a break, and faulty ones change nothing", async () => {
+    it("are read without interruption, and faulty ones change nothing", async () => {
       const { settings, process: child, callers } = fleet.entries[1]!;
       const text = readFileSync(settings, "utf8");
       for (const changed of [text.replace("stop_s = 8", "stop_s = 7"), "["]) {
@@ -228,13 +240,13 @@
       const path = fileURLToPath(
         new URL(`../../../../${program}`, import.meta.url),
       );
-      const done = spawnSync(process.execPath, [path, ...args], {
+      const result = spawnSync(process.execPath, [path, ...args], {
         encoding: "utf8",
       });
-      return { code: done.status, text: done.stdout + done.stderr };
+      return { code: result.status, text: result.stdout + result.stderr };
     };
 
-    it("see what an entry believes", () => {
+    it("see the state of an entry", () => {
       const url = `http://${fleet.entries[0]!.control}`;
       const { code, text } = run("packages/cli/dist/main.js", "gateway", url);
       expect(text).toContain("entry-1 (a-1, a), ready");
@@ -246,7 +258,7 @@
         .toBe(1);
     });
 
-    it("are told that a request is not held back", () => {
+    it("are told that a request is not held", () => {
       const url = `http://${fleet.entries[0]!.control}`;
       const cli = "packages/cli/dist/main.js";
       const { code, text } = run(cli, "release", url, "no-such-digest");
@@ -254,7 +266,7 @@
       expect(code).toBe(1);
     });
 
-    it("check settings, and are told what is wrong", () => {
+    it("check settings, and see what is wrong", () => {
       const { settings } = fleet.entries[0]!;
       const program = "platform/dist/main.js";
       expect(run(program, "--check", settings).code).toBe(0);
@@ -270,10 +282,10 @@
   });
 
   describe("a stopping entry", () => {
-    it("leaves the list, answers what it has, and ends", async () => {
+    it("leaves the directory, answers its open connections, and exits", async () => {
       const [stopping, other] = [fleet.entries[2]!, fleet.entries[0]!];
       await eventually(async () =>
-        (await fleet.named(other, "kiosk.example")).length === 3
+        (await fleet.listedAddresses(other, "kiosk.example")).length === 3
       );
       const dispatcher = new Agent({
         connections: 1,
@@ -288,7 +300,7 @@
       expect((await call("t1")).status).toBe(200);
       stopping.process.kill("SIGTERM");
       await eventually(async () =>
-        (await fleet.named(other, "kiosk.example")).length === 2
+        (await fleet.listedAddresses(other, "kiosk.example")).length === 2
       );
       expect((await call("t2")).status).toBe(200);
       const [code] = await once(stopping.process, "exit");
--- a/playground/src/platform/__tests__/stalls.test.ts
+++ b/playground/src/platform/__tests__/stalls.test.ts
@@ -11,25 +11,25 @@
 } from "../index.ts";
 
 const STREAMS = 64;
-const PACE_MS = 50;
-/** Longer than a stream may be silent before it is sent elsewhere. */
+const EVENT_INTERVAL_MS = 50;
+/** Longer than a stream may be silent before the entry sends it to another endpoint. */
 const PAUSES_MS = [1_700, 2_400, 1_700, 1_700];
-const BETWEEN_MS = 100;
-/** Of each second of a machine that is busy the entry gets this much. */
-const TURN_MS = 5;
-const SECOND_MS = 1_000;
-const TURNS = 4;
-const TIME_MS = 20_000;
-/** A plain answer comes well within its caller's time, and the entry goes on after that. */
-const ANSWER_MS = 100;
-const SHORT_TIME_MS = 500;
-const BEYOND_MS = 800;
-const TRIES = 3;
+const BETWEEN_PAUSES_MS = 100;
+/** Time that the entry runs in each `SLICE_PERIOD_MS`, as on a busy machine. */
+const RUN_SLICE_MS = 5;
+const SLICE_PERIOD_MS = 1_000;
+const SLICES = 4;
+const CALLER_TIMEOUT_MS = 20_000;
+/** A plain answer comes well within the caller's timeout; the paused entry resumes only after the timeout. */
+const ANSWER_DELAY_MS = 100;
+const SHORT_CALLER_TIMEOUT_MS = 500;
+const PAST_TIMEOUT_MS = 800;
+const REPEATS = 3;
 
-// An entry was stopped for 1.7 to 2.4 s while 64 streams went through it, and went on. All bytes of its
-// endpoints lay in its sockets by then, but its timer came first and judged by a clock that had run on:
-// "Endpoint is silent." for one stream after another, and a second run of them at another endpoint. Which
-// comes first, timer or sockets, depends on where the stop hits, so it is stopped four times.
+// Guards against second runs of streams whose entry was paused: after pauses of 1.7 to 2.4 s with 64 streams
+// open, all bytes were waiting in the entry's sockets, but its silence timer fired first. It logged "Endpoint
+// is silent." for one stream after another and ran them again at another endpoint. Whether timers or sockets
+// come first depends on the moment of the pause, so the entry is paused four times.
 describe("an entry that stands still with streams under way", () => {
   const fleet = new PlatformFleet();
   const dispatcher = new Agent({ connections: STREAMS });
@@ -42,13 +42,13 @@
         service: "pool",
         attempts: 2,
         resumable: true,
-        timeout_ms: TIME_MS,
+        timeout_ms: CALLER_TIMEOUT_MS,
       }),
       route("once", { kind: "non_idempotent", service: "plain", attempts: 1 }),
     ]);
     fleet.endpoints.forEach((endpoint) => {
-      endpoint.pace = PACE_MS;
-      endpoint.delay = ANSWER_MS;
+      endpoint.eventIntervalMs = EVENT_INTERVAL_MS;
+      endpoint.delayMs = ANSWER_DELAY_MS;
     });
     await fleet.start(1);
   });
@@ -57,79 +57,79 @@
     await fleet.close();
   });
 
-  const stream = async (call: string): Promise<string> => {
+  const readStream = async (call: string): Promise<string> => {
     const { body } = await callPlatform(fleet.entries[0]!.callers, {
       path: "/resume/x",
       call,
       tokens: "100,5",
       body: "q",
       dispatcher,
-      headers: { [HEADERS.timeLeft]: String(TIME_MS) },
+      headers: { [HEADERS.timeLeft]: String(CALLER_TIMEOUT_MS) },
     });
     return body;
   };
-  const runs = (): string[] =>
-    fleet.endpoints.flatMap((endpoint) => endpoint.runs);
-  const pause = async (time: number): Promise<void> => {
+  const allRuns = (): string[] =>
+    fleet.endpoints.flatMap((endpoint) => endpoint.executedCalls);
+  const pause = async (durationMs: number): Promise<void> => {
     const { process } = fleet.entries[0]!;
     process.kill("SIGSTOP");
-    await wait(time);
+    await wait(durationMs);
     process.kill("SIGCONT");
   };
-  const streams = async (
+  const expectSingleRuns = async (
     name: string,
-    { events, trouble }: { events: number; trouble: () => Promise<void> },
+    { events, disturb }: { events: number; disturb: () => Promise<void> },
   ): Promise<void> => {
-    fleet.endpoints.forEach((endpoint) => endpoint.events = events);
+    fleet.endpoints.forEach((endpoint) => endpoint.eventCount = events);
     const calls = Array.from({ length: STREAMS }, (_, at) => `${name}-${at}`);
-    const bodies = Promise.all(calls.map(stream));
+    const bodies = Promise.all(calls.map(readStream));
     const ran = (): string[] =>
-      runs().filter((call) => call.startsWith(`${name}-`)).sort();
+      allRuns().filter((call) => call.startsWith(`${name}-`)).sort();
     await eventually(() => ran().length === STREAMS);
-    await trouble();
+    await disturb();
     expect(new Set(await bodies)).toEqual(
-      new Set([StandInEndpoint.streamOf(events)]),
+      new Set([StandInEndpoint.streamBody(events)]),
     );
     expect(ran()).toEqual([...calls].sort());
   };
 
-  it("has no stream run twice after it was stopped", () =>
-    streams("stopped", {
+  it("runs no stream twice after pauses", () =>
+    expectSingleRuns("stopped", {
       events: 165,
-      trouble: async () => {
-        for (const time of PAUSES_MS) {
-          await pause(time);
-          await wait(BETWEEN_MS);
+      disturb: async () => {
+        for (const durationMs of PAUSES_MS) {
+          await pause(durationMs);
+          await wait(BETWEEN_PAUSES_MS);
         }
       },
     }));
 
-  it("has no stream run twice while it gets a short turn each second", () =>
-    streams("turns", {
+  it("runs no stream twice while it runs for a few milliseconds each second", () =>
+    expectSingleRuns("turns", {
       events: 85,
-      trouble: async () => {
-        for (let turn = 0; turn < TURNS; turn++) {
-          await pause(SECOND_MS - TURN_MS);
-          await wait(TURN_MS);
+      disturb: async () => {
+        for (let slice = 0; slice < SLICES; slice++) {
+          await pause(SLICE_PERIOD_MS - RUN_SLICE_MS);
+          await wait(RUN_SLICE_MS);
         }
       },
     }));
 
-  // The timer came first here too, and said that the caller's time was over: a call that had run was a 504.
-  it("delivers an answer that came while it stood still", async () => {
+  // Guards against a 504 for a call that had run: the caller's timeout fired before the answer was read.
+  it("delivers an answer that came while it was paused", async () => {
     const statuses: number[] = [];
-    for (let at = 0; at < TRIES; at++) {
+    for (let at = 0; at < REPEATS; at++) {
       const call = `late-${at}`;
       const answer = callPlatform(fleet.entries[0]!.callers, {
         path: "/once/x",
         call,
         body: "badge",
-        headers: { [HEADERS.timeLeft]: String(SHORT_TIME_MS) },
+        headers: { [HEADERS.timeLeft]: String(SHORT_CALLER_TIMEOUT_MS) },
       });
-      await eventually(() => runs().includes(call));
-      await pause(BEYOND_MS);
+      await eventually(() => allRuns().includes(call));
+      await pause(PAST_TIMEOUT_MS);
       statuses.push((await answer).status);
     }
-    expect(statuses).toEqual(Array(TRIES).fill(200));
+    expect(statuses).toEqual(Array(REPEATS).fill(200));
   });
 });
--- a/playground/src/platform/__tests__/store_restored_series.test.ts
+++ b/playground/src/platform/__tests__/store_restored_series.test.ts
@@ -5,11 +5,12 @@
 
 const ENTRIES = 3;
 const SETTLE_MS = 1_500;
-/** Within this an acknowledged change is in force. */
-const BOUND_MS = 4_000;
-const STORM_PAUSE_MS = 50;
+/** An acknowledged change must take effect within this time. */
+const PROPAGATION_LIMIT_MS = 4_000;
+const CHANGE_INTERVAL_MS = 50;
 
-// Guards against changes that are missed where a restore meets another one, a storm of changes, or a missing epoch.
+// Guards against changes that are missed when a restore coincides with another restore, with frequent changes or
+// with a missing epoch.
 describe("a store that is restored", () => {
   const fleet = new PlatformFleet();
   const { store } = fleet;
@@ -22,9 +23,9 @@
       route(`added-${version}`, { kind: "idempotent", service: "plain" }),
     ]);
   };
-  const beat = (times = 1): void => {
-    for (let beats = 0; beats < times; beats++) {
-      fleet.beat("i-p1");
+  const refreshRecord = (times = 1): void => {
+    for (let written = 0; written < times; written++) {
+      fleet.refreshRecord("i-p1");
     }
   };
   const statuses = (): Promise<GatewayStatus[]> =>
@@ -35,10 +36,10 @@
     );
   const versions = async (): Promise<number[]> =>
     (await statuses()).map(({ documentVersion }) => documentVersion);
-  /** Loses some records, and the counter is level again after as many changes. */
-  const lose = async (times: number): Promise<StoreCopy> => {
+  /** Writes changes after a copy, which a restore of that copy loses; as many new changes reach the same revision. */
+  const writeChangesToLose = async (times: number): Promise<StoreCopy> => {
     const copy = store.copy();
-    beat(times);
+    refreshRecord(times);
     await wait(SETTLE_MS);
     return copy;
   };
@@ -49,42 +50,42 @@
   });
   afterAll(() => fleet.close());
   beforeEach(() => {
-    store.statedEpoch = String;
+    store.formatEpoch = String;
   });
 
-  it("twice in a row, is not read over and over", async () => {
-    const copy = await lose(1);
-    const before = store.wholeReads;
+  it("twice in a row, is not read repeatedly", async () => {
+    const copy = await writeChangesToLose(1);
+    const before = store.fullReads;
     store.restore(copy);
     store.restore(copy);
     publish();
-    await wait(BOUND_MS);
+    await wait(PROPAGATION_LIMIT_MS);
     expect(await versions()).toEqual(Array(ENTRIES).fill(version));
-    expect(store.wholeReads - before).toBeLessThanOrEqual(2 * ENTRIES);
+    expect(store.fullReads - before).toBeLessThanOrEqual(2 * ENTRIES);
   });
 
-  it("in a storm of changes, is followed through it", async () => {
-    const copy = await lose(4);
-    const storm = setInterval(publish, STORM_PAUSE_MS);
+  it("during frequent changes, is followed throughout", async () => {
+    const copy = await writeChangesToLose(4);
+    const changeTimer = setInterval(publish, CHANGE_INTERVAL_MS);
     await wait(500);
     store.restore(copy);
     await wait(SETTLE_MS);
-    clearInterval(storm);
-    await wait(BOUND_MS);
+    clearInterval(changeTimer);
+    await wait(PROPAGATION_LIMIT_MS);
     expect(await versions()).toEqual(Array(ENTRIES).fill(version));
   });
 
-  it("and is calm for long, is read on from where it stands", async () => {
-    const copy = await lose(2);
+  it("and does not change for long, is read on from its current revision", async () => {
+    const copy = await writeChangesToLose(2);
     const before = store.calls;
     store.restore(copy);
-    await wait(2 * BOUND_MS);
+    await wait(2 * PROPAGATION_LIMIT_MS);
     const calls = store.calls - before;
     publish();
-    beat();
-    await wait(BOUND_MS);
+    refreshRecord();
+    await wait(PROPAGATION_LIMIT_MS);
     expect(await versions()).toEqual(Array(ENTRIES).fill(version));
-    // A loop of refused reads and whole ones would be one of each every 1.2 s.
+    // A loop of rejected watches and full reads would make one of each every 1.2 s.
     expect(calls).toBeLessThan(ENTRIES * 8);
   });
 
@@ -93,15 +94,15 @@
     ["no number", () => "anew"],
     ["a lower epoch", (epoch: number) => String(100 - epoch)],
   ])(
-    "and states %s, is read as far as its counter tells",
+    "and states %s, is followed by its revision alone",
     async (_name, stated) => {
-      const copy = await lose(3);
-      store.statedEpoch = stated;
+      const copy = await writeChangesToLose(3);
+      store.formatEpoch = stated;
       store.restore(copy);
       publish();
-      await wait(BOUND_MS);
+      await wait(PROPAGATION_LIMIT_MS);
       publish();
-      await wait(BOUND_MS);
+      await wait(PROPAGATION_LIMIT_MS);
       expect(await versions()).toEqual(Array(ENTRIES).fill(version));
     },
   );
--- a/playground/src/platform/__tests__/store_source.test.ts
+++ b/playground/src/platform/__tests__/store_source.test.ts
@@ -3,14 +3,14 @@
 import { HEADERS, STORE_KEYS, StoreSource } from "@sassafrasstep/platform";
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
 import { StandInStore, type StoreFault } from "../index.ts";
-import { closeAtOnce, listenOnLoopback } from "../loopback.ts";
+import { forceClose, listenOnLoopback } from "../loopback.ts";
 
-/** For reads that have to fail: they end with it. */
-const SHORT = milliseconds(100);
-/** For reads that have to succeed: on a busy machine the first one alone takes over 100 ms. */
-const TIMEOUT = milliseconds(10_000);
-const STALL_MS = 1_300;
-const ENDPOINT = {
+/** For reads that have to fail: they take this long. */
+const SHORT_TIMEOUT_MS = milliseconds(100);
+/** For reads that have to succeed: on a busy machine the first read alone takes over 100 ms. */
+const TIMEOUT_MS = milliseconds(10_000);
+const BLOCKED_MS = 1_300;
+const ENDPOINT_RECORD = {
   service: "s",
   address: "1.2.3.4:5",
   zone: "a-1",
@@ -24,12 +24,15 @@
 describe("the store's reader", () => {
   let store: StandInStore;
   let source: StoreSource;
-  const notes: string[] = [];
+  const messages: string[] = [];
 
   beforeEach(async () => {
     store = new StandInStore();
-    notes.length = 0;
-    source = new StoreSource(await store.listen(), (text) => notes.push(text));
+    messages.length = 0;
+    source = new StoreSource(
+      await store.listen(),
+      (text) => messages.push(text),
+    );
   });
   afterEach(async () => {
     await source.close();
@@ -38,39 +41,39 @@
 
   it("reads all pages", async () => {
     for (let index = 0; index < 8; index++) {
-      store.put(`${STORE_KEYS.endpoint}i-${index}`, ENDPOINT);
+      store.put(`${STORE_KEYS.endpoint}i-${index}`, ENDPOINT_RECORD);
     }
     store.put(`${STORE_KEYS.evacuation}a-1`, {});
-    const snapshot = await source.snapshot(TIMEOUT);
+    const snapshot = await source.snapshot(TIMEOUT_MS);
     expect(snapshot.endpoints.length).toBe(8);
     expect(snapshot.evacuated).toEqual(["a-1"]);
     expect(snapshot.document).toBeUndefined();
   });
 
-  // Entries on slow links went by a document of long before, and those that had just started had none at
-  // all: "Platform does not answer.", detail "Timed out", again and again, while 3,000 routes were on their
-  // way. A read is limited as a whole, so that an answer that is large for its link never arrives in time.
-  it("reads an answer that keeps coming for longer than its limit", async () => {
+  // Guards against large answers that never arrive over slow links. With a timeout for the read as a whole, a
+  // document of 3,000 routes timed out again and again ("Platform does not answer.", detail "Timed out"):
+  // running entries kept an outdated document, and newly started ones had none.
+  it("reads an answer that keeps arriving for longer than the timeout", async () => {
     for (const id of ["i-1", "i-2", "i-3"]) {
       store.put(`${STORE_KEYS.endpoint}${id}`, {
-        ...ENDPOINT,
+        ...ENDPOINT_RECORD,
         version: "v".repeat(200),
       });
     }
     store.fault = "trickles";
     const from = performance.now();
-    const snapshot = await source.snapshot(SHORT);
+    const snapshot = await source.snapshot(SHORT_TIMEOUT_MS);
     expect(snapshot.endpoints.length).toBe(3);
-    expect(performance.now() - from).toBeGreaterThan(2 * SHORT);
+    expect(performance.now() - from).toBeGreaterThan(2 * SHORT_TIMEOUT_MS);
   });
 
   it("waits for changes", async () => {
-    const { revision } = await source.snapshot(TIMEOUT);
+    const { revision } = await source.snapshot(TIMEOUT_MS);
     const waiting = source.changes(revision, {
       wait: milliseconds(5_000),
       timeout: milliseconds(6_000),
     });
-    store.put(`${STORE_KEYS.endpoint}i-1`, ENDPOINT);
+    store.put(`${STORE_KEYS.endpoint}i-1`, ENDPOINT_RECORD);
     const answer = await waiting;
     expect(answer.kind).toBe("changes");
     if (answer.kind === "changes") {
@@ -81,27 +84,29 @@
     }
   });
 
-  // The store's answer lay in the socket when the process went on, and the read's timer came first:
-  // "Platform does not answer.", and everything was read anew on another connection.
-  it("takes an answer that came while the process stood still", async () => {
+  // Guards against a timeout while the answer is already in the socket: after a pause of the process the timer
+  // fired first. It logged "Platform does not answer." and read everything again on another connection.
+  it("accepts an answer that came while the process was paused", async () => {
     const page = JSON.stringify({ items: [], more_pages: false, as_of: 7 });
     const server = createServer((_message, reply) => {
-      reply.end(page, () => block(STALL_MS));
+      reply.end(page, () => blockEventLoop(BLOCKED_MS));
     });
     const reader = new StoreSource(await listenOnLoopback(server), () => {});
     try {
-      const { revision } = await reader.snapshot(milliseconds(STALL_MS - 300));
+      const { revision } = await reader.snapshot(
+        milliseconds(BLOCKED_MS - 300),
+      );
       expect(revision).toBe(7);
     } finally {
       await reader.close();
-      await closeAtOnce(server);
+      await forceClose(server);
     }
   });
 
-  it("tells of removals and of changes that are forgotten", async () => {
-    store.put(`${STORE_KEYS.endpoint}i-1`, ENDPOINT);
+  it("reports removals and compacted changes", async () => {
+    store.put(`${STORE_KEYS.endpoint}i-1`, ENDPOINT_RECORD);
     store.remove(`${STORE_KEYS.endpoint}i-1`);
-    const limits = { wait: milliseconds(0), timeout: TIMEOUT };
+    const limits = { wait: milliseconds(0), timeout: TIMEOUT_MS };
     const answer = await source.changes(1 as Revision, limits);
     expect(answer).toMatchObject({
       changes: { changes: [{ kind: "endpointRemoved", id: "i-1" }] },
@@ -114,40 +119,43 @@
   });
 
   it.each<StoreFault>(["silent", "busy", "reset", "garbage", "slow"])(
-    "fails in time where the store is %s, and reads again afterwards",
+    "fails in time where the store is %s, and reads again once it recovers",
     async (fault) => {
       store.fault = fault;
-      await expect(source.snapshot(SHORT)).rejects.toThrow();
+      await expect(source.snapshot(SHORT_TIMEOUT_MS)).rejects.toThrow();
       store.fault = "none";
-      expect((await source.snapshot(TIMEOUT)).revision).toBe(0);
+      expect((await source.snapshot(TIMEOUT_MS)).revision).toBe(0);
     },
   );
 
   /**
-   * Symptom: all endpoints vanish from an entry's picture.
-   * Sequence: one record of a new shape is written.
-   * Cause: a whole page is dropped for one item that cannot be read.
+   * Symptom: an entry loses all endpoints from its catalogue.
+   * Sequence: one record in an unknown format is written.
+   * Cause: a whole page is dropped because one item cannot be parsed.
    */
-  it("reads the others where one record is wrong, and says which", async () => {
-    store.put(`${STORE_KEYS.endpoint}i-1`, { ...ENDPOINT, address: 7 });
+  it("reads the other records where one is invalid, and reports which", async () => {
+    store.put(`${STORE_KEYS.endpoint}i-1`, { ...ENDPOINT_RECORD, address: 7 });
     store.putRaw(`${STORE_KEYS.endpoint}i-2`, "bm8=");
-    store.put(`${STORE_KEYS.endpoint}i-3`, { ...ENDPOINT, unknown: true });
-    const { endpoints } = await source.snapshot(TIMEOUT);
+    store.put(`${STORE_KEYS.endpoint}i-3`, {
+      ...ENDPOINT_RECORD,
+      unknown: true,
+    });
+    const { endpoints } = await source.snapshot(TIMEOUT_MS);
     expect(endpoints.map(({ id }) => id)).toEqual(["i-3"]);
-    expect(notes.join("\n")).toContain('"address"');
-    expect(notes.join("\n")).toContain("i-2");
+    expect(messages.join("\n")).toContain('"address"');
+    expect(messages.join("\n")).toContain("i-2");
   });
 
   /**
-   * Symptom: an endpoint is used whose record another writer has overwritten.
-   * Sequence: a watch brings an item under its key that cannot be read, beside good ones.
-   * Cause: what could not be read was passed over, so that the former record held.
+   * Symptom: an endpoint is still used after another writer has overwritten its record.
+   * Sequence: a watch returns an item under the endpoint's key that cannot be parsed, together with valid items.
+   * Cause: unparsable items were skipped, so that the previous record stayed in use.
    */
-  it("takes an endpoint out whose record became another thing, not the others", async () => {
-    store.put(`${STORE_KEYS.endpoint}i-1`, ENDPOINT);
+  it("removes only the endpoint whose record became invalid", async () => {
+    store.put(`${STORE_KEYS.endpoint}i-1`, ENDPOINT_RECORD);
     store.putRaw(`${STORE_KEYS.endpoint}i-1`, "bm8=");
-    store.put(`${STORE_KEYS.endpoint}i-2`, ENDPOINT);
-    const limits = { wait: milliseconds(0), timeout: TIMEOUT };
+    store.put(`${STORE_KEYS.endpoint}i-2`, ENDPOINT_RECORD);
+    const limits = { wait: milliseconds(0), timeout: TIMEOUT_MS };
     const answer = await source.changes(1 as Revision, limits);
     expect(answer).toMatchObject({
       changes: {
@@ -159,16 +167,16 @@
     });
   });
 
-  it("tells the epoch of each answer, also where history is gone", async () => {
+  it("returns the epoch of each answer, also where the history is gone", async () => {
     const copy = store.copy();
-    store.put(`${STORE_KEYS.endpoint}i-1`, ENDPOINT);
-    const limits = { wait: milliseconds(0), timeout: TIMEOUT };
-    expect(await source.snapshot(TIMEOUT)).toMatchObject({
+    store.put(`${STORE_KEYS.endpoint}i-1`, ENDPOINT_RECORD);
+    const limits = { wait: milliseconds(0), timeout: TIMEOUT_MS };
+    expect(await source.snapshot(TIMEOUT_MS)).toMatchObject({
       epoch: 1,
       revision: 1,
     });
     store.restore(copy);
-    expect(await source.newest(TIMEOUT)).toEqual({ epoch: 2, revision: 0 });
+    expect(await source.newest(TIMEOUT_MS)).toEqual({ epoch: 2, revision: 0 });
     expect(await source.changes(0 as Revision, limits)).toMatchObject({
       changes: { epoch: 2, revision: 0 },
     });
@@ -178,8 +186,8 @@
     });
   });
 
-  // Guards against a picture that is pieced together from before and after a restore.
-  it("reads all pages of one epoch where the store is restored between two", async () => {
+  // Guards against a snapshot that mixes pages from before and after a restore.
+  it("reads all pages from one epoch where the store is restored between two pages", async () => {
     const page = (epoch: number, key: string, more_pages: boolean): string =>
       JSON.stringify({
         epoch,
@@ -193,21 +201,23 @@
       page(2, "a-2", true),
       page(2, "b-2", false),
     ];
-    const asked: string[] = [];
+    const requestedAfter: string[] = [];
     const server = createServer(({ url }, reply) => {
-      asked.push(new URL(url!, "http://store").searchParams.get("after") ?? "");
+      requestedAfter.push(
+        new URL(url!, "http://store").searchParams.get("after") ?? "",
+      );
       const text = pages.shift()!;
       const { epoch } = JSON.parse(text) as { epoch: number };
       reply.setHeader(HEADERS.storeEpoch, String(epoch)).end(text);
     });
     const reader = new StoreSource(await listenOnLoopback(server), () => {});
     try {
-      expect(await reader.snapshot(TIMEOUT)).toMatchObject({
+      expect(await reader.snapshot(TIMEOUT_MS)).toMatchObject({
         epoch: 2,
         revision: 7,
         evacuated: ["a-2", "b-2"],
       });
-      expect(asked).toEqual([
+      expect(requestedAfter).toEqual([
         "",
         `${STORE_KEYS.evacuation}a-1`,
         "",
@@ -215,24 +225,24 @@
       ]);
     } finally {
       await reader.close();
-      await closeAtOnce(server);
+      await forceClose(server);
     }
   });
 
-  it("writes a line for each such key once, and few for thousands", async () => {
+  it("logs each invalid key once, and few lines for thousands of them", async () => {
     for (let index = 0; index < 1_200; index++) {
       store.putRaw(`${STORE_KEYS.endpoint}foreign-${index}`, "bm8=");
     }
-    await source.snapshot(TIMEOUT);
-    const lines = notes.length;
+    await source.snapshot(TIMEOUT_MS);
+    const lines = messages.length;
     expect(lines).toBeLessThan(60);
-    await source.snapshot(TIMEOUT);
-    expect(notes.length - lines).toBeLessThan(5);
+    await source.snapshot(TIMEOUT_MS);
+    expect(messages.length - lines).toBeLessThan(5);
   });
 });
 
-/** Holds the loop up, as a stopped process or a busy machine does. */
-function block(time: number): void {
-  const end = performance.now() + time;
+/** Blocks the event loop, as a paused process or a busy machine does. */
+function blockEventLoop(durationMs: number): void {
+  const end = performance.now() + durationMs;
   while (performance.now() < end);
 }
--- a/playground/src/platform/index.ts
+++ b/playground/src/platform/index.ts
@@ -1,4 +1,4 @@
-export { statusesOf } from "./keyed_requests.ts";
+export { sendKeyedRequests } from "./keyed_requests.ts";
 export { callPlatform, type PlatformAnswer } from "./platform_caller.ts";
 export {
   eventually,
@@ -6,7 +6,7 @@
   PlatformFleet,
   route,
   ROUTES,
-  THREE_OF_EACH,
+  THREE_ENDPOINTS_PER_SERVICE,
 } from "./platform_fleet.ts";
 export { StandInEndpoint } from "./stand_in_endpoint.ts";
 export { type LoadResult, SteadyLoad } from "./steady_load.ts";
--- a/playground/src/platform/keyed_requests.ts
+++ b/playground/src/platform/keyed_requests.ts
@@ -1,5 +1,5 @@
 /**
- * Requests of one customer's key, sent to all entries in turn.
+ * Sends requests with a customer's key to the entries in turn.
  *
  * @module
  */
@@ -8,18 +8,18 @@
 import { callPlatform } from "./platform_caller.ts";
 import type { PlatformEntry } from "./platform_fleet.ts";
 
-/** Statuses of so many requests with a key, one every `every` milliseconds. */
-export function statusesOf(
+/** Sends requests with a key at a fixed interval, round robin over the entries; resolves with their statuses. */
+export function sendKeyedRequests(
   key: string,
-  { entries, requests, every }: {
+  { entries, requests, intervalMs }: {
     entries: readonly PlatformEntry[];
     requests: number;
-    every: number;
+    intervalMs: number;
   },
 ): Promise<number[]> {
   return Promise.all(
     Array.from({ length: requests }, async (_, index) => {
-      await wait(index * every);
+      await wait(index * intervalMs);
       const { callers } = entries[index % entries.length]!;
       const { status } = await callPlatform(callers, {
         path: "/again/x",
--- a/playground/src/platform/loopback.ts
+++ b/playground/src/platform/loopback.ts
@@ -1,5 +1,5 @@
 /**
- * Servers of stand-ins on loopback, on a port that the system chooses.
+ * Starts and stops the stand-ins' HTTP servers on loopback, on ports that the system chooses.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { Server } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** Listens; gives host and port. */
+/** Starts listening; resolves with `host:port`. */
 export async function listenOnLoopback(server: Server): Promise<string> {
   server.listen(0, "127.0.0.1");
   await once(server, "listening");
@@ -15,8 +15,8 @@
   return `127.0.0.1:${port}`;
 }
 
-/** Ends the server and every connection to it. */
-export async function closeAtOnce(server: Server): Promise<void> {
+/** Closes the server together with all connections to it. */
+export async function forceClose(server: Server): Promise<void> {
   server.closeAllConnections();
   server.close();
   await once(server, "close");
--- a/playground/src/platform/platform_caller.ts
+++ b/playground/src/platform/platform_caller.ts
@@ -1,19 +1,19 @@
 /**
- * A caller of the platform.
+ * An HTTP client that sends requests as callers of the platform do.
  *
  * @module
  */
 import { HEADERS } from "@sassafrasstep/platform";
 import { type Dispatcher, request } from "undici";
 
-/** What a caller got. */
+/** A response, read to its end. */
 export interface PlatformAnswer {
   readonly status: number;
   readonly headers: Dispatcher.ResponseData["headers"];
   readonly body: string;
 }
 
-/** Sends one request and reads the whole answer. */
+/** Sends one request and reads the whole response. */
 export async function callPlatform(
   address: string,
   { path, call, tokens, body, dispatcher, headers = {} }: {
--- a/playground/src/platform/platform_fleet.ts
+++ b/playground/src/platform/platform_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * A fleet on the platform's protocol: the real programs, with stand-ins for store and endpoints.
+ * A fleet that speaks the platform's protocol: real entry processes, and stand-ins for the store and the endpoints.
  *
  * @module
  */
@@ -18,17 +18,17 @@
   STORE_KEYS,
 } from "@sassafrasstep/platform";
 import { StandInEndpoint } from "./stand_in_endpoint.ts";
-import { StandInStore, type StoreGate } from "./stand_in_store.ts";
+import { StandInStore, type StoreListener } from "./stand_in_store.ts";
 
 const PROGRAM = fileURLToPath(
   new URL("../../../platform/dist/main.js", import.meta.url),
 );
 const READY_POLL_MS = 20;
 const READY_TIMEOUT_MS = 20_000;
-/** Each entry has a loopback address of its own, so that all can use the same port for peers. */
-const FIRST_HOST = 11;
+/** Last octet of the first entry's address. Each entry has its own, so that all can use the same port for peers. */
+const FIRST_HOST_NUMBER = 11;
 
-/** One entry's process. */
+/** An entry process with its addresses (`host:port`). */
 export interface PlatformEntry {
   readonly name: string;
   readonly host: string;
@@ -36,12 +36,12 @@
   readonly directory: string;
   readonly readiness: string;
   readonly control: string;
-  /** Path of its settings. */
+  /** Path of the settings file. */
   readonly settings: string;
   process: ChildProcess;
 }
 
-/** A running fleet. */
+/** Entry processes, stand-in endpoints and a stand-in store. */
 export class PlatformFleet {
   readonly store = new StandInStore();
   readonly endpoints: StandInEndpoint[] = [];
@@ -50,16 +50,19 @@
   readonly #sequences = new Map<string, number>();
   readonly #folder = mkdtempSync(join(tmpdir(), "fleet-"));
   #storeAddress = "";
-  /** By the index of the entry that reads the store there. */
-  readonly gates = new Map<number, StoreGate>();
+  /** Store listeners that only one entry uses, by the entry's index. */
+  readonly storeListeners = new Map<number, StoreListener>();
   #peerPort = 0;
   #version = 1;
-  /** All that the entries wrote. */
+  /** Standard output of all entries. */
   output = "";
   readonly #bounds: string;
   readonly #endpoints: EndpointPlan;
 
-  /** `bounds`: further lines of the entries' settings. `endpoints`: their ids and services. */
+  /**
+   * @param options.bounds Further lines for the `[bounds]` section of the entries' settings.
+   * @param options.endpoints Ids and services of the endpoints.
+   */
   constructor(
     { bounds = "", endpoints = ENDPOINTS }: {
       bounds?: string;
@@ -70,14 +73,14 @@
     this.#endpoints = endpoints;
   }
 
-  /** Starts the store, and endpoints for a plain service and for engines. */
+  /** Starts the store and the endpoints, and publishes the endpoints and the document. */
   async prepare(): Promise<void> {
     this.#storeAddress = await this.store.listen();
     this.#peerPort = await freeUdpPort();
     for (const [id, service] of this.#endpoints) {
       this.publishEndpoint(id, {
         service,
-        address: await this.adopt(new StandInEndpoint(id)),
+        address: await this.addEndpoint(new StandInEndpoint(id)),
         state: "ready",
         sequence: 1,
       });
@@ -85,8 +88,8 @@
     this.publishDocument(ROUTES);
   }
 
-  /** Starts an endpoint that the store does not name yet. */
-  async adopt(endpoint: StandInEndpoint): Promise<string> {
+  /** Starts an endpoint without publishing it; resolves with its address. */
+  async addEndpoint(endpoint: StandInEndpoint): Promise<string> {
     this.endpoints.push(endpoint);
     const address = await endpoint.listen();
     this.#addresses.set(endpoint.id, address);
@@ -101,8 +104,8 @@
     return this.endpoints.find((endpoint) => endpoint.id === id)!;
   }
 
-  /** A plain endpoint writes its record again. */
-  beat(id: string, fields: object = {}): void {
+  /** Writes the record of a plain endpoint again with the next sequence number, as a heartbeat does. */
+  refreshRecord(id: string, fields: object = {}): void {
     const sequence = (this.#sequences.get(id) ?? 1) + 1;
     this.#sequences.set(id, sequence);
     this.publishEndpoint(id, {
@@ -114,8 +117,8 @@
     });
   }
 
-  /** Key of an endpoint's record. */
-  keyOf(id: string): string {
+  /** Store key of an endpoint's record. */
+  endpointKey(id: string): string {
     return `${STORE_KEYS.endpoint}${id}`;
   }
 
@@ -139,7 +142,7 @@
   }
 
   publishEndpoint(id: string, fields: object): void {
-    this.store.put(this.keyOf(id), {
+    this.store.put(this.endpointKey(id), {
       zone: "a-1",
       version: "v1",
       slots: 8,
@@ -148,44 +151,47 @@
     });
   }
 
-  /** Starts entries and waits until all serve; those of `gated` read the store at an address of their own. */
+  /** Starts entries and waits until all are ready; those in `ownStoreListener` read the store at their own address. */
   async start(
     count: number,
-    { gated = [] }: { gated?: readonly number[] } = {},
+    { ownStoreListener = [] }: { ownStoreListener?: readonly number[] } = {},
   ): Promise<void> {
-    for (const index of gated) {
-      this.gates.set(index, await this.store.openGate());
+    for (const index of ownStoreListener) {
+      this.storeListeners.set(index, await this.store.addListener());
     }
     for (let index = 0; index < count; index++) {
-      this.entries.push(await this.#entry(index));
+      this.entries.push(await this.#startEntry(index));
     }
-    await Promise.all(this.entries.map((entry) => this.ready(entry)));
+    await Promise.all(this.entries.map((entry) => this.waitUntilReady(entry)));
   }
 
-  /** Ends an entry without a word and starts it anew. */
-  async startAnew(entry: PlatformEntry): Promise<void> {
+  /** Kills an entry and starts it again with the same settings. */
+  async restartEntry(entry: PlatformEntry): Promise<void> {
     entry.process.kill("SIGKILL");
     await once(entry.process, "exit");
-    entry.process = this.#spawn(entry.settings);
-    await this.ready(entry);
+    entry.process = this.#spawnEntry(entry.settings);
+    await this.waitUntilReady(entry);
   }
 
-  /** Waits until an entry serves. */
-  async ready({ readiness }: PlatformEntry): Promise<void> {
+  /** Waits until an entry is ready. */
+  async waitUntilReady({ readiness }: PlatformEntry): Promise<void> {
     try {
       await eventually(async () => {
         const { status } = await fetch(`http://${readiness}${API_PATHS.ready}`);
         return status === 200;
       });
     } catch (cause) {
-      throw new Error(`Entry does not serve, all wrote:\n${this.output}`, {
-        cause,
-      });
+      throw new Error(
+        `Entry is not ready, output of all entries:\n${this.output}`,
+        {
+          cause,
+        },
+      );
     }
   }
 
-  /** Entries that one entry names. */
-  async named(entry: PlatformEntry, host: string): Promise<string[]> {
+  /** Addresses that an entry's directory lists for a host name, sorted. */
+  async listedAddresses(entry: PlatformEntry, host: string): Promise<string[]> {
     const query = `name=${host}&region=a&zone=a-1`;
     const answer = await fetch(
       `http://${entry.directory}${API_PATHS.resolve}?${query}`,
@@ -194,9 +200,9 @@
     return addresses.sort();
   }
 
-  /** Endpoints whose ids begin so after `i-`. */
-  endpointsOf(kind: string): StandInEndpoint[] {
-    return this.endpoints.filter(({ id }) => id.startsWith(`i-${kind}`));
+  /** Endpoints whose id starts with `i-` and the prefix. */
+  endpointsWithPrefix(prefix: string): StandInEndpoint[] {
+    return this.endpoints.filter(({ id }) => id.startsWith(`i-${prefix}`));
   }
 
   async close(): Promise<void> {
@@ -211,8 +217,8 @@
     rmSync(this.#folder, { recursive: true });
   }
 
-  async #entry(index: number): Promise<PlatformEntry> {
-    const host = `127.0.0.${FIRST_HOST + index}`;
+  async #startEntry(index: number): Promise<PlatformEntry> {
+    const host = `127.0.0.${FIRST_HOST_NUMBER + index}`;
     const name = `entry-${index + 1}`;
     const ports = await Promise.all(
       Array.from({ length: 4 }, () => freePort(host)),
@@ -234,11 +240,11 @@
 control = ${control}
 peers = ${host}:${this.#peerPort}
 [peers]
-seeds = 127.0.0.${FIRST_HOST}:1
+seeds = 127.0.0.${FIRST_HOST_NUMBER}:1
 [zones]
 a-1 = a
 [store]
-address = ${this.gates.get(index)?.address ?? this.#storeAddress}
+address = ${this.storeListeners.get(index)?.address ?? this.#storeAddress}
 [bounds]
 repeat_slack = 100
 stop_s = 8
@@ -252,11 +258,11 @@
       readiness: readiness!,
       control: control!,
       settings,
-      process: this.#spawn(settings),
+      process: this.#spawnEntry(settings),
     };
   }
 
-  #spawn(settings: string): ChildProcess {
+  #spawnEntry(settings: string): ChildProcess {
     const child = spawn(process.execPath, [PROGRAM], {
       env: { [SETTINGS_PATH_VARIABLE]: settings },
       stdio: ["ignore", "pipe", "inherit"],
@@ -266,7 +272,7 @@
   }
 }
 
-/** Waits until a condition holds. */
+/** Polls until a condition holds. A condition that throws counts as false. */
 export async function eventually(
   condition: () => boolean | Promise<boolean>,
 ): Promise<void> {
@@ -277,7 +283,7 @@
     }
     await new Promise((resolve) => setTimeout(resolve, READY_POLL_MS));
   }
-  throw new Error("Condition did not come true in time");
+  throw new Error("Condition was not met before the timeout");
 }
 
 async function freePort(host: string): Promise<number> {
@@ -310,7 +316,7 @@
 ] as const;
 
 /** Three endpoints of each service. */
-export const THREE_OF_EACH: EndpointPlan = [
+export const THREE_ENDPOINTS_PER_SERVICE: EndpointPlan = [
   ["i-p1", "plain"],
   ["i-p2", "plain"],
   ["i-p3", "plain"],
@@ -330,7 +336,7 @@
   },
 ];
 
-/** Routes of the stand-in document, each on a path of its name. */
+/** Routes of the published document, each with its name as path prefix. */
 export const ROUTES = [
   route("once", { kind: "non_idempotent", service: "plain", attempts: 1 }),
   route("again", { kind: "idempotent", service: "plain", attempts: 2 }),
@@ -343,7 +349,7 @@
   }),
 ];
 
-/** One route of a document. */
+/** A route of the document; `fields` override the defaults. */
 export function route(name: string, fields: object): object {
   return {
     name,
--- a/playground/src/platform/stand_in_endpoint.ts
+++ b/playground/src/platform/stand_in_endpoint.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in of the platform's endpoints: plain answers and event streams, and the ways they can fail.
+ * A stand-in for the platform's endpoints: plain answers, event streams and the ways in which they can fail.
  *
  * @module
  */
@@ -10,47 +10,46 @@
   type ServerResponse,
 } from "node:http";
 import { HEADERS } from "@sassafrasstep/platform";
-import { closeAtOnce, listenOnLoopback } from "./loopback.ts";
+import { forceClose, listenOnLoopback } from "./loopback.ts";
 
-/** How the endpoint treats a request. */
+/** How the endpoint fails requests. */
 export type EndpointFault =
   | "none"
-  /** Says that it did not run. */
+  /** Refuses the request and states that it did not run. */
   | "full"
-  /** Runs and fails. */
+  /** Runs the request and answers 500. */
   | "fails"
-  /** Runs and breaks off. */
+  /** Runs the request and resets the connection. */
   | "breaks"
-  /** Breaks streams off inside an event. */
+  /** Closes the connection of a stream inside an event. */
   | "torn"
-  /** Takes the request and never answers. */
+  /** Accepts the request and never answers. */
   | "silent";
 
 const UNAVAILABLE = 503;
 const MISDIRECTED = 421;
 const FAILED = 500;
-const DEFAULT_PACE_MS = 5;
+const DEFAULT_EVENT_INTERVAL_MS = 5;
 
-/** An endpoint on loopback. */
+/** An HTTP endpoint on loopback that records its requests. */
 export class StandInEndpoint {
   readonly id: string;
   fault: EndpointFault = "none";
-  /** Ids of calls that ran, in order. */
-  readonly runs: string[] = [];
-  /** Heads of all requests. */
+  /** Ids of the calls that ran, in order. */
+  readonly executedCalls: string[] = [];
+  /** All requests received, including those that did not run. */
   readonly requests: IncomingMessage[] = [];
-  /** When each of them came, in milliseconds of the process's clock. */
-  readonly arrivals: number[] = [];
-  /** What it says of itself in the head of each answer. */
-  stated: Readonly<Record<string, string | string[]>> = {};
-  /** Events of a stream. */
-  events = 5;
-  /** Milliseconds between two of them. */
-  pace = DEFAULT_PACE_MS;
-  /** Milliseconds before a plain answer. */
-  delay = 0;
+  /** `performance.now()` at the arrival of each request. */
+  readonly arrivalTimes: number[] = [];
+  /** Headers that it adds to its answers, such as its limit or that it is leaving. */
+  statedHeaders: Readonly<Record<string, string | string[]>> = {};
+  /** Number of events in a stream. */
+  eventCount = 5;
+  eventIntervalMs = DEFAULT_EVENT_INTERVAL_MS;
+  /** Time before a plain answer. */
+  delayMs = 0;
   readonly #server: Server = createServer((message, reply) =>
-    this.#take(message, reply)
+    this.#receive(message, reply)
   );
 
   constructor(id: string) {
@@ -62,30 +61,30 @@
   }
 
   close(): Promise<void> {
-    return closeAtOnce(this.#server);
+    return forceClose(this.#server);
   }
 
-  /** The body that a call gets. */
-  static bodyOf(call: string): string {
+  /** Body of the plain answer to a call. */
+  static responseBody(call: string): string {
     return `answer to ${call}`;
   }
 
-  /** What a caller gets of a stream of so many events. */
-  static streamOf(events: number): string {
+  /** Body of a stream with the given number of events. */
+  static streamBody(count: number): string {
     return Array.from(
-      { length: events },
+      { length: count },
       (_, index) => `id: ${index + 1}\ndata: event ${index + 1}\n\n`,
     ).join("");
   }
 
-  #take(message: IncomingMessage, reply: ServerResponse): void {
+  #receive(message: IncomingMessage, reply: ServerResponse): void {
     message.resume();
-    message.on("end", () => this.#answer(message, reply));
+    message.on("end", () => this.#respond(message, reply));
   }
 
-  #answer(message: IncomingMessage, reply: ServerResponse): void {
+  #respond(message: IncomingMessage, reply: ServerResponse): void {
     this.requests.push(message);
-    this.arrivals.push(performance.now());
+    this.arrivalTimes.push(performance.now());
     const expected = message.headers[HEADERS.expectedEndpoint];
     if (expected !== this.id) {
       reply.writeHead(MISDIRECTED, { [HEADERS.endpoint]: this.id }).end();
@@ -93,20 +92,20 @@
     }
     const call = String(message.headers[HEADERS.callId]);
     if (this.fault === "full") {
-      const headers = { ...this.stated, [HEADERS.notRun]: "1" };
+      const headers = { ...this.statedHeaders, [HEADERS.notRun]: "1" };
       reply.writeHead(UNAVAILABLE, headers).end();
       return;
     }
     if (this.fault === "silent") {
       return;
     }
-    this.runs.push(call);
+    this.executedCalls.push(call);
     if (this.fault === "breaks") {
       message.socket.resetAndDestroy();
       return;
     }
     const headers = {
-      ...this.stated,
+      ...this.statedHeaders,
       [HEADERS.callId]: call,
       [HEADERS.seal]: `seal-${call}`,
     };
@@ -116,8 +115,8 @@
     }
     setTimeout(() => {
       reply.writeHead(this.fault === "fails" ? FAILED : 200, headers);
-      reply.end(StandInEndpoint.bodyOf(call));
-    }, this.delay);
+      reply.end(StandInEndpoint.responseBody(call));
+    }, this.delayMs);
   }
 
   #stream(
@@ -129,16 +128,16 @@
   ): void {
     reply.writeHead(200, { ...headers, "content-type": "text/event-stream" });
     const first = Number(message.headers[HEADERS.lastEventId] ?? 0) + 1;
-    const say = (id: number): void => {
+    const writeEvent = (id: number): void => {
       if (this.fault === "torn" && id === first + 2) {
         reply.write(`id: ${id}\nda`, () => message.socket.destroy());
-      } else if (id > this.events) {
+      } else if (id > this.eventCount) {
         reply.end();
       } else {
         reply.write(`id: ${id}\ndata: event ${id}\n\n`);
-        setTimeout(() => say(id + 1), this.pace);
+        setTimeout(() => writeEvent(id + 1), this.eventIntervalMs);
       }
     };
-    say(first);
+    writeEvent(first);
   }
 }
--- a/playground/src/platform/stand_in_store.ts
+++ b/playground/src/platform/stand_in_store.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in of the platform's store: range with pages, watch with history, and the ways it can fail.
+ * A stand-in for the platform's store: paged range reads, watches with history, and the ways in which they can fail.
  *
  * @module
  */
@@ -10,27 +10,27 @@
   type ServerResponse,
 } from "node:http";
 import { API_PATHS, HEADERS } from "@sassafrasstep/platform";
-import { closeAtOnce, listenOnLoopback } from "./loopback.ts";
+import { forceClose, listenOnLoopback } from "./loopback.ts";
 
-/** How the store treats a call. */
+/** How the store fails calls. */
 export type StoreFault =
   | "none"
-  /** Takes the call and never answers. */
+  /** Accepts the call and never answers. */
   | "silent"
-  /** Turns the call away. */
+  /** Answers 503. */
   | "busy"
   | "reset"
-  /** Answers with bytes that are no answer of its own. */
+  /** Answers with invalid JSON. */
   | "garbage"
-  /** Answers after a while. */
+  /** Answers after a delay. */
   | "slow"
-  /** Its answers come in small pieces, as over a slow link. */
+  /** Answers in small pieces, as over a slow link. */
   | "trickles";
 
 const PAGE_ITEMS = 3;
-const SLOW_MS = 150;
-const TRICKLE_CHARACTERS = 64;
-const TRICKLE_MS = 20;
+const SLOW_ANSWER_MS = 150;
+const PIECE_CHARACTERS = 64;
+const PIECE_INTERVAL_MS = 20;
 const OK = 200;
 const GONE = 410;
 const BUSY = 503;
@@ -42,61 +42,61 @@
   readonly tombstone?: true;
 }
 
-/** A watch that waits for a change. */
-interface Waiting {
-  readonly wake: () => void;
-  readonly cut: () => void;
+/** A watch request that waits for a change. */
+interface PendingWatch {
+  readonly notify: () => void;
+  readonly abort: () => void;
 }
 
-/** What the store held at a moment. */
+/** A backup of the store: its items and the revision at that time. */
 export interface StoreCopy {
   readonly items: readonly Item[];
   readonly revision: number;
 }
 
-/** An address of the store, which may fail those who use it alone. */
-export interface StoreGate {
+/** A further address of the store, with a fault that applies to its clients only. */
+export interface StoreListener {
   readonly address: string;
   fault: StoreFault;
 }
 
-/** A store on loopback. */
+/** A key-value store on loopback with revisions and epochs. */
 export class StandInStore {
   fault: StoreFault = "none";
   calls = 0;
-  /** Calls that ask for everything, page by page. */
-  wholeReads = 0;
-  /** What its answers state of its epoch. */
-  statedEpoch: (epoch: number) => string | undefined = String;
+  /** Number of full range reads, each counted at its first page. */
+  fullReads = 0;
+  /** Value of the epoch header for an epoch; `undefined` omits the header. */
+  formatEpoch: (epoch: number) => string | undefined = String;
   readonly #items = new Map<string, Item>();
   #history: Item[] = [];
-  #oldest = 0;
+  #compactedRevision = 0;
   #revision = 0;
   #epoch = 1;
-  readonly #waiting = new Set<Waiting>();
-  readonly #gates: Server[] = [];
+  readonly #pendingWatches = new Set<PendingWatch>();
+  readonly #listenerServers: Server[] = [];
   readonly #server: Server = createServer((message, reply) =>
-    this.#take(this.fault, { message, reply })
+    this.#receive(this.fault, { message, reply })
   );
 
   listen(): Promise<string> {
     return listenOnLoopback(this.#server);
   }
 
-  /** Opens an address with a fault of its own, beside the one of all. */
-  async openGate(): Promise<StoreGate> {
+  /** Listens on a further address whose fault, unless `none`, takes precedence over the store's. */
+  async addListener(): Promise<StoreListener> {
     const server = createServer((message, reply) => {
-      const fault = gate.fault === "none" ? this.fault : gate.fault;
-      this.#take(fault, { message, reply });
+      const fault = listener.fault === "none" ? this.fault : listener.fault;
+      this.#receive(fault, { message, reply });
     });
-    this.#gates.push(server);
+    this.#listenerServers.push(server);
     const address = await listenOnLoopback(server);
-    const gate: StoreGate = { address, fault: "none" };
-    return gate;
+    const listener: StoreListener = { address, fault: "none" };
+    return listener;
   }
 
   async close(): Promise<void> {
-    await Promise.all([this.#server, ...this.#gates].map(closeAtOnce));
+    await Promise.all([this.#server, ...this.#listenerServers].map(forceClose));
   }
 
   /** Writes a value as JSON. */
@@ -104,21 +104,21 @@
     this.putRaw(key, Buffer.from(JSON.stringify(value)).toString("base64"));
   }
 
-  /** Writes a value as it is. */
+  /** Writes a value that is already encoded in base64. */
   putRaw(key: string, value: string): void {
     this.#revision++;
     const item = { key, value, revision: this.#revision };
     this.#items.set(key, item);
-    this.#note(item);
+    this.#recordChange(item);
   }
 
   remove(key: string): void {
     this.#revision++;
     this.#items.delete(key);
-    this.#note({ key, revision: this.#revision, tombstone: true });
+    this.#recordChange({ key, revision: this.#revision, tombstone: true });
   }
 
-  /** Where its counter stands. */
+  /** The current revision. */
   get revision(): number {
     return this.#revision;
   }
@@ -128,8 +128,8 @@
   }
 
   /**
-   * Comes back from a copy: what was written since is lost, its revisions are given out again, and changes
-   * up to the copy are no longer to be had. Watches that wait are cut.
+   * Restores a copy: later writes are lost, their revisions are assigned again, and the history before the
+   * copy is gone. Starts a new epoch and aborts pending watches.
    */
   restore({ items, revision }: StoreCopy): void {
     this.#epoch++;
@@ -137,24 +137,24 @@
     this.#items.clear();
     items.forEach((item) => this.#items.set(item.key, item));
     this.compact();
-    this.#waiting.forEach(({ cut }) => cut());
-    this.#waiting.clear();
+    this.#pendingWatches.forEach(({ abort }) => abort());
+    this.#pendingWatches.clear();
   }
 
-  /** Forgets which changes led here. */
+  /** Drops the change history, so that watches from an earlier revision get 410. */
   compact(): void {
-    this.#oldest = this.#revision;
+    this.#compactedRevision = this.#revision;
     this.#history = [];
   }
 
-  #note(item: Item): void {
+  #recordChange(item: Item): void {
     this.#history.push(item);
-    const waiting = [...this.#waiting];
-    this.#waiting.clear();
-    waiting.forEach(({ wake }) => wake());
+    const pendingWatches = [...this.#pendingWatches];
+    this.#pendingWatches.clear();
+    pendingWatches.forEach(({ notify }) => notify());
   }
 
-  #take(
+  #receive(
     fault: StoreFault,
     { message, reply }: { message: IncomingMessage; reply: ServerResponse },
   ): void {
@@ -173,41 +173,41 @@
         reply.end("{");
         return;
       case "slow":
-        setTimeout(() => this.#answer(url, reply), SLOW_MS);
+        setTimeout(() => this.#respond(url, reply), SLOW_ANSWER_MS);
         return;
       case "trickles":
       case "none":
-        this.#answer(url, reply);
+        this.#respond(url, reply);
     }
   }
 
-  #answer({ pathname, searchParams }: URL, reply: ServerResponse): void {
+  #respond({ pathname, searchParams }: URL, reply: ServerResponse): void {
     const prefix = searchParams.get("path_prefix") ?? "";
     if (pathname === API_PATHS.range) {
       return this.#range(prefix, searchParams.get("after") ?? "", reply);
     }
     const after = Number(searchParams.get("after"));
-    if (after < this.#oldest || after > this.#revision) {
+    if (after < this.#compactedRevision || after > this.#revision) {
       reply.writeHead(GONE, this.#headers()).end();
       return;
     }
     this.#watch({ prefix, after }, {
-      wait: Number(searchParams.get("wait_ms")),
+      waitMs: Number(searchParams.get("wait_ms")),
       reply,
     });
   }
 
   #headers(): Record<string, string> {
-    const text = this.statedEpoch(this.#epoch);
+    const text = this.formatEpoch(this.#epoch);
     return text === undefined ? {} : { [HEADERS.storeEpoch]: text };
   }
 
   #range(prefix: string, after: string, reply: ServerResponse): void {
-    this.wholeReads += prefix === "" && after === "" ? 1 : 0;
+    this.fullReads += prefix === "" && after === "" ? 1 : 0;
     const items = [...this.#items.values()]
       .filter(({ key }) => key.startsWith(prefix) && key > after)
       .sort((left, right) => left.key < right.key ? -1 : 1);
-    this.#say(reply, {
+    this.#sendJson(reply, {
       items: items.slice(0, PAGE_ITEMS),
       more_pages: items.length > PAGE_ITEMS,
     });
@@ -215,53 +215,53 @@
 
   #watch(
     { prefix, after }: { prefix: string; after: number },
-    { wait, reply }: { wait: number; reply: ServerResponse },
+    { waitMs, reply }: { waitMs: number; reply: ServerResponse },
   ): void {
     const events = this.#history.filter(({ key, revision }) =>
       revision > after && key.startsWith(prefix)
     );
-    if (events.length > 0 || wait <= 0) {
-      return this.#say(reply, { events });
+    if (events.length > 0 || waitMs <= 0) {
+      return this.#sendJson(reply, { events });
     }
-    const waiting: Waiting = {
-      wake: () => {
+    const pendingWatch: PendingWatch = {
+      notify: () => {
         clearTimeout(timer);
-        this.#watch({ prefix, after }, { wait: 0, reply });
+        this.#watch({ prefix, after }, { waitMs: 0, reply });
       },
-      cut: () => {
+      abort: () => {
         clearTimeout(timer);
         reply.destroy();
       },
     };
     const timer = setTimeout(() => {
-      this.#waiting.delete(waiting);
-      waiting.wake();
-    }, wait);
-    this.#waiting.add(waiting);
+      this.#pendingWatches.delete(pendingWatch);
+      pendingWatch.notify();
+    }, waitMs);
+    this.#pendingWatches.add(pendingWatch);
   }
 
-  #say(reply: ServerResponse, body: object): void {
+  #sendJson(reply: ServerResponse, body: object): void {
     reply.writeHead(OK, {
       ...this.#headers(),
       "content-type": "application/json",
     });
     const text = JSON.stringify({ ...body, as_of: this.#revision });
     if (this.fault === "trickles") {
-      this.#trickle(reply, text);
+      this.#sendInPieces(reply, text);
     } else {
       reply.end(text);
     }
   }
 
-  #trickle(reply: ServerResponse, text: string): void {
+  #sendInPieces(reply: ServerResponse, text: string): void {
     if (text === "" || reply.destroyed) {
       reply.end();
       return;
     }
-    reply.write(text.slice(0, TRICKLE_CHARACTERS));
+    reply.write(text.slice(0, PIECE_CHARACTERS));
     setTimeout(
-      () => this.#trickle(reply, text.slice(TRICKLE_CHARACTERS)),
-      TRICKLE_MS,
+      () => this.#sendInPieces(reply, text.slice(PIECE_CHARACTERS)),
+      PIECE_INTERVAL_MS,
     );
   }
 }
--- a/playground/src/platform/steady_load.ts
+++ b/playground/src/platform/steady_load.ts
@@ -1,5 +1,5 @@
 /**
- * Callers that ask at a steady rate, each entry in turn.
+ * A constant request rate, spread round robin over the entries.
  *
  * @module
  */
@@ -8,53 +8,56 @@
 import { callPlatform } from "./platform_caller.ts";
 import type { PlatformEntry } from "./platform_fleet.ts";
 
-/** One request and how it ended. */
+/** The outcome of one request. */
 export interface LoadResult {
   readonly call: string;
   readonly path: string;
-  /** 0 where no answer came. */
+  /** HTTP status, or 0 if no answer came. */
   readonly status: number;
-  readonly retryAfter: number;
-  /** Milliseconds to the end of the answer. */
-  readonly took: number;
+  readonly retryAfterS: number;
+  /** Time from sending to the end of the answer. */
+  readonly durationMs: number;
 }
 
-/** Sends requests until `end` is called. */
+/** Sends requests from construction until `stop` is called. */
 export class SteadyLoad {
   readonly results: LoadResult[] = [];
-  readonly #open = new Set<Promise<void>>();
+  readonly #pending = new Set<Promise<void>>();
   readonly #dispatcher = new Agent({ connections: 64 });
   readonly #timer: NodeJS.Timeout;
-  #count = 0;
+  #sentCount = 0;
 
   constructor(
     entries: readonly PlatformEntry[],
-    { every, paths, name }: {
-      /** Milliseconds between two requests. */
-      every: number;
+    { intervalMs, paths, callPrefix }: {
+      /** Time between two requests. */
+      intervalMs: number;
       paths: readonly string[];
-      name: string;
+      callPrefix: string;
     },
   ) {
     this.#timer = setInterval(() => {
-      const index = this.#count++;
+      const index = this.#sentCount++;
       const entry = entries[index % entries.length]!;
       const path = paths[Math.floor(index / entries.length) % paths.length]!;
-      const sent = this.#send(entry, { path, call: `${name}-${index}` })
-        .finally(() => this.#open.delete(sent));
-      this.#open.add(sent);
-    }, every);
+      const pending = this.#send(entry, {
+        path,
+        call: `${callPrefix}-${index}`,
+      })
+        .finally(() => this.#pending.delete(pending));
+      this.#pending.add(pending);
+    }, intervalMs);
   }
 
-  /** Sends for so many milliseconds more. */
-  async during(time: number): Promise<void> {
-    await wait(time);
+  /** Resolves after the given time; the load keeps running. */
+  async runFor(durationMs: number): Promise<void> {
+    await wait(durationMs);
   }
 
-  /** Sends no more, and waits for the answers. */
-  async end(): Promise<readonly LoadResult[]> {
+  /** Stops sending, waits for pending answers and resolves with all results. */
+  async stop(): Promise<readonly LoadResult[]> {
     clearInterval(this.#timer);
-    await Promise.all(this.#open);
+    await Promise.all(this.#pending);
     await this.#dispatcher.destroy();
     return this.results;
   }
@@ -75,8 +78,8 @@
       call,
       path,
       status: answer?.status ?? 0,
-      retryAfter: Number(answer?.headers["retry-after"] ?? 0),
-      took: performance.now() - sentAt,
+      retryAfterS: Number(answer?.headers["retry-after"] ?? 0),
+      durationMs: performance.now() - sentAt,
     });
   }
 }
