--- a/playground/src/bytes/__tests__/caller_framing.test.ts
+++ b/playground/src/bytes/__tests__/caller_framing.test.ts
@@ -11,19 +11,19 @@
 } from "../index.ts";
 
 const EVENTS = 6;
-const TORN_BYTES = 9;
-const TORN_AT = eventsOf("f1", { count: 2 }).length + TORN_BYTES;
-const LONGER: EventStyle = { ...PLAIN_STYLE, versions: true };
-const SHORTER: EventStyle = PLAIN_STYLE;
+const PARTIAL_EVENT_BYTES = 9;
+const CUT_AT_BYTE = eventsOf("f1", { count: 2 }).length + PARTIAL_EVENT_BYTES;
+const LONGER_STYLE: EventStyle = { ...PLAIN_STYLE, versions: true };
+const SHORTER_STYLE: EventStyle = PLAIN_STYLE;
 
 describe("the framing of a stream", () => {
-  let asked = 0;
+  let runCount = 0;
   let styles: readonly EventStyle[] = [];
   const script = (): RunScript => ({
     events: EVENTS,
     framing: "length",
-    style: styles[Math.min(asked++, 1)],
-    ...(asked === 1 ? { stop: "closed", stopAt: TORN_AT } : {}),
+    style: styles[Math.min(runCount++, 1)],
+    ...(runCount === 1 ? { stop: "closed", stopAt: CUT_AT_BYTE } : {}),
   });
   const engines = ["i-1", "i-2"].map((id) => new RawEngine(id, script));
   const fleet = new ByteFleet({
@@ -33,31 +33,36 @@
   beforeAll(() => fleet.start());
   afterAll(() => fleet.close());
 
-  // The length that the first endpoint had told went on to the caller. The stream then went on at another,
-  // whose events were a few bytes longer or shorter: the caller's answer ended inside an event and was told
-  // whole, with the rest of it standing before the next answer of the connection, or was broken off when all of
-  // it had come.
-  describe("whose first endpoint told its length", () => {
+  // Guards against passing on the first endpoint's content length when the stream continues at another endpoint,
+  // whose events are a few bytes longer or shorter. The caller's answer then ended inside an event and looked
+  // complete, with its rest in front of the next answer on the connection, or was broken off after all of it had
+  // come.
+  describe("whose first endpoint stated its length", () => {
     it.each([
-      { name: "longer", plan: [SHORTER, LONGER] },
-      { name: "shorter", plan: [LONGER, SHORTER] },
-    ])("fits where the next one's events are $name", async ({ plan }) => {
-      asked = 0;
-      styles = plan;
-      const { body, end } = await fleet.ask("f1", { time: 2_000 });
-      const [first, next] = plan;
-      expect(body).toBe(
-        eventsOf("f1", { count: 2, style: first }) +
-          eventsOf("f1", { count: EVENTS, after: 2, style: next }),
-      );
-      expect(end).toBe("whole");
-    });
+      { name: "longer", plan: [SHORTER_STYLE, LONGER_STYLE] },
+      { name: "shorter", plan: [LONGER_STYLE, SHORTER_STYLE] },
+    ])(
+      "is correct where the next endpoint's events are $name",
+      async ({ plan }) => {
+        runCount = 0;
+        styles = plan;
+        const { body, end } = await fleet.ask("f1", { time: 2_000 });
+        const [first, next] = plan;
+        expect(body).toBe(
+          eventsOf("f1", { count: 2, style: first }) +
+            eventsOf("f1", { count: EVENTS, after: 2, style: next }),
+        );
+        expect(end).toBe("whole");
+      },
+    );
   });
 
-  // A caller of the older protocol knows no chunks: its answer ends with the connection, and one that is
-  // broken off by closing it in order looks whole.
-  describe("for a caller that knows no chunks", () => {
-    const ask = (path: string): Promise<{ body: string; reset: boolean }> =>
+  // An HTTP/1.0 caller does not support chunks: its answer ends with the connection, so that one that is broken
+  // off with a graceful close looks complete.
+  describe("for a caller that does not support chunks", () => {
+    const requestOverHttp10 = (
+      path: string,
+    ): Promise<{ body: string; reset: boolean }> =>
       new Promise((resolve) => {
         const [host, port] = fleet.entries[0]!.callers.split(":");
         let text = "";
@@ -79,19 +84,19 @@
         ].join("\r\n"));
       });
 
-    it("ends with its connection", async () => {
-      asked = 1;
-      styles = [SHORTER, SHORTER];
-      expect(await ask("/once/x")).toEqual({
+    it("ends with the connection", async () => {
+      runCount = 1;
+      styles = [SHORTER_STYLE, SHORTER_STYLE];
+      expect(await requestOverHttp10("/once/x")).toEqual({
         body: eventsOf("f1", { count: EVENTS }),
         reset: false,
       });
     });
 
-    it("is reset where it is broken off, after its last event", async () => {
-      asked = 0;
-      styles = [SHORTER, SHORTER];
-      expect(await ask("/once/x")).toEqual({
+    it("is reset after its last whole event where it is broken off", async () => {
+      runCount = 0;
+      styles = [SHORTER_STYLE, SHORTER_STYLE];
+      expect(await requestOverHttp10("/once/x")).toEqual({
         body: eventsOf("f1", { count: 2 }),
         reset: true,
       });
--- a/playground/src/bytes/__tests__/drawn_callers.test.ts
+++ b/playground/src/bytes/__tests__/drawn_callers.test.ts
@@ -15,65 +15,73 @@
   type Stop,
 } from "../index.ts";
 
-/** A seed, or the first and the last one; then more is asked. */
+/** A seed, or a range such as `1-9`; if set, more callers and pauses are drawn. */
 const { DRAWN_SEEDS } = process.env;
 const SEEDS = DRAWN_SEEDS ?? "1";
 const CALLS = DRAWN_SEEDS === undefined ? 8 : 24;
-const STANDSTILLS = DRAWN_SEEDS === undefined ? 1 : 3;
+const PAUSES = DRAWN_SEEDS === undefined ? 1 : 3;
 const FEW_EVENTS = 24;
-/** More than the buffers of the sockets on the way hold. */
+/** More than the buffers of all sockets on the path hold. */
 const MANY_EVENTS = 120_000;
-const LARGE_PART = 0.1;
-const STOPPED_PART = 0.6;
-const HELD_PART = 0.4;
-const MOST_HELD_MS = 1_500;
-const MOST_PIECE = 40;
-const MOST_PACE_MS = 12;
-const MOST_START_MS = 1_500;
+const LARGE_PROBABILITY = 0.1;
+const STOP_PROBABILITY = 0.6;
+const READ_PAUSE_PROBABILITY = 0.4;
+const MAX_READ_PAUSE_MS = 1_500;
+const MAX_PIECE_BYTES = 40;
+const MAX_WRITE_INTERVAL_MS = 12;
+const MAX_START_DELAY_MS = 1_500;
 const ATTEMPTS = 3;
-const ASKS = 4;
+const MAX_REQUESTS = 4;
 const REGIONS = ["a", "a", "b", "c"];
 
 const FRAMINGS: readonly Framing[] = ["chunked", "length", "none"];
 const STOPS: readonly Stop[] = ["ended", "closed", "reset", "silent"];
 
-/** What is drawn for one caller. */
-interface Drawn {
+/** The random choices for one caller. */
+interface RandomCaller {
   readonly call: string;
   readonly events: number;
   readonly style: EventStyle;
-  readonly startAt: number;
-  readonly heldFor: number;
+  readonly startDelayMs: number;
+  readonly readPauseMs: number;
   readonly entries: readonly number[];
 }
 
-// Callers that read slowly or come back for the rest, endpoints that stop in every way, entries that stand
-// still, and relays between them: each caller gets the bytes of one run, as far as it gets any.
+// Combines callers that read slowly or return for the rest of their stream, endpoints that stop in every way,
+// paused entries and relays between entries. Each caller must get a prefix of the bytes of one run.
 describe("drawn callers", () => {
   let random = new SeededRandomness(1);
-  const upTo = (limit: number): number => Math.floor(random.next() * limit);
+  const randomBelow = (limit: number): number =>
+    Math.floor(random.next() * limit);
   const pick = <Item>(items: readonly Item[]): Item =>
-    items[upTo(items.length)]!;
-  const chance = (part: number): boolean => random.next() < part;
+    items[randomBelow(items.length)]!;
+  const chance = (probability: number): boolean => random.next() < probability;
 
-  const drawn = new Map<string, Drawn>();
-  const draw = (call: string): Drawn => ({
+  const callersById = new Map<string, RandomCaller>();
+  const drawCaller = (call: string): RandomCaller => ({
     call,
-    events: chance(LARGE_PART) ? MANY_EVENTS : 2 + upTo(FEW_EVENTS),
+    events: chance(LARGE_PROBABILITY)
+      ? MANY_EVENTS
+      : 2 + randomBelow(FEW_EVENTS),
     style: {
       lineEnd: chance(0.5) ? "\n" : "\r\n",
       versions: chance(0.5),
       comments: false,
       ids: true,
     },
-    startAt: upTo(MOST_START_MS),
-    heldFor: chance(HELD_PART) ? upTo(MOST_HELD_MS) : 0,
-    entries: Array.from({ length: ASKS }, () => upTo(REGIONS.length)),
+    startDelayMs: randomBelow(MAX_START_DELAY_MS),
+    readPauseMs: chance(READ_PAUSE_PROBABILITY)
+      ? randomBelow(MAX_READ_PAUSE_MS)
+      : 0,
+    entries: Array.from(
+      { length: MAX_REQUESTS },
+      () => randomBelow(REGIONS.length),
+    ),
   });
 
-  /** Without a mark of its own an end between events can't be told from the end of the whole. */
-  const insideEvent = (text: string): number => {
-    let at = 1 + upTo(Math.max(0, text.length - 1));
+  /** A random position inside an event: without framing, an end between events looks like the end of the stream. */
+  const positionInsideEvent = (text: string): number => {
+    let at = 1 + randomBelow(Math.max(0, text.length - 1));
     while (text[at - 1] === "\n" || text[at - 1] === "\r") {
       at++;
     }
@@ -81,17 +89,22 @@
   };
 
   const script = ({ call, after }: RawRequest): RunScript => {
-    const { events, style } = drawn.get(call.split(".")[0]!)!;
-    const stops = chance(STOPPED_PART);
+    const { events, style } = callersById.get(call.split(".")[0]!)!;
+    const stopsEarly = chance(STOP_PROBABILITY);
     const text = eventsOf(call, { count: events, after, style });
-    const paced = events <= FEW_EVENTS + 2;
+    const isSmall = events <= FEW_EVENTS + 2;
     return {
       events,
       style,
       framing: pick(FRAMINGS),
-      ...(stops ? { stop: pick(STOPS), stopAt: insideEvent(text) } : {}),
-      ...(paced
-        ? { piece: 1 + upTo(MOST_PIECE), pace: upTo(MOST_PACE_MS) }
+      ...(stopsEarly
+        ? { stop: pick(STOPS), stopAt: positionInsideEvent(text) }
+        : {}),
+      ...(isSmall
+        ? {
+          piece: 1 + randomBelow(MAX_PIECE_BYTES),
+          pace: randomBelow(MAX_WRITE_INTERVAL_MS),
+        }
         : {}),
     };
   };
@@ -105,27 +118,29 @@
     attempts: ATTEMPTS,
     processes: true,
   });
-  const runsOf = (call: string): number =>
+  const runCount = (call: string): number =>
     engines.flatMap(({ engine }) => engine.runs)
       .filter((run) => run.call === call).length;
 
   beforeAll(() => fleet.start());
   afterAll(() => fleet.close());
 
-  const ask = async (
-    { call, events, style, startAt, heldFor, entries }: Drawn,
+  const runCaller = async (
+    { call, events, style, startDelayMs, readPauseMs, entries }: RandomCaller,
   ): Promise<string[]> => {
-    await pause(startAt);
+    await pause(startDelayMs);
     const faults: string[] = [];
-    let has = "";
-    for (let index = 0; index < ASKS; index++) {
+    let received = "";
+    for (let index = 0; index < MAX_REQUESTS; index++) {
       const id = `${call}.${index}`;
-      const after = countOf(has);
+      const after = lastEventId(received);
       const answer: SeenAnswer = await fleet.ask(id, {
         entry: entries[index]!,
         time: 6_000,
         ...(after > 0 ? { after } : {}),
-        onBytes: heldFor > 0 && index === 0 ? once(heldFor) : undefined,
+        onBytes: readPauseMs > 0 && index === 0
+          ? pauseOnce(readPauseMs)
+          : undefined,
       });
       if (answer.status !== 200) {
         continue;
@@ -135,10 +150,10 @@
       if (fault !== undefined) {
         faults.push(`${id} (${answer.end}): ${fault}`);
       }
-      if (runsOf(id) > ATTEMPTS) {
-        faults.push(`${id}: ${runsOf(id)} runs`);
+      if (runCount(id) > ATTEMPTS) {
+        faults.push(`${id}: ${runCount(id)} runs`);
       }
-      has += answer.body;
+      received += answer.body;
       if (answer.end === "whole" || fault !== undefined) {
         break;
       }
@@ -146,12 +161,12 @@
     return faults;
   };
 
-  const disturb = async (): Promise<void> => {
-    for (let index = 0; index < STANDSTILLS; index++) {
-      await pause(upTo(1_000));
+  const pauseEntries = async (): Promise<void> => {
+    for (let index = 0; index < PAUSES; index++) {
+      await pause(randomBelow(1_000));
       const entry = pick(fleet.entries) as ProcessEntry;
       entry.signal("SIGSTOP");
-      await pause(300 + upTo(1_800));
+      await pause(300 + randomBelow(1_800));
       entry.signal("SIGCONT");
     }
   };
@@ -165,27 +180,27 @@
     random = new SeededRandomness(seed);
     const calls = Array.from(
       { length: CALLS },
-      (_, index) => draw(`s${seed}-${index}`),
+      (_, index) => drawCaller(`s${seed}-${index}`),
     );
-    calls.forEach((one) => drawn.set(one.call, one));
-    const disturbed = disturb();
-    const faults = await Promise.all(calls.map(ask));
-    await disturbed;
+    calls.forEach((one) => callersById.set(one.call, one));
+    const pausing = pauseEntries();
+    const faults = await Promise.all(calls.map(runCaller));
+    await pausing;
     expect(faults.flat()).toEqual([]);
   });
 });
 
-/** How many events a body holds. */
-function countOf(body: string): number {
+/** Number of the last event in a body, or 0. */
+function lastEventId(body: string): number {
   const ids = [...body.matchAll(/^id: (\d+)/gm)];
   return Number(ids.at(-1)?.[1] ?? 0);
 }
 
-function once(duration: number): () => Promise<void> | undefined {
-  let held = false;
+function pauseOnce(durationMs: number): () => Promise<void> | undefined {
+  let paused = false;
   return () => {
-    const hold = !held;
-    held = true;
-    return hold ? pause(duration) : undefined;
+    const first = !paused;
+    paused = true;
+    return first ? pause(durationMs) : undefined;
   };
 }
--- a/playground/src/bytes/__tests__/gone_on.test.ts
+++ b/playground/src/bytes/__tests__/gone_on.test.ts
@@ -8,20 +8,20 @@
   type RawRequest,
   type RunScript,
   type SeenAnswer,
-  type StreamQuestion,
+  type StreamRequest,
 } from "../index.ts";
 
 const EVENTS = 6;
-/** A caller that would be refused before silence is noticed. */
-const SHORT_TIME_MS = 1_300;
-/** More than is kept until it is whole. */
+/** The caller's timeout ends before the silence of an endpoint is detected. */
+const SHORT_TIMEOUT_MS = 1_300;
+/** More than the entry buffers until an answer is complete. */
 const LARGE_BYTES = 300_000;
 
 type Script = (request: RawRequest) => RunScript;
 
-const good: Script = () => ({ events: EVENTS });
+const complete: Script = () => ({ events: EVENTS });
 
-function headOf(
+function formatHead(
   call: string,
   { status = 200, type = "text/event-stream", length }: {
     status?: number;
@@ -41,14 +41,14 @@
 }
 
 describe("a stream that may go on elsewhere", () => {
-  /** What the first run of a call does, the second and so on, wherever they come. */
-  const plans = new Map<string, readonly Script[]>();
-  const asked = new Map<string, number>();
+  /** By call id: the scripts of its first, second and later runs, at whichever engine. */
+  const scriptsByCall = new Map<string, readonly Script[]>();
+  const runCounts = new Map<string, number>();
   const script: Script = (request) => {
-    const plan = plans.get(request.call)!;
-    const count = (asked.get(request.call) ?? 0) + 1;
-    asked.set(request.call, count);
-    return plan[Math.min(count, plan.length) - 1]!(request);
+    const scripts = scriptsByCall.get(request.call)!;
+    const count = (runCounts.get(request.call) ?? 0) + 1;
+    runCounts.set(request.call, count);
+    return scripts[Math.min(count, scripts.length) - 1]!(request);
   };
   const engines = ["i-1", "i-2", "i-3", "i-4"].map((id) =>
     new RawEngine(id, script)
@@ -62,56 +62,63 @@
   beforeAll(() => fleet.start());
   afterAll(() => fleet.close());
 
-  const ask = (
+  const requestStream = (
     call: string,
-    plan: readonly Script[],
-    question: Partial<StreamQuestion> = {},
+    scripts: readonly Script[],
+    options: Partial<StreamRequest> = {},
   ): Promise<SeenAnswer> => {
-    plans.set(call, plan);
-    return fleet.ask(call, question);
+    scriptsByCall.set(call, scripts);
+    return fleet.ask(call, options);
   };
 
-  // An id that is empty takes the last one back: there is nothing to tell another endpoint. The entry took
-  // it for a place, told the next endpoint an empty id, and that one began anew: its caller got both events
-  // a second time, and the stream was told whole.
+  // Guards against resuming after an empty id, which resets the last event id so that no position is known. The
+  // entry sent the empty id to the next endpoint, which started over: the caller got both events twice in a
+  // stream that ended as complete.
   it("is broken off after events whose id is empty", async () => {
-    const twice = "id:\ndata: a\n\nid:\ndata: b\n\n";
-    const empty: Script = ({ call }) => ({
+    const eventsWithEmptyIds = "id:\ndata: a\n\nid:\ndata: b\n\n";
+    const emptyIds: Script = ({ call }) => ({
       events: EVENTS,
-      says: [headOf(call), twice],
+      rawParts: [formatHead(call), eventsWithEmptyIds],
     });
-    const { body, end } = await ask("p1", [empty, good], { time: 3_000 });
-    expect({ body, end }).toEqual({ body: twice, end: "broken" });
+    const { body, end } = await requestStream("p1", [emptyIds, complete], {
+      time: 3_000,
+    });
+    expect({ body, end }).toEqual({ body: eventsWithEmptyIds, end: "broken" });
     expect(runsOf("p1")).toHaveLength(1);
   });
 
-  // An endpoint that takes no notice of the last id begins anew. The ids say so, and the entry passed its
-  // events on behind those that the caller had: 1, 2, 1, 2, 3 and so on, told whole.
-  it("does not go on with events that its caller has", async () => {
-    const two = eventsOf("p2", { count: 2 });
+  // Guards against repeated events from an endpoint that ignores the last event id and starts over. The entry
+  // passed its events on after those that the caller had, as 1, 2, 1, 2, 3 and so on, and ended as complete.
+  it("does not continue with events that its caller has", async () => {
+    const firstTwo = eventsOf("p2", { count: 2 });
     const silent: Script = () => ({
       events: EVENTS,
       stop: "silent",
-      stopAt: two.length,
+      stopAt: firstTwo.length,
     });
-    const anew: Script = ({ call }) => ({
+    const restarting: Script = ({ call }) => ({
       events: EVENTS,
-      says: [headOf(call), eventsOf(call, { count: EVENTS })],
+      rawParts: [formatHead(call), eventsOf(call, { count: EVENTS })],
+    });
+    const answer = await requestStream("p2", [silent, restarting, complete], {
+      time: 4_000,
     });
-    const answer = await ask("p2", [silent, anew, good], { time: 4_000 });
     const whole = eventsOf("p2", { count: EVENTS });
     expect(faultOf(answer, { whole })).toBe(undefined);
   });
 
-  // A failure on a route of streams is kept until it is whole. One whose body never ends was not known to
-  // the gateway as a failure: its caller waited for the silence of its endpoint, or, where other streams run
-  // there, for its own deadline, while another endpoint could have served it.
-  it("leaves a failure whose body never ends", async () => {
+  // Guards against waiting for a failure whose body never ends. Failures on stream routes are buffered until
+  // they are complete, and the gateway did not learn of this one: the caller waited until the endpoint was
+  // detected as silent or, where other streams ran there, until its own deadline, although another endpoint
+  // could have served it.
+  it("abandons a failure whose body never ends", async () => {
     const torn: Script = ({ call }) => ({
       events: EVENTS,
-      says: [headOf(call, { status: 500, length: 100 }), "abc"],
+      rawParts: [formatHead(call, { status: 500, length: 100 }), "abc"],
+    });
+    const answer = await requestStream("p3", [torn, complete], {
+      time: SHORT_TIMEOUT_MS,
     });
-    const answer = await ask("p3", [torn, good], { time: SHORT_TIME_MS });
     const whole = eventsOf("p3", { count: EVENTS });
     expect({ end: answer.end, body: answer.body }).toEqual({
       end: "whole",
@@ -119,16 +126,17 @@
     });
   });
 
-  // An answer that is no events is kept until it is whole, and its bytes were not told to the gateway. An
-  // endpoint that says one for two seconds, a piece each quarter, was left as silent and the request ran at
-  // others too. On plain routes it is still so: 3 runs, and 5.6 s for an answer of 2.5 s.
-  describe("stays where an answer that is no events still comes", () => {
+  // Guards against abandoning an endpoint as silent while its answer, which is not an event stream, still
+  // arrives. Such answers are buffered until they are complete, and their bytes were not reported to the gateway:
+  // one of two seconds, with a piece every 250 ms, made the request run at other endpoints too. On plain routes
+  // this meant 3 runs, and 5.6 s for an answer of 2.5 s.
+  describe("stays where an answer that is not an event stream still arrives", () => {
     const pieces = Array.from({ length: 10 }, (_, index) => `piece ${index}`);
     const text = pieces.join("");
     const slow: Script = ({ call }) => ({
       events: EVENTS,
-      says: [
-        headOf(call, { type: "text/plain", length: text.length }),
+      rawParts: [
+        formatHead(call, { type: "text/plain", length: text.length }),
         ...pieces,
       ],
       pace: 250,
@@ -138,38 +146,47 @@
       "a plain route",
       "/plain/x",
     ]])("on %s", async (name, path) => {
-      const { body } = await ask(`p4 ${name}`, [slow], { path, time: 6_000 });
+      const { body } = await requestStream(`p4 ${name}`, [slow], {
+        path,
+        time: 6_000,
+      });
       expect(body).toBe(text);
       expect(runsOf(`p4 ${name}`)).toHaveLength(1);
     });
   });
 
-  // An event without an end was kept in memory for as long as bytes came. Nothing of it may go to a caller
-  // before it is whole, so its endpoint has to be left at some size.
-  it("leaves an event that goes on and on", async () => {
+  // Guards against buffering an endless event without a limit. No part of an event may reach the caller before
+  // the event is complete, so the endpoint has to be abandoned at some size.
+  it("abandons an event that never ends", async () => {
     const endless: Script = ({ call }) => ({
       events: EVENTS,
-      says: [
-        headOf(call),
+      rawParts: [
+        formatHead(call),
         "data: ",
         ..."x".repeat(64).split("").map((letter) => letter.repeat(65_536)),
       ],
     });
-    const answer = await ask("p9", [endless, good], { time: SHORT_TIME_MS });
+    const answer = await requestStream("p9", [endless, complete], {
+      time: SHORT_TIMEOUT_MS,
+    });
     const whole = eventsOf("p9", { count: EVENTS });
     expect(answer.body).toBe(whole);
   });
 
-  // An endpoint that turns a resumed send away vouches that it did not run it; a failure there was answered
-  // by a third endpoint, a refusal broke the stream off.
-  it("goes on after a refusal to go on", async () => {
+  // Guards against breaking off a stream because an endpoint refuses to resume it, although the refusal
+  // guarantees that the request did not run there. Only after a failure was a third endpoint tried.
+  it("continues after a refusal to resume it", async () => {
     const silent: Script = () => ({
       events: EVENTS,
       stop: "silent",
       stopAt: eventsOf("p5", { count: 2 }).length,
     });
-    const full: Script = () => ({ events: EVENTS, status: 503, notRun: true });
-    const answer = await ask("p5", [silent, full, good]);
+    const refusing: Script = () => ({
+      events: EVENTS,
+      status: 503,
+      notRun: true,
+    });
+    const answer = await requestStream("p5", [silent, refusing, complete]);
     const whole = eventsOf("p5", { count: EVENTS });
     expect({ end: answer.end, body: answer.body }).toEqual({
       end: "whole",
@@ -185,17 +202,17 @@
       }));
   });
 
-  it("goes on at a third endpoint where the second says no events", async () => {
+  it("continues at a third endpoint where the second sends no events", async () => {
     const silent: Script = () => ({
       events: EVENTS,
       stop: "silent",
       stopAt: eventsOf("p6", { count: 2 }).length,
     });
-    const text: Script = ({ call }) => ({
+    const plainText: Script = ({ call }) => ({
       events: EVENTS,
-      says: [headOf(call, { type: "text/plain", length: 4 }), "text"],
+      rawParts: [formatHead(call, { type: "text/plain", length: 4 }), "text"],
     });
-    const answer = await ask("p6", [silent, text, good]);
+    const answer = await requestStream("p6", [silent, plainText, complete]);
     const whole = eventsOf("p6", { count: EVENTS });
     expect({ end: answer.end, body: answer.body }).toEqual({
       end: "whole",
@@ -207,17 +224,17 @@
     ]);
   });
 
-  it("is broken off where what has begun are no events", async () => {
+  it("is broken off where the answer that has begun is not an event stream", async () => {
     const text = "a".repeat(LARGE_BYTES);
     const torn: Script = ({ call }) => ({
       events: EVENTS,
-      says: [
-        headOf(call, { type: "text/plain", length: 2 * LARGE_BYTES }),
+      rawParts: [
+        formatHead(call, { type: "text/plain", length: 2 * LARGE_BYTES }),
         text,
       ],
       stop: "closed",
     });
-    const { body, end } = await ask("p7", [torn, good]);
+    const { body, end } = await requestStream("p7", [torn, complete]);
     expect({ whole: body === text, end }).toEqual({
       whole: true,
       end: "broken",
@@ -225,30 +242,32 @@
     expect(runsOf("p7")).toHaveLength(1);
   });
 
-  it("is broken off where its route does not let it go on", async () => {
+  it("is broken off where its route does not allow resuming", async () => {
     const torn: Script = () => ({
       events: EVENTS,
       stop: "ended",
       stopAt: eventsOf("p8", { count: 2 }).length + 1,
     });
-    const answer = await ask("p8", [torn, good], { path: "/fixed/x" });
+    const answer = await requestStream("p8", [torn, complete], {
+      path: "/fixed/x",
+    });
     const whole = eventsOf("p8", { count: EVENTS });
     expect(answer.end).toBe("broken");
     expect(faultOf(answer, { whole })).toBe(undefined);
     expect(runsOf("p8")).toHaveLength(1);
   });
 
-  it("gets nothing of an endpoint that speaks again after it was left", async () => {
+  it("contains no bytes of an endpoint that sends again after it was abandoned", async () => {
     const parts = [1, 2, 3].map((third) =>
       eventsOf("p10", { count: 2 * third, after: 2 * (third - 1) })
     );
     const late: Script = ({ call }) => ({
       events: EVENTS,
-      says: [headOf(call) + parts[0]!, parts[1]!, parts[2]!],
+      rawParts: [formatHead(call) + parts[0]!, parts[1]!, parts[2]!],
       pace: 1_700,
     });
     const slow: Script = () => ({ events: EVENTS, piece: 10, pace: 40 });
-    const answer = await ask("p10", [late, slow]);
+    const answer = await requestStream("p10", [late, slow]);
     const whole = eventsOf("p10", { count: EVENTS });
     expect(faultOf(answer, { whole })).toBe(undefined);
     expect({ end: answer.end, runs: runsOf("p10").length }).toEqual({
@@ -257,31 +276,34 @@
     });
   });
 
-  it.each([["small", 10], ["larger than what is kept", LARGE_BYTES]])(
-    "gets nothing of a failure that another endpoint makes up for: %s",
+  it.each([["small", 10], ["larger than the buffer", LARGE_BYTES]])(
+    "contains no bytes of a failure where another endpoint answers: %s",
     async (size, length) => {
       const call = `p11 ${size}`;
       const failing: Script = () => ({
         events: EVENTS,
-        says: [headOf(call, { status: 500, length }), "x".repeat(length)],
+        rawParts: [
+          formatHead(call, { status: 500, length }),
+          "x".repeat(length),
+        ],
       });
-      const answer = await ask(call, [failing, good]);
+      const answer = await requestStream(call, [failing, complete]);
       const whole = eventsOf(call, { count: EVENTS });
       expect(answer).toEqual({ status: 200, body: whole, end: "whole" });
     },
   );
 
-  it("is passed on with a blank line that comes after its last event", async () => {
+  it("is passed on with a blank line after its last event", async () => {
     const whole = `${eventsOf("p12", { count: EVENTS })}\n`;
     const blank: Script = ({ call }) => ({
       events: EVENTS,
-      says: [
-        headOf(call, { length: whole.length }) + whole.slice(0, -1),
+      rawParts: [
+        formatHead(call, { length: whole.length }) + whole.slice(0, -1),
         "\n",
       ],
       pace: 50,
     });
-    const { body, end } = await ask("p12", [blank]);
+    const { body, end } = await requestStream("p12", [blank]);
     expect({ body, end }).toEqual({ body: whole, end: "whole" });
   });
 });
--- a/playground/src/bytes/__tests__/kept_connection.test.ts
+++ b/playground/src/bytes/__tests__/kept_connection.test.ts
@@ -13,56 +13,59 @@
 } from "../index.ts";
 
 const EVENTS = 6;
-const MANY = 20_000;
-const TORN_AT = eventsOf("k1", { count: 2 }).length + 9;
+const MANY_EVENTS = 20_000;
+const CUT_AT_BYTE = eventsOf("k1", { count: 2 }).length + 9;
 
 describe("a connection of a caller", () => {
-  const plans: Record<string, RunScript> = {
+  const scripts: Record<string, RunScript> = {
     good: { events: EVENTS },
-    torn: { events: EVENTS, stop: "closed", stopAt: TORN_AT },
+    torn: { events: EVENTS, stop: "closed", stopAt: CUT_AT_BYTE },
     slow: { events: EVENTS, piece: 5, pace: 5 },
-    large: { events: MANY },
+    large: { events: MANY_EVENTS },
   };
   const script = ({ call }: RawRequest): RunScript =>
-    plans[call.split("-")[0]!]!;
+    scripts[call.split("-")[0]!]!;
   const engines = ["i-1", "i-2"].map((id) => new RawEngine(id, script));
   const fleet = new ByteFleet({
     engines: engines.map((engine) => ({ engine })),
   });
-  const wholeOf = (call: string): string =>
+  const fullBody = (call: string): string =>
     eventsOf(call, { count: script({ call } as RawRequest).events });
 
   beforeAll(() => fleet.start());
   afterAll(() => fleet.close());
 
-  describe("that is kept", () => {
+  describe("that is kept alive", () => {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 });
-    const sockets = (): number =>
+    const freeSocketCount = (): number =>
       Object.values(agent.freeSockets).flat().length;
     afterAll(() => agent.destroy());
 
-    it("brings each request its own answer after a whole stream", async () => {
+    it("returns each request its own answer after a complete stream", async () => {
       for (const call of ["good-1", "slow-1", "good-2"]) {
         const answer = await fleet.ask(call, { agent });
-        expect(faultOf(answer, { whole: wholeOf(call) })).toBe(undefined);
+        expect(faultOf(answer, { whole: fullBody(call) })).toBe(undefined);
         expect(answer.end).toBe("whole");
-        await eventually(() => sockets() === 1);
+        await eventually(() => freeSocketCount() === 1);
       }
     });
 
-    it("is gone after a broken one", async () => {
+    it("is closed after a broken stream", async () => {
       const answer = await fleet.ask("torn-1", { agent, path: "/once/x" });
-      expect(faultOf(answer, { whole: wholeOf("torn-1") })).toBe(undefined);
+      expect(faultOf(answer, { whole: fullBody("torn-1") })).toBe(undefined);
       expect(answer.end).toBe("broken");
-      await eventually(() => sockets() === 0);
+      await eventually(() => freeSocketCount() === 0);
       const next = await fleet.ask("good-3", { agent });
-      expect(faultOf(next, { whole: wholeOf("good-3") })).toBe(undefined);
+      expect(faultOf(next, { whole: fullBody("good-3") })).toBe(undefined);
     });
   });
 
-  describe("with requests one behind the other", () => {
-    /** Says all requests at once; gives what comes until the connection ends. */
-    const askAll = (calls: readonly string[], path: string): Promise<string> =>
+  describe("with pipelined requests", () => {
+    /** Sends all requests at once; resolves with everything received until the connection closes. */
+    const sendPipelined = (
+      calls: readonly string[],
+      path: string,
+    ): Promise<string> =>
       new Promise((resolve) => {
         const [host, port] = fleet.entries[0]!.callers.split(":");
         let text = "";
@@ -83,25 +86,25 @@
         );
       });
 
-    it("brings the answers in their order, each whole", async () => {
+    it("returns complete answers in order", async () => {
       const calls = ["slow-2", "large-2", "good-5"];
-      const text = await askAll(calls, "/resume/x");
-      expect(bodiesOf(text)).toEqual(
-        calls.map((call) => ({ body: wholeOf(call), whole: true })),
+      const text = await sendPipelined(calls, "/resume/x");
+      expect(parseBodies(text)).toEqual(
+        calls.map((call) => ({ body: fullBody(call), whole: true })),
       );
     });
 
-    it("brings nothing behind an answer that is broken off", async () => {
-      const text = await askAll(["torn-2", "good-6"], "/once/x");
-      expect(bodiesOf(text)).toEqual([
+    it("returns nothing after an answer that is broken off", async () => {
+      const text = await sendPipelined(["torn-2", "good-6"], "/once/x");
+      expect(parseBodies(text)).toEqual([
         { body: eventsOf("torn-2", { count: 2 }), whole: false },
       ]);
     });
   });
 });
 
-/** The bodies of chunked answers one behind the other, and whether each ends with its last chunk. */
-function bodiesOf(text: string): { body: string; whole: boolean }[] {
+/** Bodies of consecutive chunked answers, and whether each ends with the terminating chunk. */
+function parseBodies(text: string): { body: string; whole: boolean }[] {
   const bodies: { body: string; whole: boolean }[] = [];
   let at = 0;
   while (at < text.length) {
--- a/playground/src/bytes/__tests__/planned_stop.test.ts
+++ b/playground/src/bytes/__tests__/planned_stop.test.ts
@@ -10,23 +10,27 @@
   type RunScript,
 } from "../index.ts";
 
-/** More than the buffers of the sockets on the way hold. */
-const MANY = 200_000;
-const FEW = 6;
+/** More than the buffers of all sockets on the path hold. */
+const MANY_EVENTS = 200_000;
+const FEW_EVENTS = 6;
 const OK = 200;
 const BAD_GATEWAY = 502;
-const TORN_AT = eventsOf("n1", { count: 2 }).length + 9;
+const CUT_AT_BYTE = eventsOf("n1", { count: 2 }).length + 9;
 const PIECE_BYTES = 7;
-const PIECE_PACE_MS = 15;
+const PIECE_INTERVAL_MS = 15;
 
 describe("a planned stop", () => {
-  const plans: Record<string, RunScript> = {
-    slow: { events: MANY },
-    endless: { events: MANY, piece: PIECE_BYTES, pace: PIECE_PACE_MS },
-    torn: { events: FEW, stop: "silent", stopAt: TORN_AT },
-    late: { events: FEW, stop: "never" },
+  const scripts: Record<string, RunScript> = {
+    slow: { events: MANY_EVENTS },
+    endless: {
+      events: MANY_EVENTS,
+      piece: PIECE_BYTES,
+      pace: PIECE_INTERVAL_MS,
+    },
+    torn: { events: FEW_EVENTS, stop: "silent", stopAt: CUT_AT_BYTE },
+    late: { events: FEW_EVENTS, stop: "never" },
   };
-  const script = ({ call }: RawRequest): RunScript => plans[call]!;
+  const script = ({ call }: RawRequest): RunScript => scripts[call]!;
   const engine = new RawEngine("i-1", script);
   const fleet = new ByteFleet({
     engines: [{ engine }],
@@ -37,29 +41,29 @@
   beforeAll(() => fleet.start());
   afterAll(() => fleet.close());
 
-  // A stopping entry whose time was up ended with answers in it: the process was gone, and with it what its
-  // callers had not read yet. They had the beginning of an event, and those still without an answer got none.
-  it("cuts streams between events, and refuses what has no answer", async () => {
+  // Guards against an entry that exits at its stop timeout with answers still in its buffers. What callers had
+  // not read yet was lost: some got only the beginning of an event, and those still waiting got no answer.
+  it("ends streams between events, and refuses requests without an answer", async () => {
     const entry = fleet.entries[0]! as ProcessEntry;
     const stopped = (): Promise<void> =>
       eventually(() => entry.lines("stop: Stopped.").length > 0);
-    const calls = Object.keys(plans);
+    const calls = Object.keys(scripts);
     const answers = calls.map((call) => {
-      let first = call === "slow";
+      let pauses = call === "slow";
       const onBytes = (): Promise<void> | undefined => {
-        const held = first ? stopped() : undefined;
-        first = false;
-        return held;
+        const pause = pauses ? stopped() : undefined;
+        pauses = false;
+        return pause;
       };
       return fleet.ask(call, { path: "/once/x", time: 20_000, onBytes });
     });
     await eventually(() => engine.runs.length === calls.length);
     entry.signal("SIGTERM");
-    expect(await entry.ended()).toBe(0);
-    const seen = await Promise.all(answers);
-    expect(seen.map(({ status, body, end }, at) => {
+    expect(await entry.exitStatus()).toBe(0);
+    const received = await Promise.all(answers);
+    expect(received.map(({ status, body, end }, at) => {
       const call = calls[at]!;
-      const { events } = plans[call]!;
+      const { events } = scripts[call]!;
       const whole = eventsOf(call, { count: events });
       return {
         call,
--- a/playground/src/bytes/__tests__/relays.test.ts
+++ b/playground/src/bytes/__tests__/relays.test.ts
@@ -15,19 +15,19 @@
 const EVENTS = 20;
 const ATTEMPTS = 3;
 const PIECE_BYTES = 7;
-const PIECE_PACE_MS = 8;
-const TORN_AT = eventsOf("cut", { count: 2 }).length + 9;
-const STANDSTILL_MS = 2_000;
-const FAR = ["b", "c", "d"];
+const PIECE_INTERVAL_MS = 8;
+const CUT_AT_BYTE = eventsOf("cut", { count: 2 }).length + 9;
+const PAUSE_MS = 2_000;
+const REMOTE_REGIONS = ["b", "c", "d"];
 
-// Entries in processes of their own; region a has no endpoints, so that its entry passes everything on.
+// Entries run in their own processes. Region a has no endpoints, so that its entry relays every request.
 describe("a stream that another region serves", () => {
-  const plans = new Map<string, RunScript[]>();
+  const scriptsByCall = new Map<string, RunScript[]>();
   const script = ({ call }: RawRequest): RunScript => {
-    const plan = plans.get(call)!;
-    return plan.length > 1 ? plan.shift()! : plan[0]!;
+    const scripts = scriptsByCall.get(call)!;
+    return scripts.length > 1 ? scripts.shift()! : scripts[0]!;
   };
-  const engines = FAR.flatMap((region) =>
+  const engines = REMOTE_REGIONS.flatMap((region) =>
     [1, 2].map((index) => ({
       engine: new RawEngine(`i-${region}${index}`, script),
       region,
@@ -35,7 +35,7 @@
   );
   const fleet = new ByteFleet({
     engines,
-    entries: ["a", ...FAR],
+    entries: ["a", ...REMOTE_REGIONS],
     attempts: ATTEMPTS,
     processes: true,
     stopSeconds: 5,
@@ -43,31 +43,34 @@
   const slow: RunScript = {
     events: EVENTS,
     piece: PIECE_BYTES,
-    pace: PIECE_PACE_MS,
+    pace: PIECE_INTERVAL_MS,
   };
 
-  const runsOf = (call: string): string[] =>
+  const regionsOfRuns = (call: string): string[] =>
     engines.flatMap(({ engine, region }) =>
       engine.runs.filter((run) => run.call === call).map(() => region)
     );
-  /** The entry that passes a request's answer on from its engine. */
-  const farEntry = (call: string): ProcessEntry =>
-    fleet.entries[1 + FAR.indexOf(runsOf(call)[0]!)] as ProcessEntry;
-  const near = (): ProcessEntry => fleet.entries[0] as ProcessEntry;
+  /** The entry in whose region a call runs. */
+  const remoteEntry = (call: string): ProcessEntry =>
+    fleet
+      .entries[
+        1 + REMOTE_REGIONS.indexOf(regionsOfRuns(call)[0]!)
+      ] as ProcessEntry;
+  const localEntry = (): ProcessEntry => fleet.entries[0] as ProcessEntry;
 
-  /** Asks, and does something once two events have come. */
-  const ask = async (
+  /** Requests a stream, and calls `act` once two events have come. */
+  const requestStream = async (
     call: string,
-    plan: readonly RunScript[],
+    scripts: readonly RunScript[],
     act: () => void = () => {},
   ): Promise<SeenAnswer> => {
-    plans.set(call, [...plan]);
+    scriptsByCall.set(call, [...scripts]);
     let bytes = 0;
     let acted = false;
     const answer = await fleet.ask(call, {
       onBytes: (count) => {
         bytes += count;
-        if (!acted && bytes > TORN_AT) {
+        if (!acted && bytes > CUT_AT_BYTE) {
           acted = true;
           act();
         }
@@ -75,48 +78,56 @@
     });
     const whole = eventsOf(call, { count: EVENTS });
     expect(faultOf(answer, { whole })).toBe(undefined);
-    expect(runsOf(call).length).toBeLessThanOrEqual(ATTEMPTS);
+    expect(regionsOfRuns(call).length).toBeLessThanOrEqual(ATTEMPTS);
     return answer;
   };
-  const standStill = (entry: ProcessEntry): void => {
+  const pauseEntry = (entry: ProcessEntry): void => {
     entry.signal("SIGSTOP");
-    void pause(STANDSTILL_MS).then(() => entry.signal("SIGCONT"));
+    void pause(PAUSE_MS).then(() => entry.signal("SIGCONT"));
   };
 
   beforeAll(async () => {
     await fleet.start();
-    plans.set("first", [{ events: EVENTS }]);
+    scriptsByCall.set("first", [{ events: EVENTS }]);
     await eventually(async () => (await fleet.ask("first")).status === 200);
   });
   afterAll(() => fleet.close());
 
-  it("goes on there where its endpoint ends inside an event", async () => {
-    const torn: RunScript = { ...slow, stop: "closed", stopAt: TORN_AT };
-    expect((await ask("cut", [torn, slow])).end).toBe("whole");
-    expect(new Set(runsOf("cut")).size).toBe(1);
-    expect(runsOf("cut").length).toBe(2);
+  it("continues in that region where its endpoint ends inside an event", async () => {
+    const torn: RunScript = { ...slow, stop: "closed", stopAt: CUT_AT_BYTE };
+    expect((await requestStream("cut", [torn, slow])).end).toBe("whole");
+    expect(new Set(regionsOfRuns("cut")).size).toBe(1);
+    expect(regionsOfRuns("cut").length).toBe(2);
   });
 
-  it("is whole and runs once where the near entry stands still", async () => {
-    const { end } = await ask("near", [slow], () => standStill(near()));
+  it("is complete and runs once where the local entry is paused", async () => {
+    const { end } = await requestStream(
+      "near",
+      [slow],
+      () => pauseEntry(localEntry()),
+    );
     expect(end).toBe("whole");
-    expect(runsOf("near").length).toBe(1);
+    expect(regionsOfRuns("near").length).toBe(1);
   });
 
-  it("is whole and runs once where the far entry stands still", async () => {
-    const { end } = await ask("far", [slow], () => standStill(farEntry("far")));
+  it("is complete and runs once where the remote entry is paused", async () => {
+    const { end } = await requestStream(
+      "far",
+      [slow],
+      () => pauseEntry(remoteEntry("far")),
+    );
     expect(end).toBe("whole");
-    expect(runsOf("far").length).toBe(1);
+    expect(regionsOfRuns("far").length).toBe(1);
   });
 
-  it("is whole where the far entry stops as planned", async () => {
-    const act = (): void => farEntry("stop").signal("SIGTERM");
-    expect((await ask("stop", [slow], act)).end).toBe("whole");
-    expect(runsOf("stop").length).toBe(1);
+  it("is complete where the remote entry performs a planned stop", async () => {
+    const act = (): void => remoteEntry("stop").signal("SIGTERM");
+    expect((await requestStream("stop", [slow], act)).end).toBe("whole");
+    expect(regionsOfRuns("stop").length).toBe(1);
   });
 
-  it("ends visibly, after an event, where the far entry is killed", async () => {
-    const act = (): void => farEntry("kill").signal("SIGKILL");
-    await ask("kill", [slow], act);
+  it("is broken off visibly after an event where the remote entry is killed", async () => {
+    const act = (): void => remoteEntry("kill").signal("SIGKILL");
+    await requestStream("kill", [slow], act);
   });
 });
--- a/playground/src/bytes/__tests__/resumed_relay.test.ts
+++ b/playground/src/bytes/__tests__/resumed_relay.test.ts
@@ -13,20 +13,21 @@
 
 const EVENTS = 6;
 const ATTEMPTS = 3;
-const HAS = 2;
-const TORN_BYTES = 9;
+const EVENTS_BEFORE_CUT = 2;
+const PARTIAL_EVENT_BYTES = 9;
 
-/** Region a has one endpoint: what breaks off there goes on in region b or c. */
+// Region a has one endpoint, so that a stream that breaks off there continues in region b or c.
 describe("a stream that goes on in another region", () => {
-  /** What the endpoints of each region do with a call: the first time, the second and so on. */
-  const plans = new Map<string, RunScript[]>();
+  /** By call id and region: the scripts of the first, second and later runs there. */
+  const scriptsByCallAndRegion = new Map<string, RunScript[]>();
   const engines = ["a", "b", "b", "b", "c"].map((region, index) => ({
     region,
     engine: new RawEngine(`i-${index}`, ({ call, after }) => {
-      const plan = plans.get(`${call} ${region}`) ?? [{ events: EVENTS }];
-      const next = plan.length > 1 ? plan.shift()! : plan[0]!;
-      const stopAt = next.stop === undefined ? undefined : TORN_BYTES +
-        (after === 0 ? eventsOf(call, { count: HAS }).length : 0);
+      const scripts = scriptsByCallAndRegion.get(`${call} ${region}`) ??
+        [{ events: EVENTS }];
+      const next = scripts.length > 1 ? scripts.shift()! : scripts[0]!;
+      const stopAt = next.stop === undefined ? undefined : PARTIAL_EVENT_BYTES +
+        (after === 0 ? eventsOf(call, { count: EVENTS_BEFORE_CUT }).length : 0);
       return { ...next, stopAt };
     }),
   }));
@@ -43,13 +44,17 @@
       .filter((run) => run.call === call)
       .sort((left, right) => left.at - right.at);
 
-  const ask = async (
+  const requestStream = async (
     call: string,
-    far: Partial<Record<"b" | "c", RunScript>>,
+    remoteScripts: Partial<Record<"b" | "c", RunScript>>,
   ): Promise<SeenAnswer> => {
-    plans.set(`${call} a`, [torn]);
-    plans.set(`${call} b`, [far.b ?? { events: EVENTS }]);
-    plans.set(`${call} c`, [far.c ?? { events: EVENTS }]);
+    scriptsByCallAndRegion.set(`${call} a`, [torn]);
+    scriptsByCallAndRegion.set(`${call} b`, [
+      remoteScripts.b ?? { events: EVENTS },
+    ]);
+    scriptsByCallAndRegion.set(`${call} c`, [
+      remoteScripts.c ?? { events: EVENTS },
+    ]);
     const answer = await fleet.ask(call);
     const whole = eventsOf(call, { count: EVENTS });
     expect(faultOf(answer, { whole })).toBe(undefined);
@@ -59,28 +64,32 @@
 
   beforeAll(async () => {
     await fleet.start();
-    plans.set("first a", [{ ...refusing }]);
+    scriptsByCallAndRegion.set("first a", [{ ...refusing }]);
     await eventually(async () => (await fleet.ask("first")).status === 200);
   });
   afterAll(() => fleet.close());
 
-  it("is whole, and the endpoint there is told the last event", async () => {
-    expect((await ask("g1", {})).end).toBe("whole");
+  it("is complete, and the endpoint there receives the last event id", async () => {
+    expect((await requestStream("g1", {})).end).toBe("whole");
     const [, second] = runsOf("g1");
-    expect(second!.headers.get(HEADERS.lastEventId)).toBe(String(HAS));
+    expect(second!.headers.get(HEADERS.lastEventId)).toBe(
+      String(EVENTS_BEFORE_CUT),
+    );
     expect(runsOf("g1").length).toBe(2);
   });
 
   it("is not run more often than its route allows, however it breaks", async () => {
-    expect((await ask("t1", { b: torn, c: torn })).end).toBe("broken");
+    expect((await requestStream("t1", { b: torn, c: torn })).end).toBe(
+      "broken",
+    );
   });
 
-  it("ends after an event where endpoints there fail", async () => {
-    await ask("f1", { b: failing, c: failing });
+  it("ends after a whole event where the endpoints there fail", async () => {
+    await requestStream("f1", { b: failing, c: failing });
   });
 
-  it("ends after an event where endpoints there turn it away", async () => {
-    const { end } = await ask("r1", { b: refusing, c: refusing });
+  it("ends after a whole event where the endpoints there refuse it", async () => {
+    const { end } = await requestStream("r1", { b: refusing, c: refusing });
     expect(end).toBe("broken");
     expect(runsOf("r1").length).toBe(1);
   });
--- a/playground/src/bytes/__tests__/resumed_send.test.ts
+++ b/playground/src/bytes/__tests__/resumed_send.test.ts
@@ -9,15 +9,15 @@
 } from "../index.ts";
 
 const EVENTS = 6;
-const TORN_AT = eventsOf("r1", { count: 2 }).length + 9;
-const FULL = 503;
+const CUT_AT_BYTE = eventsOf("r1", { count: 2 }).length + 9;
+const UNAVAILABLE = 503;
 
 describe("a stream that goes on elsewhere", () => {
-  /** What becomes of each send of a call, the last of them for all that follow. */
-  const plans = new Map<string, RunScript[]>();
+  /** By call id: the scripts of its attempts; the last one applies to all further attempts. */
+  const scriptsByCall = new Map<string, RunScript[]>();
   const script = ({ call }: RawRequest): RunScript => {
-    const plan = plans.get(call)!;
-    return plan.length > 1 ? plan.shift()! : plan[0]!;
+    const scripts = scriptsByCall.get(call)!;
+    return scripts.length > 1 ? scripts.shift()! : scripts[0]!;
   };
   const engines = ["i-1", "i-2", "i-3", "i-4"].map((id) =>
     new RawEngine(id, script)
@@ -26,28 +26,39 @@
     engines: engines.map((engine) => ({ engine })),
     attempts: 4,
   });
-  const torn: RunScript = { events: EVENTS, stop: "closed", stopAt: TORN_AT };
-  const refused: RunScript = { events: EVENTS, status: FULL, notRun: true };
-  const good: RunScript = { events: EVENTS };
+  const torn: RunScript = {
+    events: EVENTS,
+    stop: "closed",
+    stopAt: CUT_AT_BYTE,
+  };
+  const refused: RunScript = {
+    events: EVENTS,
+    status: UNAVAILABLE,
+    notRun: true,
+  };
+  const complete: RunScript = { events: EVENTS };
 
   beforeAll(() => fleet.start());
   afterAll(() => fleet.close());
 
-  // A stream was broken off although other endpoints stood idle: the one that it was to go on at had no place
-  // for it and said that it had not run it. Only a failure there made it try another.
+  // Guards against breaking off a stream while other endpoints are idle, because the endpoint that was to resume
+  // it was full and stated that the request did not run. Only after a failure was another endpoint tried.
   it.each([
-    { call: "r1", name: "is turned away once", refusals: [refused] },
-    { call: "r2", name: "is turned away twice", refusals: [refused, refused] },
-  ])("finds another way where it $name", async ({ call, refusals }) => {
-    plans.set(call, [torn, ...refusals, good]);
-    const answer = await fleet.ask(call);
-    const whole = eventsOf(call, { count: EVENTS });
-    expect(faultOf(answer, { whole })).toBe(undefined);
-    expect(answer.end).toBe("whole");
-  });
+    { call: "r1", name: "is refused once", refusals: [refused] },
+    { call: "r2", name: "is refused twice", refusals: [refused, refused] },
+  ])(
+    "continues at a further endpoint where it $name",
+    async ({ call, refusals }) => {
+      scriptsByCall.set(call, [torn, ...refusals, complete]);
+      const answer = await fleet.ask(call);
+      const whole = eventsOf(call, { count: EVENTS });
+      expect(faultOf(answer, { whole })).toBe(undefined);
+      expect(answer.end).toBe("whole");
+    },
+  );
 
-  it("ends visibly where all turn it away", async () => {
-    plans.set("r3", [torn, refused]);
+  it("is broken off visibly where all endpoints refuse it", async () => {
+    scriptsByCall.set("r3", [torn, refused]);
     const answer = await fleet.ask("r3");
     const whole = eventsOf("r3", { count: EVENTS });
     expect(faultOf(answer, { whole })).toBe(undefined);
--- a/playground/src/bytes/__tests__/slow_caller.test.ts
+++ b/playground/src/bytes/__tests__/slow_caller.test.ts
@@ -8,13 +8,13 @@
   type RunScript,
 } from "../index.ts";
 
-/** More than the buffers of the sockets on the way hold, so that the entry itself has to wait. */
+/** More than the buffers of all sockets on the path hold, so that the entry itself has to wait. */
 const EVENTS = 200_000;
-const LONGER_THAN_SILENCE_MS = 2_500;
-const TIME_MS = 700;
-const LONGER_THAN_TIME_MS = 1_200;
+const PAUSE_PAST_SILENCE_MS = 2_500;
+const TIMEOUT_MS = 700;
+const PAUSE_PAST_TIMEOUT_MS = 1_200;
 
-const wholeOf = (call: string): string => eventsOf(call, { count: EVENTS });
+const fullBody = (call: string): string => eventsOf(call, { count: EVENTS });
 
 describe("a caller that stops reading", () => {
   const script = (): RunScript => ({ events: EVENTS });
@@ -26,39 +26,39 @@
   beforeAll(() => fleet.start());
   afterAll(() => fleet.close());
 
-  const holdOnce = (duration: number): () => Promise<void> | undefined => {
-    let held = false;
+  const pauseOnce = (durationMs: number): () => Promise<void> | undefined => {
+    let paused = false;
     return () => {
-      const first = !held;
-      held = true;
-      return first ? pause(duration) : undefined;
+      const first = !paused;
+      paused = true;
+      return first ? pause(durationMs) : undefined;
     };
   };
 
-  // An entry that can't pass on what it has read stops reading the endpoint. It then took the endpoint for
-  // silent, since no byte came for a second and a half, and had the stream run again elsewhere: two runs,
-  // and one endpoint less for everybody, because one caller was slow.
+  // Guards against taking an endpoint for silent because a caller is slow. An entry that cannot pass on what it
+  // has read stops reading from the endpoint. When no byte came for 1.5 s, it ran the stream a second time at
+  // another endpoint and stopped using the first one for all callers.
   describe("for longer than an engine may be silent", () => {
-    it("gets its stream whole, out of one run", async () => {
+    it("gets its complete stream from one run", async () => {
       const answer = await fleet.ask("s1", {
-        onBytes: holdOnce(LONGER_THAN_SILENCE_MS),
+        onBytes: pauseOnce(PAUSE_PAST_SILENCE_MS),
       });
-      expect(faultOf(answer, { whole: wholeOf("s1") })).toBe(undefined);
+      expect(faultOf(answer, { whole: fullBody("s1") })).toBe(undefined);
       expect(answer.end).toBe("whole");
       expect(engines.flatMap(({ runs }) => runs).length).toBe(1);
       expect(fleet.entries[0]!.lines("call: Endpoint is silent.")).toEqual([]);
     });
   });
 
-  // A stream whose time was up was broken off by closing its connection at once. What the entry had passed on
-  // already, and the caller had not yet read, was dropped: its last event was torn.
-  describe("until its time is up", () => {
+  // Guards against closing the connection at once when a stream times out: data that the entry had passed on but
+  // the caller had not read yet was lost, and the caller's last event was cut off.
+  describe("until its timeout", () => {
     it("gets what was passed on, up to a whole event", async () => {
       const answer = await fleet.ask("s2", {
-        time: TIME_MS,
-        onBytes: holdOnce(LONGER_THAN_TIME_MS),
+        time: TIMEOUT_MS,
+        onBytes: pauseOnce(PAUSE_PAST_TIMEOUT_MS),
       });
-      expect(faultOf(answer, { whole: wholeOf("s2") })).toBe(undefined);
+      expect(faultOf(answer, { whole: fullBody("s2") })).toBe(undefined);
       expect(answer.end).toBe("broken");
     });
   });
--- a/playground/src/bytes/__tests__/slow_crossed.test.ts
+++ b/playground/src/bytes/__tests__/slow_crossed.test.ts
@@ -11,23 +11,23 @@
   type Stop,
 } from "../index.ts";
 
-/** More than the buffers of the sockets on the way hold. */
+/** More than the buffers of all sockets on the path hold. */
 const EVENTS = 130_000;
-const HELD_MS = 300;
+const READ_PAUSE_MS = 300;
 
 const FRAMINGS: readonly Framing[] = ["chunked", "length", "none"];
 const STOPS: readonly Stop[] = ["whole", "closed", "reset"];
 const PATHS = ["/resume/x", "/once/x"];
 
-// Slow callers crossed with each way that their endpoint can stop meanwhile.
+// Combines slow callers with every framing and with endpoints that complete, close or reset their stream meanwhile.
 describe("a slow caller whose endpoint stops", () => {
-  const plans = new Map<string, RunScript>();
-  const whole: RunScript = { events: EVENTS };
-  const seen = new Set<string>();
+  const scriptsByCall = new Map<string, RunScript>();
+  const complete: RunScript = { events: EVENTS };
+  const startedCalls = new Set<string>();
   const script = ({ call }: RawRequest): RunScript => {
-    const first = !seen.has(call);
-    seen.add(call);
-    return first ? plans.get(call)! : whole;
+    const first = !startedCalls.has(call);
+    startedCalls.add(call);
+    return first ? scriptsByCall.get(call)! : complete;
   };
   const engines = ["i-1", "i-2", "i-3"].map((id) => new RawEngine(id, script));
   const fleet = new ByteFleet({
@@ -39,24 +39,24 @@
 
   const cases = FRAMINGS.flatMap((framing) =>
     STOPS.flatMap((stop) => PATHS.map((path) => ({ framing, stop, path })))
-  ).map((facts, index) => ({ ...facts, call: `x${index}` }));
+  ).map((combination, index) => ({ ...combination, call: `x${index}` }));
 
-  it.each(cases)("$framing, $stop, $path", async (facts) => {
-    const { call, path, framing, stop } = facts;
-    const all = eventsOf(call, { count: EVENTS });
-    const stopAt = all.length - 100;
-    plans.set(call, { events: EVENTS, framing, stop, stopAt });
-    let held = false;
+  it.each(cases)("$framing, $stop, $path", async (testCase) => {
+    const { call, path, framing, stop } = testCase;
+    const fullBody = eventsOf(call, { count: EVENTS });
+    const stopAt = fullBody.length - 100;
+    scriptsByCall.set(call, { events: EVENTS, framing, stop, stopAt });
+    let paused = false;
     const answer = await fleet.ask(call, {
       path,
       onBytes: () => {
-        const first = !held;
-        held = true;
-        return first ? pause(HELD_MS) : undefined;
+        const first = !paused;
+        paused = true;
+        return first ? pause(READ_PAUSE_MS) : undefined;
       },
     });
-    expect(faultOf(answer, { whole: all })).toBe(undefined);
-    const canBeWhole = stop === "whole" || path === "/resume/x";
-    expect(answer.end).toBe(canBeWhole ? "whole" : "broken");
+    expect(faultOf(answer, { whole: fullBody })).toBe(undefined);
+    const endsWhole = stop === "whole" || path === "/resume/x";
+    expect(answer.end).toBe(endsWhole ? "whole" : "broken");
   });
 });
--- a/playground/src/bytes/byte_fleet.ts
+++ b/playground/src/bytes/byte_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Entries of this process before engines that say scripted bytes.
+ * A fleet of entries, in this process or in their own, with engines that send scripted bytes.
  *
  * @module
  */
@@ -7,36 +7,38 @@
 import { eventually, route } from "../platform/platform_fleet.ts";
 import { StandInStore } from "../platform/stand_in_store.ts";
 import type { SeenAnswer } from "./event_text.ts";
-import { freePorts, LocalEntry } from "./local_entry.ts";
+import { allocatePorts, LocalEntry } from "./local_entry.ts";
 import { ProcessEntry } from "./process_entry.ts";
 import type { RawEngine } from "./raw_engine.ts";
-import { askStream, type StreamQuestion } from "./stream_caller.ts";
+import { askStream, type StreamRequest } from "./stream_caller.ts";
 
-const FIRST_HOST = 31;
-/** Each process has loopback addresses of its own: a port that is free is not taken by another one's fleet. */
-const NET = `127.${1 + (process.pid >> 8) % 250}.${process.pid % 256}`;
+const FIRST_HOST_NUMBER = 31;
+/** Differs between test processes, so that their fleets never compete for a port. */
+const NETWORK_PREFIX = `127.${1 + (process.pid >> 8) % 250}.${
+  process.pid % 256
+}`;
 const SERVICE = "pool";
 const ROUTE_TIMEOUT_MS = 10_000;
 
-/** Where an engine or an entry stands: a zone of the same name belongs to each region. */
+/** Engines and entries of a fleet. Region `a` consists of the zone `a-1`, and so on. */
 export interface ByteFleetPlan {
   readonly engines: readonly { engine: RawEngine; region?: string }[];
-  /** A region for each entry. */
+  /** The region of each entry. */
   readonly entries?: readonly string[];
-  /** Endpoints that one request may be sent to. */
+  /** Most endpoints that a request is sent to. */
   readonly attempts?: number;
-  /** Milliseconds of the routes' timeouts. */
+  /** Timeout of the routes, in milliseconds. */
   readonly timeout?: number;
-  /** Whether each entry is a process of its own. */
+  /** Whether each entry runs in its own process. */
   readonly processes?: boolean;
-  /** Time that a planned stop of an entry may take. */
+  /** Time limit of an entry's planned stop. */
   readonly stopSeconds?: number;
 }
 
-/** An entry, in this process or in one of its own. */
+/** An entry in this process or in its own. */
 export type ByteEntry = LocalEntry | ProcessEntry;
 
-/** A running fleet. */
+/** Entries, raw engines and a stand-in store. */
 export class ByteFleet {
   readonly store = new StandInStore();
   readonly entries: ByteEntry[] = [];
@@ -49,7 +51,7 @@
     this.#plan = plan;
   }
 
-  /** Starts everything and waits until all serve. */
+  /** Starts the store, the engines and the entries, and waits until all entries are ready. */
   async start(): Promise<void> {
     const { engines, entries = ["a"], stopSeconds } = this.#plan;
     const start = this.#plan.processes ? ProcessEntry.start : LocalEntry.start;
@@ -60,8 +62,10 @@
       this.publish(engine.id, { address, region, born: 1 });
     }
     this.publishDocument();
-    const hosts = entries.map((_, index) => `${NET}.${FIRST_HOST + index}`);
-    const [peerPort] = freePorts(1);
+    const hosts = entries.map((_, index) =>
+      `${NETWORK_PREFIX}.${FIRST_HOST_NUMBER + index}`
+    );
+    const [peerPort] = allocatePorts(1);
     const zones = Object.fromEntries(
       [...new Set(entries)].map((region) => [`${region}-1`, region]),
     );
@@ -80,20 +84,20 @@
         }),
       );
     }
-    await Promise.all(this.entries.map(served));
+    await Promise.all(this.entries.map(waitUntilReady));
   }
 
-  /** Publishes a newer document, with the given fields of the resumable route. */
+  /** Publishes a newer document; `fields` override those of its resumable route. */
   publishDocument(fields: object = {}): void {
     this.#version += 2;
     const { attempts = 3, timeout = ROUTE_TIMEOUT_MS } = this.#plan;
     this.store.put(
       STORE_KEYS.document,
-      documentOf(this.#version, { attempts, timeout, fields }),
+      buildDocument(this.#version, { attempts, timeout, fields }),
     );
   }
 
-  /** Tells the entries of an engine. */
+  /** Writes an engine's record to the store. */
   publish(
     id: string,
     { address, region = "a", ...fields }: {
@@ -115,16 +119,16 @@
     });
   }
 
-  /** The record of an engine goes from the store. */
+  /** Removes an engine's record from the store. */
   withdraw(id: string): void {
     this.store.remove(`${STORE_KEYS.endpoint}${id}`);
   }
 
-  /** Asks an entry for a stream that may be resumed. */
+  /** Requests a stream from an entry, by default on the resumable route. */
   ask(
     call: string,
     { entry = 0, ...rest }:
-      & Partial<StreamQuestion>
+      & Partial<StreamRequest>
       & { readonly entry?: number } = {},
   ): Promise<SeenAnswer> {
     return askStream(this.entries[entry]!.callers, {
@@ -141,8 +145,8 @@
   }
 }
 
-/** Waits until an entry serves; what it wrote tells why it does not. */
-async function served(entry: ByteEntry): Promise<void> {
+/** Waits until an entry is ready; on a timeout the error contains its log. */
+async function waitUntilReady(entry: ByteEntry): Promise<void> {
   try {
     await eventually(async () =>
       (await fetch(`http://${entry.readiness}${API_PATHS.ready}`)).status ===
@@ -150,11 +154,11 @@
     );
   } catch (cause) {
     const lines = entry.lines().map(({ text }) => text).join(" ");
-    throw new Error(`Entry does not serve, it wrote "${lines}"`, { cause });
+    throw new Error(`Entry is not ready, its log: "${lines}"`, { cause });
   }
 }
 
-function documentOf(
+function buildDocument(
   version: number,
   { attempts, timeout, fields }: {
     attempts: number;
@@ -162,7 +166,7 @@
     fields: object;
   },
 ): object {
-  const common = {
+  const commonFields = {
     kind: "stream",
     service: SERVICE,
     timeout_ms: timeout,
@@ -170,10 +174,15 @@
   return {
     version,
     routes: [
-      route("resume", { ...common, attempts, resumable: true, ...fields }),
-      route("once", { ...common, attempts: 1 }),
-      route("fixed", { ...common, attempts }),
-      route("plain", { ...common, attempts, kind: "idempotent" }),
+      route("resume", {
+        ...commonFields,
+        attempts,
+        resumable: true,
+        ...fields,
+      }),
+      route("once", { ...commonFields, attempts: 1 }),
+      route("fixed", { ...commonFields, attempts }),
+      route("plain", { ...commonFields, attempts, kind: "idempotent" }),
     ],
     services: [{
       name: SERVICE,
--- a/playground/src/bytes/event_text.ts
+++ b/playground/src/bytes/event_text.ts
@@ -1,23 +1,23 @@
 /**
- * The bytes that a run of a request makes, and what its caller may get of them.
+ * The event stream that a run of a request produces, and the check of what its caller received.
  *
  * @module
  */
 
-/** How an engine writes its events. */
+/** How an engine formats its events. */
 export interface EventStyle {
   readonly lineEnd: "\n" | "\r\n";
-  /** Whether some events begin with a line of another field. */
+  /** Whether some events begin with a line of a further field. */
   readonly versions: boolean;
-  /** Whether comments stand between events. */
+  /** Whether comments precede some events. */
   readonly comments: boolean;
-  /** Whether events say their numbers. */
+  /** Whether events have an `id` line with their number. */
   readonly ids: boolean;
-  /** Bytes that each event is longer by. */
+  /** Bytes added to each event. */
   readonly padding?: number;
 }
 
-/** Events as most engines write them. */
+/** The format of most engines. */
 export const PLAIN_STYLE: EventStyle = {
   lineEnd: "\n",
   versions: false,
@@ -25,11 +25,11 @@
   ids: true,
 };
 
-const VERSION_EVERY = 3;
-const COMMENT_EVERY = 4;
+const VERSION_EVERY_EVENTS = 3;
+const COMMENT_EVERY_EVENTS = 4;
 
-/** The event with a number, counted from 1. */
-export function eventOf(
+/** Formats the event with the number `id`, counted from 1. */
+export function formatEvent(
   call: string,
   id: number,
   { lineEnd, versions, comments, ids, padding = 0 }: EventStyle = PLAIN_STYLE,
@@ -39,16 +39,16 @@
   if (ids) {
     lines.unshift(`id: ${id}`);
   }
-  if (versions && id % VERSION_EVERY === 0) {
+  if (versions && id % VERSION_EVERY_EVENTS === 0) {
     lines.unshift("x-weight-versions: 7");
   }
-  if (comments && id % COMMENT_EVERY === 0) {
+  if (comments && id % COMMENT_EVERY_EVENTS === 0) {
     lines.unshift(": still there", "");
   }
   return lines.join(lineEnd);
 }
 
-/** All events of a run after the one with a number. */
+/** All events of a run after the event number `after`. */
 export function eventsOf(
   call: string,
   { count, after = 0, style }: {
@@ -59,52 +59,52 @@
 ): string {
   return Array.from(
     { length: Math.max(0, count - after) },
-    (_, index) => eventOf(call, after + index + 1, style),
+    (_, index) => formatEvent(call, after + index + 1, style),
   ).join("");
 }
 
-/** What a caller saw of an answer. */
+/** An answer as its caller received it. */
 export interface SeenAnswer {
   readonly status: number;
   readonly body: string;
-  /** How the answer ended: told whole, visibly broken, not within the caller's time, or left by its caller. */
+  /** How the answer ended: complete, visibly broken off, still open at the caller's timeout, or left by the caller. */
   readonly end: "whole" | "broken" | "open" | "left";
 }
 
-/** What is wrong with an answer, `undefined` for nothing. */
+/** Describes what is wrong with an answer, given the complete body; `undefined` if it is correct. */
 export function faultOf(
   { body, end }: SeenAnswer,
   { whole, style = PLAIN_STYLE }: { whole: string; style?: EventStyle },
 ): string | undefined {
   if (!whole.startsWith(body)) {
-    return `bytes that no run made: ${differenceOf(body, whole)}`;
+    return `bytes that no run produced: ${describeDifference(body, whole)}`;
   }
   if (end === "whole") {
     return body === whole
       ? undefined
-      : `told whole after ${body.length} of ${whole.length} bytes`;
+      : `ended as complete after ${body.length} of ${whole.length} bytes`;
   }
   if (end === "left") {
     return undefined;
   }
   const { lineEnd } = style;
   const boundary = body === "" || body.endsWith(`${lineEnd}${lineEnd}`);
-  return boundary ? undefined : `ends inside an event: ${tailOf(body)}`;
+  return boundary ? undefined : `ends inside an event: ${quoteTail(body)}`;
 }
 
-const SHOWN = 60;
+const CONTEXT_CHARACTERS = 60;
 
-function differenceOf(body: string, whole: string): string {
+function describeDifference(body: string, whole: string): string {
   let at = 0;
   while (at < body.length && body[at] === whole[at]) {
     at++;
   }
-  const from = Math.max(0, at - SHOWN);
-  return `at ${at} ${JSON.stringify(body.slice(from, at + SHOWN))} for ${
-    JSON.stringify(whole.slice(from, at + SHOWN))
-  }`;
+  const from = Math.max(0, at - CONTEXT_CHARACTERS);
+  return `at ${at} ${
+    JSON.stringify(body.slice(from, at + CONTEXT_CHARACTERS))
+  } for ${JSON.stringify(whole.slice(from, at + CONTEXT_CHARACTERS))}`;
 }
 
-function tailOf(body: string): string {
-  return JSON.stringify(body.slice(-SHOWN));
+function quoteTail(body: string): string {
+  return JSON.stringify(body.slice(-CONTEXT_CHARACTERS));
 }
--- a/playground/src/bytes/index.ts
+++ b/playground/src/bytes/index.ts
@@ -1,17 +1,17 @@
 export { type ByteEntry, ByteFleet, type ByteFleetPlan } from "./byte_fleet.ts";
 export {
-  eventOf,
   eventsOf,
   type EventStyle,
   faultOf,
+  formatEvent,
   PLAIN_STYLE,
   type SeenAnswer,
 } from "./event_text.ts";
 export {
-  freePorts,
-  type Line,
+  allocatePorts,
+  type EntryOptions,
   LocalEntry,
-  type LocalPlace,
+  type LogLine,
 } from "./local_entry.ts";
 export { ProcessEntry } from "./process_entry.ts";
 export {
@@ -23,4 +23,4 @@
   type Stop,
 } from "./raw_engine.ts";
 export { mostWithin } from "../client/most_within.ts";
-export { askStream, type StreamQuestion } from "./stream_caller.ts";
+export { askStream, type StreamRequest } from "./stream_caller.ts";
--- a/playground/src/bytes/local_entry.ts
+++ b/playground/src/bytes/local_entry.ts
@@ -1,5 +1,5 @@
 /**
- * Entries of one process, with the platform's protocol, real sockets and their lines kept.
+ * Entries in the test's process, with the platform's protocol and real sockets, whose log lines are recorded.
  *
  * @module
  */
@@ -16,15 +16,15 @@
   StoreSource,
 } from "@sassafrasstep/platform";
 
-/** One line of a log. */
-export interface Line {
+/** A log line; `text` is the part and the message, separated by a colon. */
+export interface LogLine {
   readonly text: string;
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** Keeps lines in place of writing them. */
-class LineLogger extends Logger {
-  readonly lines: Line[] = [];
+/** Records lines instead of writing them. */
+class RecordingLogger extends Logger {
+  readonly lines: LogLine[] = [];
 
   constructor() {
     super("silent", {});
@@ -47,96 +47,100 @@
   }
 }
 
-/** Where an entry of this process stands. */
-export interface LocalPlace {
+/** Placement, addresses and settings of an entry. */
+export interface EntryOptions {
   readonly name: string;
   readonly host: string;
   readonly zone: string;
   readonly region: string;
-  /** The same on all entries. */
+  /** The same for all entries. */
   readonly peerPort: number;
   readonly seeds: readonly string[];
   /** Region of each zone. */
   readonly zones: Readonly<Record<string, string>>;
   readonly storeAddress: string;
-  /** Time that a planned stop may take. */
+  /** Time limit of a planned stop. */
   readonly stopSeconds?: number;
 }
 
-/** One entry. */
+/** An entry in this process. */
 export class LocalEntry {
-  readonly #logger = new LineLogger();
+  readonly #logger = new RecordingLogger();
   readonly #entry: GatewayEntry;
-  /** Host and port for callers. */
+  /** `host:port` for callers. */
   readonly callers: string;
   readonly readiness: string;
   readonly control: string;
 
-  private constructor(text: string, place: LocalPlace, ports: number[]) {
+  private constructor(text: string, options: EntryOptions, ports: number[]) {
     const result = parseGatewaySettings(text);
     if (!result.ok) {
       throw new Error(`Cannot read settings: ${JSON.stringify(result.faults)}`);
     }
-    this.callers = `${place.host}:${ports[0]}`;
-    this.readiness = `${place.host}:${ports[2]}`;
-    this.control = `${place.host}:${ports[3]}`;
+    this.callers = `${options.host}:${ports[0]}`;
+    this.readiness = `${options.host}:${ports[2]}`;
+    this.control = `${options.host}:${ports[3]}`;
     this.#entry = new GatewayEntry(result.settings, {
       logger: this.#logger,
       platform: {
         callers: new PlatformCallerProtocol(),
         endpoints: new PlatformEndpointProtocol(),
-        source: new StoreSource(place.storeAddress, () => {}),
+        source: new StoreSource(options.storeAddress, () => {}),
         directory: createDirectoryHandler,
         readiness: createReadinessHandler,
       },
     });
   }
 
-  /** Starts one. */
-  static async start(place: LocalPlace): Promise<LocalEntry> {
-    const ports = freePorts(PORTS);
-    const entry = new LocalEntry(settingsOf(place, ports), place, ports);
+  /** Starts an entry. */
+  static async start(options: EntryOptions): Promise<LocalEntry> {
+    const ports = allocatePorts(PORTS_PER_ENTRY);
+    const entry = new LocalEntry(
+      formatSettings(options, ports),
+      options,
+      ports,
+    );
     await entry.#entry.start();
     return entry;
   }
 
-  /** Its lines, those that say a sentence where one is given. */
-  lines(text?: string): readonly Line[] {
+  /** The recorded log lines, or only those with the given text. */
+  lines(text?: string): readonly LogLine[] {
     return this.#logger.lines.filter((line) =>
       text === undefined || line.text === text
     );
   }
 
-  /** Ends it as planned. */
+  /** Performs a planned stop. */
   async stop(): Promise<void> {
     this.#entry.stop();
     await this.#entry.stopped;
   }
 }
 
-/** Ports of an entry beside the one for peers. */
-export const PORTS = 4;
-const STOP_SECONDS = 8;
+/** Number of ports that an entry needs besides the port for peers. */
+export const PORTS_PER_ENTRY = 4;
+const DEFAULT_STOP_SECONDS = 8;
 
-/** The text of an entry's settings. */
-export function settingsOf(
-  place: LocalPlace,
+/** Formats the settings file of an entry. */
+export function formatSettings(
+  options: EntryOptions,
   ports: readonly number[],
 ): string {
-  const { host, zones, stopSeconds = STOP_SECONDS } = place;
+  const { host, zones, stopSeconds = DEFAULT_STOP_SECONDS } = options;
   const [callers, directory, readiness, control] = ports;
   return `[entry]
-id = ${place.name}
-zone = ${place.zone}
-region = ${place.region}
+id = ${options.name}
+zone = ${options.zone}
+region = ${options.region}
 [addresses]
 callers = ${host}:${callers}
 directory = ${host}:${directory}
 readiness = ${host}:${readiness}
 control = ${host}:${control}
-peers = ${host}:${place.peerPort}
+peers = ${host}:${options.peerPort}
 [peers]
-seeds = ${place.seeds.join(", ")}
+seeds = ${options.seeds.join(", ")}
 [zones]
 ${
     Object.entries(zones).map(([zone, region]) => `${zone} = ${region}`).join(
@@ -144,22 +148,22 @@
     )
   }
 [store]
-address = ${place.storeAddress}
+address = ${options.storeAddress}
 [bounds]
 repeat_slack = 10000
 stop_s = ${stopSeconds}
 `;
 }
 
-/** Below the ports that the system hands out, so that no connection takes one before its entry does. */
+/** Below the system's ephemeral ports, so that no connection occupies a port before its entry listens on it. */
 const FIRST_PORT = 10_000;
 const PORT_COUNT = 20_000;
-let portsGiven = 0;
+let allocatedPorts = 0;
 
-/** Ports that are free on the hosts of this process. */
-export function freePorts(count: number): number[] {
+/** Allocates ports in sequence; no other process listens on the loopback addresses of this one. */
+export function allocatePorts(count: number): number[] {
   return Array.from(
     { length: count },
-    () => FIRST_PORT + portsGiven++ % PORT_COUNT,
+    () => FIRST_PORT + allocatedPorts++ % PORT_COUNT,
   );
 }
--- a/playground/src/bytes/process_entry.ts
+++ b/playground/src/bytes/process_entry.ts
@@ -1,5 +1,5 @@
 /**
- * Entries in processes of their own, which can be killed, stopped and paused.
+ * Entries in their own processes, which can be killed, stopped and paused.
  *
  * @module
  */
@@ -12,55 +12,57 @@
 import { fileURLToPath } from "node:url";
 import { SETTINGS_PATH_VARIABLE } from "@sassafrasstep/platform";
 import {
-  freePorts,
-  type Line,
-  type LocalPlace,
-  PORTS,
-  settingsOf,
+  allocatePorts,
+  type EntryOptions,
+  formatSettings,
+  type LogLine,
+  PORTS_PER_ENTRY,
 } from "./local_entry.ts";
 
 const PROGRAM = fileURLToPath(
   new URL("../../../platform/dist/main.js", import.meta.url),
 );
 
-/** One entry. */
+/** An entry in its own process. */
 export class ProcessEntry {
   readonly callers: string;
   readonly readiness: string;
   readonly control: string;
   readonly #folder = mkdtempSync(join(tmpdir(), "entry-"));
-  readonly #lines: Line[] = [];
+  readonly #lines: LogLine[] = [];
   readonly #process: ChildProcess;
   readonly #exited: Promise<unknown>;
 
-  private constructor(place: LocalPlace, ports: readonly number[]) {
-    this.callers = `${place.host}:${ports[0]}`;
-    this.readiness = `${place.host}:${ports[2]}`;
-    this.control = `${place.host}:${ports[3]}`;
+  private constructor(options: EntryOptions, ports: readonly number[]) {
+    this.callers = `${options.host}:${ports[0]}`;
+    this.readiness = `${options.host}:${ports[2]}`;
+    this.control = `${options.host}:${ports[3]}`;
     const settings = join(this.#folder, "entry.ini");
-    writeFileSync(settings, settingsOf(place, ports));
+    writeFileSync(settings, formatSettings(options, ports));
     this.#process = spawn(process.execPath, [PROGRAM], {
       env: { [SETTINGS_PATH_VARIABLE]: settings },
       stdio: ["ignore", "pipe", "inherit"],
     });
     this.#exited = once(this.#process, "exit");
-    // A test run that is ended takes its entries with it.
-    const end = (): void => this.signal("SIGKILL");
-    process.once("exit", end);
-    void this.#exited.then(() => process.off("exit", end));
+    // Kills the entry if the test run exits first.
+    const kill = (): void => this.signal("SIGKILL");
+    process.once("exit", kill);
+    void this.#exited.then(() => process.off("exit", kill));
     createInterface(this.#process.stdout!).on("line", (text) => {
       const { msg, ...fields } = JSON.parse(text);
       this.#lines.push({ text: msg, fields });
     });
   }
 
-  /** Starts one. */
-  static start(place: LocalPlace): Promise<ProcessEntry> {
-    return Promise.resolve(new ProcessEntry(place, freePorts(PORTS)));
+  /** Spawns an entry without waiting until it is ready. */
+  static start(options: EntryOptions): Promise<ProcessEntry> {
+    return Promise.resolve(
+      new ProcessEntry(options, allocatePorts(PORTS_PER_ENTRY)),
+    );
   }
 
-  /** Its lines, those that say a sentence where one is given. */
-  lines(text?: string): readonly Line[] {
+  /** The log lines, or only those with the given text. */
+  lines(text?: string): readonly LogLine[] {
     return this.#lines.filter((line) =>
       text === undefined || line.text === text
     );
@@ -70,18 +72,18 @@
     return this.#process.exitCode === null && this.#process.signalCode === null;
   }
 
-  /** Sends it a signal. */
+  /** Sends a signal to the process. */
   signal(name: NodeJS.Signals): void {
     this.#process.kill(name);
   }
 
-  /** Resolves with its exit code, or the signal that ended it. */
-  async ended(): Promise<number | NodeJS.Signals | null> {
+  /** Waits for the exit; resolves with the exit code or the signal that terminated the process. */
+  async exitStatus(): Promise<number | NodeJS.Signals | null> {
     await this.#exited;
     return this.#process.exitCode ?? this.#process.signalCode;
   }
 
-  /** Ends it, in whatever state it is. */
+  /** Kills the process in any state and removes its files. */
   async stop(): Promise<void> {
     this.signal("SIGKILL");
     await this.#exited;
--- a/playground/src/bytes/raw_engine.ts
+++ b/playground/src/bytes/raw_engine.ts
@@ -1,5 +1,5 @@
 /**
- * An engine on a raw socket: it says the bytes of a script, and stops where the script says.
+ * An engine on raw sockets: it sends the bytes of a script and stops where the script says.
  *
  * @module
  */
@@ -14,52 +14,52 @@
 import { HEADERS } from "@sassafrasstep/platform";
 import { eventsOf, type EventStyle } from "./event_text.ts";
 
-/** How the end of a body is told. */
+/** How an answer marks the end of its body: by chunks, by its length, or only by closing the connection. */
 export type Framing = "chunked" | "length" | "none";
 
-/** How a run stops. */
+/** How a run ends. */
 export type Stop =
-  /** After its whole body, as its framing has it. */
+  /** Sends the whole body and ends it as its framing requires. */
   | "whole"
-  /** The framing ends in order, at the byte where the run stops. */
+  /** Ends the framing properly at the byte where the run stops. */
   | "ended"
-  /** The connection is closed in order. */
+  /** Closes the connection gracefully. */
   | "closed"
   | "reset"
-  /** Nothing more comes, and the connection stays open. */
+  /** Sends nothing more and keeps the connection open. */
   | "silent"
-  /** Nothing more comes for a while, and then the rest. */
+  /** Pauses for `LATE_DELAY_MS` and then sends the rest. */
   | "late"
-  /** Not even a head comes. */
+  /** Sends nothing at all, not even a head. */
   | "never";
 
-/** What an engine does with a run. */
+/** How an engine answers a request. */
 export interface RunScript {
-  /** Events of the whole run. */
+  /** Number of events of the whole run. */
   readonly events: number;
   readonly style?: EventStyle;
   readonly framing?: Framing;
   readonly stop?: Stop;
-  /** Bytes of the body before it stops. */
+  /** Bytes of the body to send before the stop. */
   readonly stopAt?: number;
-  /** Bytes a write, everything at once where it is not given. */
+  /** Bytes per write; everything at once if not given. */
   readonly piece?: number;
   /** Milliseconds between writes. */
   readonly pace?: number;
-  /** Answers this in place of a stream. */
+  /** Status of an empty answer to send instead of a stream. */
   readonly status?: number;
-  /** Whether the status says that it did not run. */
+  /** Whether the empty answer states that the request did not run. */
   readonly notRun?: boolean;
-  /** Called once everything before the stop is written. */
+  /** Called when everything before the stop is written. */
   readonly onStop?: () => void;
-  /** Says exactly these bytes, head and all, in place of a stream, and stops after them. */
-  readonly says?: readonly string[];
+  /** Exact bytes, head included, to send instead of a stream, one write per part; then the run stops. */
+  readonly rawParts?: readonly string[];
 }
 
-/** A request as the engine got it. */
+/** A request as the engine received it. */
 export interface RawRequest {
   readonly call: string;
-  /** Number of the event after which the stream goes on. */
+  /** Number of the event after which the stream is to continue, or 0. */
   readonly after: number;
   readonly headers: ReadonlyMap<string, string>;
   readonly at: number;
@@ -69,33 +69,34 @@
 const HEAD_END = "\r\n\r\n";
 const MISDIRECTED = 421;
 const UNAVAILABLE = 503;
-const LATE_MS = 2_200;
+const LATE_DELAY_MS = 2_200;
 
-/** What an engine states about itself in the heads of its answers. */
+/** What an engine states about itself in the headers of its answers. */
 export interface StatedTerms {
-  /** Requests a second. */
+  /** Requests per second. */
   readonly limit?: number;
   readonly leaving?: boolean;
-  /** Seconds of rest that it asks for while it turns requests away, and for how long it does. */
+  /** Seconds of backoff that it asks for while it refuses requests. */
   readonly restS?: number;
+  /** Time for which it refuses requests. */
   readonly forMs?: number;
 }
 
-/** An engine on loopback. */
+/** An HTTP engine on loopback, without an HTTP library. */
 export class RawEngine {
   readonly id: string;
-  /** Requests that it began to run, in order. */
+  /** Requests that began to run, in order. */
   readonly runs: RawRequest[] = [];
-  /** Calls whose answers have begun and neither ended nor lost their connection. */
+  /** Calls whose answer has begun and has neither ended nor lost its connection. */
   readonly open = new Set<string>();
-  /** When each request came. */
+  /** `performance.now()` at the arrival of each request. */
   readonly arrivals: number[] = [];
-  /** Requests that it turned away to rest. */
+  /** Number of requests refused with a backoff. */
   refusals = 0;
-  /** When an answer first stated its terms. */
+  /** `performance.now()` when an answer first stated terms. */
   statedAt: number | undefined;
   #terms: StatedTerms = {};
-  #tiredUntil = -Infinity;
+  #refusesUntil = -Infinity;
   readonly #script: (request: RawRequest) => RunScript;
   readonly #sockets = new Set<Socket>();
   readonly #server: Server = createServer((socket) => this.#accept(socket));
@@ -105,36 +106,36 @@
     this.#script = script;
   }
 
-  /** Listens, on a free port where none is given; gives host and port. */
+  /** Starts listening, on a free port if none is given; resolves with `host:port`. */
   async listen(port = 0): Promise<string> {
     this.#server.listen(port, "127.0.0.1");
     await once(this.#server, "listening");
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** Connections that are open to it. */
+  /** Number of open connections. */
   get connections(): number {
     return this.#sockets.size;
   }
 
-  /** States something from now on. */
+  /** Sets the terms to state from now on. */
   state(terms: StatedTerms): void {
     this.#terms = terms;
-    this.#tiredUntil = performance.now() + (terms.forMs ?? 0);
+    this.#refusesUntil = performance.now() + (terms.forMs ?? 0);
   }
 
-  /** Ends every connection, as a process that is killed. */
-  drop(): void {
+  /** Resets every connection, as a killed process does. */
+  resetConnections(): void {
     this.#sockets.forEach((socket) => socket.resetAndDestroy());
   }
 
-  /** Takes no more connections; those that are open stay. */
+  /** Accepts no more connections; open ones stay open. */
   refuse(): void {
     this.#server.close();
   }
 
   async close(): Promise<void> {
-    this.drop();
+    this.resetConnections();
     if (this.#server.listening) {
       this.#server.close();
       await once(this.#server, "close");
@@ -149,27 +150,27 @@
     let text = "";
     socket.on("data", (bytes) => {
       text += bytes.toString("latin1");
-      const request = readRequest(text);
+      const request = parseRequest(text);
       if (request !== undefined) {
         text = "";
-        void this.#answer(socket, request);
+        void this.#respond(socket, request);
       }
     });
   }
 
-  async #answer(socket: Socket, request: RawRequest): Promise<void> {
+  async #respond(socket: Socket, request: RawRequest): Promise<void> {
     const { headers, call, after } = request;
     if (headers.get(HEADERS.expectedEndpoint) !== this.id) {
-      socket.write(plainAnswer(MISDIRECTED, []));
+      socket.write(formatEmptyAnswer(MISDIRECTED, []));
       return;
     }
     this.arrivals.push(performance.now());
-    const stated = this.#statedLines();
-    if (performance.now() < this.#tiredUntil) {
+    const statedHeaders = this.#statedHeaderLines();
+    if (performance.now() < this.#refusesUntil) {
       this.refusals++;
       const rest = `${HEADERS.retryAfter}: ${this.#terms.restS}`;
-      const lines = [...stated, `${HEADERS.notRun}: 1`, rest];
-      socket.write(plainAnswer(UNAVAILABLE, lines));
+      const lines = [...statedHeaders, `${HEADERS.notRun}: 1`, rest];
+      socket.write(formatEmptyAnswer(UNAVAILABLE, lines));
       return;
     }
     const script = this.#script(request);
@@ -177,34 +178,38 @@
     if (!notRun) {
       this.runs.push(request);
     }
-    const own = [...stated, `${HEADERS.callId}: ${call}`];
+    const headerLines = [...statedHeaders, `${HEADERS.callId}: ${call}`];
     if (status !== OK) {
-      own.push(notRun ? `${HEADERS.notRun}: 1` : `${HEADERS.seal}: s-${call}`);
-      socket.write(plainAnswer(status, own));
+      headerLines.push(
+        notRun ? `${HEADERS.notRun}: 1` : `${HEADERS.seal}: s-${call}`,
+      );
+      socket.write(formatEmptyAnswer(status, headerLines));
       return;
     }
     if (script.stop === "never") {
       return;
     }
-    if (script.says !== undefined) {
-      await sayParts(socket, script.says, script.pace);
-      return endRun(socket, {
+    if (script.rawParts !== undefined) {
+      await writeParts(socket, script.rawParts, script.pace);
+      return stopRun(socket, {
         framing: "length",
         stop: script.stop ?? "silent",
       });
     }
     const body = eventsOf(call, { count: events, after, style });
     this.open.add(call);
-    const closed = (): void => void this.open.delete(call);
-    socket.once("close", closed);
-    socket.write(streamHead(call, { script, length: body.length, stated }));
-    if (await say(socket, body, script)) {
+    const onClose = (): void => void this.open.delete(call);
+    socket.once("close", onClose);
+    socket.write(
+      formatStreamHead(call, { script, length: body.length, statedHeaders }),
+    );
+    if (await writeBody(socket, body, script)) {
       this.open.delete(call);
-      socket.off("close", closed);
+      socket.off("close", onClose);
     }
   }
 
-  #statedLines(): string[] {
+  #statedHeaderLines(): string[] {
     const { limit, leaving } = this.#terms;
     if (Object.keys(this.#terms).length > 0) {
       this.statedAt ??= performance.now();
@@ -216,8 +221,8 @@
   }
 }
 
-/** A request whose body is whole, `undefined` before. */
-function readRequest(text: string): RawRequest | undefined {
+/** Parses a request, or returns `undefined` while its body is incomplete. */
+function parseRequest(text: string): RawRequest | undefined {
   const end = text.indexOf(HEAD_END);
   if (end < 0) {
     return undefined;
@@ -240,20 +245,20 @@
   };
 }
 
-function plainAnswer(status: number, headers: readonly string[]): string {
+function formatEmptyAnswer(status: number, headers: readonly string[]): string {
   const lines = [`HTTP/1.1 ${status} x`, ...headers, "content-length: 0"];
   return lines.join("\r\n") + HEAD_END;
 }
 
-function streamHead(
+function formatStreamHead(
   call: string,
-  { script: { framing = "chunked" }, length, stated }: {
+  { script: { framing = "chunked" }, length, statedHeaders }: {
     script: RunScript;
     length: number;
-    stated: readonly string[];
+    statedHeaders: readonly string[];
   },
 ): string {
-  const told = {
+  const framingHeader = {
     chunked: "transfer-encoding: chunked",
     length: `content-length: ${length}`,
     none: "connection: close",
@@ -263,61 +268,65 @@
     `${HEADERS.callId}: ${call}`,
     `${HEADERS.seal}: s-${call}`,
     "content-type: text/event-stream",
-    ...stated,
-    told,
+    ...statedHeaders,
+    framingHeader,
   ].join("\r\n") + HEAD_END;
 }
 
-/** Whether the answer came to the end that its framing tells. */
-async function say(
+/** Sends the body as scripted; resolves with whether the answer reached the end that its framing marks. */
+async function writeBody(
   socket: Socket,
   body: string,
   script: RunScript,
 ): Promise<boolean> {
   const { framing = "chunked", stop = "whole", stopAt, onStop } = script;
-  await write(socket, stop === "whole" ? body : body.slice(0, stopAt), script);
+  await writePieces(
+    socket,
+    stop === "whole" ? body : body.slice(0, stopAt),
+    script,
+  );
   onStop?.();
   if (stop === "late") {
-    await pause(LATE_MS);
-    await write(socket, body.slice(stopAt), script);
+    await pause(LATE_DELAY_MS);
+    await writePieces(socket, body.slice(stopAt), script);
   }
   if (!socket.destroyed) {
-    endRun(socket, { framing, stop });
+    stopRun(socket, { framing, stop });
   }
   return stop === "whole" || stop === "late" ||
     (stop === "ended" && framing === "chunked");
 }
 
-async function write(
+async function writePieces(
   socket: Socket,
-  said: string,
+  text: string,
   { framing = "chunked", piece, pace = 0 }: RunScript,
 ): Promise<void> {
-  const size = Math.max(1, piece ?? said.length);
-  for (let at = 0; at < said.length; at += size) {
-    const part = said.slice(at, at + size);
+  const size = Math.max(1, piece ?? text.length);
+  for (let at = 0; at < text.length; at += size) {
+    const part = text.slice(at, at + size);
     socket.write(
       framing === "chunked"
         ? `${part.length.toString(16)}\r\n${part}\r\n`
         : part,
       "latin1",
     );
-    await (pace > 0 ? pause(pace) : nextTurn());
-    await room(socket);
+    await (pace > 0 ? pause(pace) : nextEventLoopTurn());
+    await waitForDrain(socket);
     if (socket.destroyed) {
       return;
     }
   }
 }
 
-/** Waits until the other side has read what was written. */
-async function room(socket: Socket): Promise<void> {
+/** Waits until the socket's write buffer has drained. */
+async function waitForDrain(socket: Socket): Promise<void> {
   while (socket.writableNeedDrain && !socket.destroyed) {
     await pause(1);
   }
 }
 
-async function sayParts(
+async function writeParts(
   socket: Socket,
   parts: readonly string[],
   pace = 0,
@@ -328,11 +337,11 @@
   }
 }
 
-function nextTurn(): Promise<void> {
+function nextEventLoopTurn(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-function endRun(
+function stopRun(
   socket: Socket,
   { framing, stop }: { framing: Framing; stop: Stop },
 ): void {
--- a/playground/src/bytes/stream_caller.ts
+++ b/playground/src/bytes/stream_caller.ts
@@ -1,5 +1,5 @@
 /**
- * A caller that keeps every byte of a stream, and how it ended.
+ * A caller that records every byte of a stream and how the stream ended.
  *
  * @module
  */
@@ -7,56 +7,56 @@
 import { HEADERS } from "@sassafrasstep/platform";
 import type { SeenAnswer } from "./event_text.ts";
 
-/** What a caller asks. */
-export interface StreamQuestion {
+/** A caller's request for a stream. */
+export interface StreamRequest {
   readonly call: string;
   readonly path: string;
   readonly host?: string;
-  /** Milliseconds that the caller waits. */
+  /** Timeout that the caller states, in milliseconds. */
   readonly time?: number;
-  /** Milliseconds that it waits longer than it says. */
+  /** Milliseconds that the caller waits beyond the stated timeout. */
   readonly patience?: number;
-  /** Last event that it has, or what it says in its place. */
+  /** Number of the last event that the caller has, or another value for the last event id. */
   readonly after?: number | string;
-  /** Keeps its connections; none is kept without it. */
+  /** Agent that keeps connections alive; without it the connection is not reused. */
   readonly agent?: Agent;
-  /** Has it leave before the end. */
+  /** Makes the caller leave before the end. */
   readonly leave?: AbortSignal;
-  /** Told of bytes as they come; a promise holds further reading back. */
+  /** Called for received bytes; reading pauses until a returned promise resolves. */
   readonly onBytes?: (bytes: number) => Promise<void> | void;
 }
 
-const DEFAULT_TIME_MS = 10_000;
-const DEFAULT_PATIENCE_MS = 1_500;
+const DEFAULT_TIMEOUT_MS = 10_000;
+const DEFAULT_GRACE_MS = 1_500;
 
-/** Asks, and reads to the end. */
+/** Sends the request and reads the answer to its end. */
 export function askStream(
   address: string,
   {
     call,
     path,
     host = "kiosk.example",
-    time = DEFAULT_TIME_MS,
-    patience = DEFAULT_PATIENCE_MS,
+    time = DEFAULT_TIMEOUT_MS,
+    patience = DEFAULT_GRACE_MS,
     after,
     agent,
     leave,
     onBytes,
-  }: StreamQuestion,
+  }: StreamRequest,
 ): Promise<SeenAnswer> {
   const colon = address.lastIndexOf(":");
   return new Promise((resolve) => {
     let status = 0;
     const parts: Buffer[] = [];
-    const end = (kind: SeenAnswer["end"]): void => {
+    const finish = (kind: SeenAnswer["end"]): void => {
       clearTimeout(timer);
       resolve({ status, body: Buffer.concat(parts).toString(), end: kind });
       if (kind !== "whole") {
-        asked.destroy();
+        clientRequest.destroy();
       }
     };
-    const fail = (): void => end(leave?.aborted ? "left" : "broken");
-    const asked = request({
+    const fail = (): void => finish(leave?.aborted ? "left" : "broken");
+    const clientRequest = request({
       host: address.slice(0, colon),
       port: Number(address.slice(colon + 1)),
       path,
@@ -77,17 +77,17 @@
       status = answer.statusCode!;
       answer.on("data", (bytes: Buffer) => {
         parts.push(bytes);
-        const held = onBytes?.(bytes.length);
-        if (held !== undefined) {
+        const readPause = onBytes?.(bytes.length);
+        if (readPause !== undefined) {
           answer.pause();
-          void held.then(() => answer.resume());
+          void readPause.then(() => answer.resume());
         }
       });
-      answer.on("end", () => end(answer.complete ? "whole" : "broken"));
+      answer.on("end", () => finish(answer.complete ? "whole" : "broken"));
       answer.on("error", fail);
     });
-    asked.on("error", fail);
-    asked.end();
-    const timer = setTimeout(() => end("open"), time + patience);
+    clientRequest.on("error", fail);
+    clientRequest.end();
+    const timer = setTimeout(() => finish("open"), time + patience);
   });
 }
