--- a/packages/core/src/endpoints/endpoint_controller.ts
+++ b/packages/core/src/endpoints/endpoint_controller.ts
@@ -75,7 +75,7 @@
     this.#pollScheduler = new LoadPollScheduler(now);
   }
 
-  /** Requests the VM list and load reports that are due, and ends suspicions and rests whose time is over. */
+  /** Requests the VM list and load reports that are due, and ends suspicions and back-offs that are over. */
   tick(now: Instant): void {
     if (!this.#isReadingList && now >= this.#nextListReadAt) {
       this.#isReadingList = true;
--- a/packages/core/src/gateway/__tests__/call_queue.test.ts
+++ b/packages/core/src/gateway/__tests__/call_queue.test.ts
@@ -52,10 +52,16 @@
   };
 }
 
-function order(calls: readonly Call[], now: number, readPart = 1): string[] {
+function order(
+  calls: readonly Call[],
+  now: number,
+  prefillFraction = 1,
+): string[] {
   const queue = new CallQueue();
   calls.forEach((call) => queue.add(call));
-  return queue.ordered(readPart, instant(now)).map(({ head }) => head.id);
+  return queue.ordered(prefillFraction, instant(now)).map(({ head }) =>
+    head.id
+  );
 }
 
 describe("the order of waiting requests", () => {
--- a/packages/core/src/gateway/__tests__/endpoint_terms_fixture.ts
+++ b/packages/core/src/gateway/__tests__/endpoint_terms_fixture.ts
@@ -7,7 +7,7 @@
   instant,
 } from "../../index.ts";
 
-/** Endpoint terms for endpoints that state no limits, departures or rests. */
+/** Endpoint terms for endpoints that state no limits, departures or back-off periods. */
 export function emptyTerms(): EndpointTerms {
   const log = (): void => {};
   return {
--- a/packages/core/src/gateway/__tests__/idle_limit.test.ts
+++ b/packages/core/src/gateway/__tests__/idle_limit.test.ts
@@ -5,13 +5,13 @@
 
 function limit(
   kind: Route["kind"],
-  { heardAt, mayRepeat = false }: {
+  { heardAt, mayRetry = false }: {
     heardAt?: number | undefined;
-    mayRepeat?: boolean;
+    mayRetry?: boolean;
   },
 ): number {
   return maxIdleMs(
-    { mayRepeat, route: { kind } as Route },
+    { mayRetry, route: { kind } as Route },
     { heardAt: heardAt === undefined ? undefined : instant(heardAt) },
     instant(10_000),
   );
@@ -26,7 +26,7 @@
     expect(limit("non_idempotent", { heardAt: 9_800 })).toBe(800);
   });
 
-  // Guards against the loss of requests that must not be repeated. If an endpoint falls silent or is cut
+  // Guards against the loss of requests that must not be retried. If an endpoint falls silent or is cut
   // off, requests on kept-alive connections hang, while new connections would have failed without any
   // loss.
   it("is short for an endpoint that was not heard recently", () => {
@@ -36,7 +36,7 @@
     }
   });
 
-  it("does not apply to a request that may be repeated", () => {
-    expect(limit("idempotent", { mayRepeat: true })).toBe(Infinity);
+  it("does not apply to a request that may be retried", () => {
+    expect(limit("idempotent", { mayRetry: true })).toBe(Infinity);
   });
 });
--- a/packages/core/src/gateway/__tests__/serving_set.test.ts
+++ b/packages/core/src/gateway/__tests__/serving_set.test.ts
@@ -23,8 +23,8 @@
 
 describe("the serving entries", () => {
   // Guards against callers that are spread over more entries than needed. Each entry sends to all engines
-  // of the region and hears of the others' work with a delay: the same load earned 0.97 of the total
-  // request value with four entries per region, and 0.70 with 65.
+  // of the region and hears of the others' work with a delay: the same load earned far less of the
+  // total request value with 65 entries per region than with four.
   it("are few while few are needed, the heaviest first", () => {
     const serving = names(servingInZone(ALL, 60));
     expect(serving.length).toBe(MIN_SERVING_PER_ZONE);
--- a/packages/core/src/gateway/call.ts
+++ b/packages/core/src/gateway/call.ts
@@ -91,7 +91,7 @@
   awaitsTrial = false;
   /** Units charged against the customer's limit by this entry. */
   charged = 0;
-  /** The caller has left, but the attempt continues because the request must not be repeated. */
+  /** The caller has left, but the attempt continues because the request must not be retried. */
   orphaned = false;
 
   constructor(
@@ -113,7 +113,7 @@
     this.position = new StreamPosition(head.lastEventId);
   }
 
-  get mayRepeat(): boolean {
+  get mayRetry(): boolean {
     return mayRepeat(this.route);
   }
 
--- a/packages/core/src/gateway/call_controller.ts
+++ b/packages/core/src/gateway/call_controller.ts
@@ -1,5 +1,5 @@
 /**
- * The life cycle of requests: admission, placement, sending, answering, repeating and refusal.
+ * The life cycle of requests: admission, placement, sending, answering, retrying and refusal.
  *
  * @module
  */
@@ -232,7 +232,7 @@
     if (call.phase === "answering") {
       return this.#recovery.resumeStream(call, answer, now);
     }
-    if (failed && call.mayRepeat && this.#recovery.reserveRepeat(call, now)) {
+    if (failed && call.mayRetry && this.#recovery.reserveRetry(call, now)) {
       // The shell reads the failed answer to its end, so that the connection can be reused.
       attempt.failed = true;
       this.#attempts.close(call, "lost", now);
--- a/packages/core/src/gateway/call_queue.ts
+++ b/packages/core/src/gateway/call_queue.ts
@@ -68,9 +68,9 @@
    * requests are served this way, such as prompts whose shared prefix is cached, and no request waits forever.
    * In order of arrival, less of the value of the reviews in that peak was served.
    */
-  ordered(readPart: number, now: Instant): Call[] {
+  ordered(prefillFraction: number, now: Instant): Call[] {
     const late = (call: Call): number =>
-      Number(call.isLate(after(now, startTime(call, readPart))));
+      Number(call.isLate(after(now, startTime(call, prefillFraction))));
     const queued = withVirtualTimes([...this.#calls.values()]).map((item) => ({
       ...item,
       late: late(item.call),
@@ -123,9 +123,9 @@
     COST_WEIGHT * uncachedTokens / DEFAULT_PREFILL_TOKENS_PER_MS;
 }
 
-/** Milliseconds from sending to the first event, where the fraction `readPart` of the prompt has to be read. */
-function startTime({ head }: Call, readPart: number): number {
+/** Milliseconds from sending to the first event if `prefillFraction` of the prompt has to be prefilled. */
+function startTime({ head }: Call, prefillFraction: number): number {
   return head.prompt === undefined
     ? 0
-    : START_OVERHEAD_MS + prefillTimeMs(head.prompt, readPart);
+    : START_OVERHEAD_MS + prefillTimeMs(head.prompt, prefillFraction);
 }
--- a/packages/core/src/gateway/call_recovery.ts
+++ b/packages/core/src/gateway/call_recovery.ts
@@ -24,12 +24,12 @@
 import type { RetryBudget } from "./retry_budget.ts";
 
 /** A retry is only made with at least this much time left. */
-const MIN_REPEAT_TIME_MS = 150;
+const MIN_RETRY_TIME_MS = 150;
 /** Number of refusals of one request that are followed by another attempt. */
 const MAX_REJECTIONS = 2;
 /** Number of failed connections of one request that are followed by another attempt. */
 const MAX_FAILED_CONNECTIONS = 4;
-/** Fraction of the objective after which a silent plain endpoint is abandoned, if the request may be repeated. */
+/** Fraction of the objective after which a silent plain endpoint is abandoned, if the request may be retried. */
 const MAX_SILENCE_FRACTION = 0.5;
 /**
  * Time after which an engine counts as silent if none of its streams received anything. A running stream has an
@@ -101,14 +101,14 @@
       return this.#deps.outcomes.fail(call, "no_route", now);
     }
     const again = call.rejections <= MAX_REJECTIONS &&
-      this.#spendRepeat(call, now);
+      this.#spendRetry(call, now);
     if (again) {
       return this.#deps.placer.place(call, now);
     }
     this.#deps.outcomes.fail(call, "rejected", now, answer.retryAfter);
   }
 
-  /** Retries a refused stream continuation: with a broken stream, the caller would lose time and request it again. */
+  /** Retries a refused resumption: with a broken stream, the caller would lose time and request it again. */
   #retryRefusedResume(call: Call, now: Instant): void {
     if (call.rejections > MAX_REJECTIONS) {
       return this.#deps.outcomes.breakOff(call, "endpoint_lost", now);
@@ -181,7 +181,7 @@
     if (call.phase === "answering") {
       return this.#breakOffOrRetry(call, now);
     }
-    if (!call.mayRepeat || !this.#tryElsewhere(call, now)) {
+    if (!call.mayRetry || !this.#tryElsewhere(call, now)) {
       this.#deps.outcomes.fail(call, "endpoint_failed", now);
     }
   }
@@ -211,7 +211,7 @@
   /** Abandons an endpoint from which nothing arrives. */
   #checkSilence(call: Call, attempt: OpenAttempt, now: Instant): void {
     const { state, sentAt, backpressureSince } = attempt;
-    if (state === undefined || sentAt === undefined || !call.mayRepeat) {
+    if (state === undefined || sentAt === undefined || !call.mayRetry) {
       return;
     }
     if (backpressureSince !== undefined) {
@@ -241,9 +241,9 @@
     }
   }
 
-  /** Reserves a retry in the budget, if the request may be repeated and can be sent to another endpoint or peer. */
-  reserveRepeat(call: Call, now: Instant): boolean {
-    const allowed = call.endsAt - now >= MIN_REPEAT_TIME_MS &&
+  /** Reserves a retry in the budget, if the request may be retried and can be sent to another endpoint or peer. */
+  reserveRetry(call: Call, now: Instant): boolean {
+    const allowed = call.endsAt - now >= MIN_RETRY_TIME_MS &&
       call.possibleDeliveries < call.route.attempts &&
       call.attempts < MAX_ATTEMPTS &&
       !this.#deps.quarantine.isSuspect(call.head.fingerprint);
@@ -251,10 +251,10 @@
       ? this.#deps.router.next(call, NOTHING_AHEAD, now)
       : undefined;
     const possible = decision?.kind === "endpoint" || decision?.kind === "peer";
-    return possible && this.#spendRepeat(call, now);
+    return possible && this.#spendRetry(call, now);
   }
 
-  /** Continues a stream at another endpoint where its route allows it, or breaks it off. */
+  /** Resumes a stream at another endpoint where its route allows it, or breaks it off. */
   #breakOffOrRetry(call: Call, now: Instant): void {
     if (!this.#tryElsewhere(call, now)) {
       this.#deps.outcomes.breakOff(call, "endpoint_lost", now);
@@ -265,7 +265,7 @@
   #tryElsewhere(call: Call, now: Instant): boolean {
     // Another endpoint could only start again from the beginning, and the caller would receive parts twice.
     const fixed = call.phase === "answering" && !call.resumable;
-    if (fixed || !this.reserveRepeat(call, now)) {
+    if (fixed || !this.reserveRetry(call, now)) {
       return false;
     }
     this.#deps.attempts.abandon(call, now);
@@ -273,7 +273,7 @@
     return true;
   }
 
-  #spendRepeat(call: Call, now: Instant): boolean {
+  #spendRetry(call: Call, now: Instant): boolean {
     const [service] = call.services;
     const entries = this.#deps.entries();
     return this.#deps.budget.spend(service!, { entries }, now);
--- a/packages/core/src/gateway/call_router.ts
+++ b/packages/core/src/gateway/call_router.ts
@@ -111,7 +111,7 @@
     return remote ?? { kind: "wait", wait, reason };
   }
 
-  /** Returns a relay to the region that reads the prompt's shared prefix for all regions, if that is worth it. */
+  /** Returns a relay to the region that prefills the prompt's shared prefix for all, if that is worth it. */
   #relayBySubject(call: Call, now: Instant): RoutingDecision | undefined {
     const { prompt } = call.head;
     const parts = prompt === undefined ? [] : sharedParts(prompt);
--- a/packages/core/src/gateway/create_quarantine.ts
+++ b/packages/core/src/gateway/create_quarantine.ts
@@ -20,7 +20,7 @@
 import type { ServingSet } from "./serving_set.ts";
 
 /**
- * Number of peers to which an entry passes on news of a quarantined request. Each of them does the same,
+ * Number of peers to which an entry passes on updates about a quarantined request. Each of them does the same,
  * so that all peers have it after a few hops and none sends more than this. Peers that are missed learn of it
  * from the next pings.
  */
@@ -68,7 +68,7 @@
   });
 }
 
-/** Returns a filter of the peers that receive news. */
+/** Returns a filter of the peers that receive updates. */
 function selectRecipients(
   { fleet, random, serving, now }: QuarantineDependencies,
   to: UpdateRecipients,
--- a/packages/core/src/gateway/customer_roles.ts
+++ b/packages/core/src/gateway/customer_roles.ts
@@ -32,7 +32,7 @@
 const ROLES_CACHE_MS = 200;
 
 /** Dependencies of the freshness exchange and of the customer limits. */
-export interface CustomerLinkDependencies {
+export interface CustomerRoleDependencies {
   readonly self: GatewayIdentity;
   readonly fleet: FleetController;
   readonly catalogue: CatalogueController;
@@ -52,10 +52,10 @@
 
 /** Roles of the entries of each region, as seen by one entry. */
 export class CustomerRoles {
-  readonly #dependencies: Pick<CustomerLinkDependencies, "self" | "fleet">;
+  readonly #dependencies: Pick<CustomerRoleDependencies, "self" | "fleet">;
   readonly #rolesByRegion = new Map<RegionId, RegionRoles>();
 
-  constructor(dependencies: Pick<CustomerLinkDependencies, "self" | "fleet">) {
+  constructor(dependencies: Pick<CustomerRoleDependencies, "self" | "fleet">) {
     this.#dependencies = dependencies;
   }
 
@@ -119,7 +119,7 @@
 
 /** Creates the freshness exchange of an entry. */
 export function createFreshnessExchange(
-  { self, fleet, catalogue, random, isStandby }: CustomerLinkDependencies,
+  { self, fleet, catalogue, random, isStandby }: CustomerRoleDependencies,
   roles: CustomerRoles,
 ): FreshnessExchange {
   return new FreshnessExchange({
@@ -151,7 +151,7 @@
 
 /** Creates the customer limits of an entry. */
 export function createCustomerLimits(
-  { self, fleet, catalogue, random }: CustomerLinkDependencies,
+  { self, fleet, catalogue, random }: CustomerRoleDependencies,
   roles: CustomerRoles,
 ): CustomerLimits {
   return new CustomerLimits({
--- a/packages/core/src/gateway/endpoint_placement.ts
+++ b/packages/core/src/gateway/endpoint_placement.ts
@@ -28,8 +28,8 @@
  * Maximum share of time that an engine may spend on prefill before long prompts of all ranks but the first
  * have to wait. Beyond it answers come so slowly that they time out: on an engine that prefills nine
  * tenths of the time, an event of nine tokens takes a fifth of a second. The symptom is callers that leave
- * while events still arrive. In a simulated peak with the largest region evacuated 0.7 earned most: 0.851
- * of the total request value and 0.740 in the worst seconds, against 0.836 and 0.691 without a limit.
+ * while events still arrive. In a simulated peak with the largest region evacuated this share earned most of
+ * the total request value, and much more than no limit in the worst seconds.
  */
 const MAX_PREFILL_SHARE = 0.7;
 /** Prompts up to this length are short: they fit between the long ones. */
--- a/packages/core/src/gateway/endpoint_terms_factory.ts
+++ b/packages/core/src/gateway/endpoint_terms_factory.ts
@@ -1,7 +1,7 @@
 /**
- * Connects the endpoint terms (limits, departures and rests that endpoints state in their answers) to this
- * entry's view of the fleet and the catalogue: who coordinates an endpoint's terms, and which peers to
- * tell.
+ * Connects the endpoint terms (limits, departures and back-off periods that endpoints state in their
+ * answers) to this entry's view of the fleet and the catalogue: who coordinates an endpoint's terms, and
+ * which peers to tell.
  *
  * @module
  */
--- a/packages/core/src/gateway/gateway.ts
+++ b/packages/core/src/gateway/gateway.ts
@@ -79,7 +79,7 @@
   readonly #calls: CallController;
   readonly #workReporter: WorkReporter;
   readonly #stopController: StopController;
-  readonly #repeatBudget: RetryBudget;
+  readonly #retryBudget: RetryBudget;
   readonly #coldAllowance: ColdAllowance;
   readonly #serving: ServingSet;
   readonly #quarantine: QuarantineController;
@@ -150,15 +150,18 @@
       nextHolds: (at) => this.#quarantine.holds.nextNotices(at),
     }, now);
     const roles = new CustomerRoles({ self, fleet: this.fleet });
-    const customerLink = {
+    const customerDependencies = {
       self,
       random,
       fleet: this.fleet,
       catalogue: this.#catalogue,
       isStandby: () => this.#isStandby,
     };
-    this.#freshnessExchange = createFreshnessExchange(customerLink, roles);
-    this.#customerLimits = createCustomerLimits(customerLink, roles);
+    this.#freshnessExchange = createFreshnessExchange(
+      customerDependencies,
+      roles,
+    );
+    this.#customerLimits = createCustomerLimits(customerDependencies, roles);
     this.#serving = new ServingSet({
       self,
       fleet: this.fleet,
@@ -176,7 +179,7 @@
     });
     const coldAllowance = new ColdAllowance(self.bounds, now);
     this.#coldAllowance = coldAllowance;
-    this.#repeatBudget = new RetryBudget(self.bounds);
+    this.#retryBudget = new RetryBudget(self.bounds);
     this.endpointTerms = createEndpointTerms({
       self,
       emit,
@@ -200,7 +203,7 @@
       endpoints: this.#endpoints,
       regions: this.#regions,
       router,
-      budget: this.#repeatBudget,
+      budget: this.#retryBudget,
       cold: coldAllowance,
       quarantine: this.#quarantine,
       terms: this.endpointTerms,
@@ -325,7 +328,7 @@
         return this.#catalogue.documentFreshness.addSuspendedTime(event.time);
       case "rebound":
         this.#bounds = event.bounds;
-        this.#repeatBudget.updateBounds(event.bounds);
+        this.#retryBudget.updateBounds(event.bounds);
         this.#coldAllowance.updateBounds(event.bounds);
         return this.#stopController.setStopTime(event.bounds.stopTime);
       case "datagram":
--- a/packages/core/src/gateway/idle_limit.ts
+++ b/packages/core/src/gateway/idle_limit.ts
@@ -1,8 +1,8 @@
 /**
- * Maximum idle time of a reused connection for a request that must not be repeated.
+ * Maximum idle time of a reused connection for a request that must not be retried.
  *
  * A kept-alive connection may be dead without either side having noticed. A request written to it must
- * then not be repeated, though it did not run. The longer the connection was idle, the more likely this
+ * then not be retried, though it did not run. The longer the connection was idle, the more likely this
  * is; but an endpoint from which bytes arrived a moment ago, on any connection, is neither silent nor cut
  * off.
  *
@@ -25,13 +25,13 @@
 const MAX_UNHEARD_STREAM_IDLE_MS = 1_000;
 const MAX_UNHEARD_PLAIN_IDLE_MS = 0;
 
-/** The maximum idle time in milliseconds, unlimited if the call may be repeated. */
+/** The maximum idle time in milliseconds, unlimited if the call may be retried. */
 export function maxIdleMs(
-  { mayRepeat, route }: Pick<Call, "mayRepeat" | "route">,
+  { mayRetry, route }: Pick<Call, "mayRetry" | "route">,
   state: Pick<EndpointState, "heardAt"> | undefined,
   now: Instant,
 ): number {
-  if (mayRepeat) {
+  if (mayRetry) {
     return Infinity;
   }
   const recentlyHeard = state?.heardAt !== undefined &&
--- a/packages/core/src/gateway/local_placement.ts
+++ b/packages/core/src/gateway/local_placement.ts
@@ -64,7 +64,7 @@
     readonly reason: WaitReason;
   };
 
-/** What `LocalPlaces` depends on. */
+/** Dependencies of `LocalPlacement`. */
 export interface LocalPlacementSources {
   readonly self: GatewayIdentity;
   readonly fleet: FleetController;
--- a/packages/core/src/gateway/pending_calls.ts
+++ b/packages/core/src/gateway/pending_calls.ts
@@ -21,7 +21,7 @@
 }
 
 /**
- * Requests that wait until the data needed to judge them has arrived, such as the first read of the catalogue.
+ * Requests that wait until the data needed to check them has arrived, such as the first read of the catalogue.
  *
  * A new entry accepts connections some milliseconds before it has read the catalogue, a third of a second
  * where the platform is in another region. A caller that is refused in this time retries once, reaches another
--- a/packages/core/src/gateway/retry_budget.ts
+++ b/packages/core/src/gateway/retry_budget.ts
@@ -12,7 +12,7 @@
 
 interface Counts {
   firsts: number[];
-  repeats: number[];
+  retries: number[];
   bucket: number;
 }
 
@@ -41,8 +41,8 @@
   }
 
   /** Counts a retry that was made without asking the budget, such as one that another entry began. */
-  noteRepeat(service: ServiceId, now: Instant): void {
-    this.#counts(service, now).repeats[0]!++;
+  noteRetry(service: ServiceId, now: Instant): void {
+    this.#counts(service, now).retries[0]!++;
   }
 
   /** Takes one retry from the budget. Returns `false` if none is left. */
@@ -55,10 +55,10 @@
     const { retryRatio, retrySlack } = this.#bounds;
     const allowed = BUDGET_FRACTION *
       (retryRatio * sum(counts.firsts) + retrySlack / Math.max(1, entries));
-    if (sum(counts.repeats) + 1 > allowed) {
+    if (sum(counts.retries) + 1 > allowed) {
       return false;
     }
-    counts.repeats[0]!++;
+    counts.retries[0]!++;
     return true;
   }
 
@@ -68,7 +68,7 @@
     if (counts === undefined) {
       counts = {
         firsts: new Array(BUCKETS).fill(0),
-        repeats: new Array(BUCKETS).fill(0),
+        retries: new Array(BUCKETS).fill(0),
         bucket,
       };
       this.#services.set(service, counts);
@@ -76,7 +76,7 @@
     const passed = Math.min(BUCKETS, bucket - counts.bucket);
     for (let step = 0; step < passed; step++) {
       dropOldest(counts.firsts);
-      dropOldest(counts.repeats);
+      dropOldest(counts.retries);
     }
     counts.bucket = bucket;
     return counts;
--- a/packages/core/src/gateway/serving_set.ts
+++ b/packages/core/src/gateway/serving_set.ts
@@ -26,9 +26,9 @@
 
 /**
  * Minimum number of serving entries in a zone, at any load: if one ends, its callers continue with the
- * others and only a small part of the requests is lost. In a simulation with sixty entries per region,
- * 0.818 of the total request value was earned if all served and 0.860 with six per zone; four per zone
- * earned as much as six (0.856 and 0.845).
+ * others and only a small part of the requests is lost. In a simulation with sixty entries per region, less
+ * of the total request value was earned if all served than with six per zone; four per zone earned as much
+ * as six.
  */
 export const MIN_SERVING_PER_ZONE = 4;
 /**
--- a/packages/core/src/gateway/subject_region.ts
+++ b/packages/core/src/gateway/subject_region.ts
@@ -7,8 +7,8 @@
  * prefill. The symptom is a number of prefilled tokens far above that of new tokens. So a subject that is
  * not cached in the entry's own region is prefilled in one region, which is the same in the views of all
  * entries, with subjects distributed by each region's number of engines. In a simulated moving peak
- * engines prefilled 8% less and found a third more cached, earning 0.989 of the total request value in
- * place of 0.985; in a simulated evacuation reviews earned 0.738 in place of 0.715.
+ * engines prefilled less and found more cached, and more of the total request value was earned; in a
+ * simulated evacuation reviews earned more, too.
  *
  * @module
  */
--- a/packages/core/src/quarantine/__tests__/crash_analysis.test.ts
+++ b/packages/core/src/quarantine/__tests__/crash_analysis.test.ts
@@ -110,7 +110,7 @@
       )).toEqual([]);
     });
 
-    it("ran for seconds at each endpoint while otherEndpoints crashed", () => {
+    it("ran for seconds at each endpoint while others crashed", () => {
       expect(find(
         ...[0, 1, 2, 3, 4, 5].map((index) => ({
           at: index * 1_500,
--- a/packages/core/src/requests/request_quarantine.ts
+++ b/packages/core/src/requests/request_quarantine.ts
@@ -42,7 +42,7 @@
 /** Time after which the map of endpoint records is built again. */
 const RECORDS_LIFETIME_MS = 250;
 
-/** Placeholder for the sender of received news, which is not named. Only claims need it, and none are made here. */
+/** Placeholder for the sender of received updates, who is not named. Only claims need it, and none are made here. */
 const NO_SENDER = "" as Incarnation;
 
 type MutableWatchedEndpoint = {
@@ -177,7 +177,7 @@
     this.#controller.notePortClosed({ id: endpoint, life: undefined });
   }
 
-  /** Applies a peer's quarantine news. */
+  /** Applies a peer's quarantine update. */
   learn(news: QuarantineUpdate, now: Instant): void {
     this.#now = now;
     this.#controller.apply(news, NO_SENDER, now);
--- a/packages/core/src/routes/route.ts
+++ b/packages/core/src/routes/route.ts
@@ -36,7 +36,7 @@
   readonly attempts: number;
   /** Maximum time until the whole answer. */
   readonly timeout: Milliseconds;
-  /** Target time to the answer, or to a stream's first event; a later answer is worth less. */
+  /** Target time to the answer, or to a stream's first event; a later answer has less value. */
   readonly objective: Milliseconds;
   /** Target for the longest pause between two events of a stream. */
   readonly pauseObjective: Milliseconds | undefined;
--- a/playground/src/guards/route_guards.ts
+++ b/playground/src/guards/route_guards.ts
@@ -15,7 +15,7 @@
     point: "routes: at most once",
     name: "a lost attempt is repeated only where the route allows it",
     file: `${GATEWAY}/call_recovery.ts`,
-    find: "if (!call.mayRepeat || !this.#tryElsewhere(call, now)) {",
+    find: "if (!call.mayRetry || !this.#tryElsewhere(call, now)) {",
     replace: "if (!this.#tryElsewhere(call, now)) {",
     also: [{
       file: `${GATEWAY}/call_recovery.ts`,
@@ -300,8 +300,8 @@
     point: "routes: overload",
     name: "reading counts where on time and late are told apart",
     file: `${GATEWAY}/call_queue.ts`,
-    find: "after(now, startTime(call, readPart))",
-    replace: "after(now, 0 * startTime(call, readPart))",
+    find: "after(now, startTime(call, prefillFraction))",
+    replace: "after(now, 0 * startTime(call, prefillFraction))",
   },
   {
     point: "routes: overload",
