--- a/playground/src/guards/__tests__/guard_list.test.ts
+++ b/playground/src/guards/__tests__/guard_list.test.ts
@@ -1,20 +1,20 @@
 import { fileURLToPath } from "node:url";
 import { describe, expect, it } from "vitest";
-import { ALL_GUARDS, faultOfText } from "../guard_list.ts";
+import { ALL_GUARDS, describeTextMismatch } from "../guard_list.ts";
 
 const ROOT = fileURLToPath(new URL("../../../../", import.meta.url));
 
-// The suite that takes out each guard ended at once, since one guard named a line that had been changed
-// long before. Nobody had run it for some landings, so nobody knew.
+// A guard whose text no longer occurs in the code cannot be removed. One such guard once ended the whole guard
+// suite at its start. Because the suite runs rarely, this went unnoticed for several merges.
 describe("a guard", () => {
   it.each(ALL_GUARDS.map((guard) => [guard.name, guard] as const))(
-    "names text that stands once: %s",
+    "names text that occurs exactly once: %s",
     (_name, guard) => {
-      expect(faultOfText(guard, ROOT)).toBe(undefined);
+      expect(describeTextMismatch(guard, ROOT)).toBe(undefined);
     },
   );
 
-  it("has a name of its own", () => {
+  it("has a unique name", () => {
     const names = ALL_GUARDS.map(({ name }) => name);
     expect(new Set(names).size).toBe(names.length);
   });
--- a/playground/src/guards/byte_guards.ts
+++ b/playground/src/guards/byte_guards.ts
@@ -1,20 +1,20 @@
 /**
- * The guards of the bytes of streams and answers, seen failing over real sockets.
+ * Guards of the bytes of streams and answers. Tests over real sockets fail without them.
  *
  * @module
  */
 import type { Guard } from "./guard.ts";
 
 const CORE = "packages/core/src/gateway";
-const SHELL = "packages/daemon/src/gateway";
+const DAEMON = "packages/daemon/src/gateway";
 const POINT = "bytes";
 
-/** Every guard that is checked. */
+/** Guards of the bytes of answers. */
 export const BYTE_GUARDS: readonly Guard[] = [
   {
     point: POINT,
     name: "what an attempt half received dies with it",
-    file: `${SHELL}/outbound_call.ts`,
+    file: `${DAEMON}/outbound_call.ts`,
     find: "this.#eventReader = new EventStreamReader(",
     replace:
       "const kept = this.#exchange as unknown as { eventReader?: EventStreamReader };\n      this.#eventReader = kept.eventReader ??= new EventStreamReader(",
@@ -22,14 +22,14 @@
   {
     point: POINT,
     name: "an answer that ends inside an event is not whole",
-    file: `${SHELL}/event_stream_reader.ts`,
+    file: `${DAEMON}/event_stream_reader.ts`,
     find: "if (this.#splitter.unfinishedBytes > 0) {",
     replace: "if (this.#splitter.unfinishedBytes < 0) {",
   },
   {
     point: POINT,
     name: "events whose lines end with carriage returns have an end",
-    file: `${SHELL}/event_splitter.ts`,
+    file: `${DAEMON}/event_splitter.ts`,
     find:
       "const before = bytes[index - 1] === CARRIAGE_RETURN ? index - 2 : index - 1;",
     replace: "const before = index - 1;",
@@ -52,21 +52,21 @@
   {
     point: POINT,
     name: "another type of body is not cut at events",
-    file: `${SHELL}/outbound_call.ts`,
+    file: `${DAEMON}/outbound_call.ts`,
     find: "status === OK && isEventStream(this.#headers)",
     replace: "status === OK",
   },
   {
     point: POINT,
     name: "an answer without a length that was reset is torn",
-    file: `${SHELL}/connection_pool.ts`,
+    file: `${DAEMON}/connection_pool.ts`,
     find: "if (this.closeDelimited && isReset(socket)) {",
     replace: "if (this.closeDelimited && socket.destroyed) {",
   },
   {
     point: POINT,
     name: "a stream's length is its entry's to tell",
-    file: `${SHELL}/outbound_call.ts`,
+    file: `${DAEMON}/outbound_call.ts`,
     find:
       'headers: mode === "events" ? withoutContentLength(headers) : headers,',
     replace: "headers,",
@@ -74,28 +74,28 @@
   {
     point: POINT,
     name: "a stream does not go on with events that its caller has",
-    file: `${SHELL}/event_stream_reader.ts`,
+    file: `${DAEMON}/event_stream_reader.ts`,
     find: "if (this.#isRepeat(events?.firstId)) {",
     replace: "if (this.#isRepeat(undefined)) {",
   },
   {
     point: POINT,
     name: "an event has an end within bounds",
-    file: `${SHELL}/event_stream_reader.ts`,
+    file: `${DAEMON}/event_stream_reader.ts`,
     find: "this.#splitter.bufferedBytes > MAX_EVENT_BYTES",
     replace: "this.#splitter.bufferedBytes > Infinity",
   },
   {
     point: POINT,
     name: "an attempt that was left writes nothing more",
-    file: `${SHELL}/answer_writer.ts`,
+    file: `${DAEMON}/answer_writer.ts`,
     find: "const open = !this.#closed && !this.#reply.destroyed;",
     replace: "const open = !this.#reply.destroyed;",
   },
   {
     point: POINT,
     name: "a new attempt waits while the caller has no room",
-    file: `${SHELL}/answer_writer.ts`,
+    file: `${DAEMON}/answer_writer.ts`,
     find: "if (reply.writableNeedDrain) {",
     replace: "if (reply.destroyed) {",
   },
@@ -109,7 +109,7 @@
   {
     point: POINT,
     name: "an answer is broken off after what was written",
-    file: `${SHELL}/abort_reply.ts`,
+    file: `${DAEMON}/abort_reply.ts`,
     find: "if (socket === null || !reply.headersSent) {",
     replace: "if (socket !== null || !reply.headersSent) {",
   },
--- a/playground/src/guards/customer_guards.ts
+++ b/playground/src/guards/customer_guards.ts
@@ -1,5 +1,5 @@
 /**
- * The guards of customers' keys and limits.
+ * Guards of customers' keys and limits.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 const KEYS = "routes: customers' keys";
 const LIMITS = "routes: customers' limits";
 
-/** Every guard that is checked. */
+/** Guards of customers' keys and limits. */
 export const CUSTOMER_GUARDS: readonly Guard[] = [
   {
     point: KEYS,
--- a/playground/src/guards/guard.ts
+++ b/playground/src/guards/guard.ts
@@ -1,23 +1,23 @@
 /**
- * A guard is the code that a promise hangs on. Taking it out must make a test fail; otherwise nothing
- * shows that the promise is kept.
+ * A guard is the code that a guarantee depends on. Removing it must make a test fail; otherwise no test verifies
+ * the guarantee.
  *
  * @module
  */
 
-/** One replaced piece of code. */
+/** Replacement of one piece of code. */
 export interface Edit {
   readonly file: string;
-  /** Text to replace, found exactly once. */
+  /** Text to replace. Must occur exactly once in the file. */
   readonly find: string;
   readonly replace: string;
 }
 
-/** One guard and how to take it out. */
+/** One guard and the edits that remove it. */
 export interface Guard extends Edit {
-  /** Point of the brief that it keeps. */
+  /** Requirement that the guard implements. */
   readonly point: string;
   readonly name: string;
-  /** Other lines that guard the same, taken out together with it. */
+  /** Edits of other code that ensures the same, applied together with this one. */
   readonly also?: readonly Edit[];
 }
--- a/playground/src/guards/guard_list.ts
+++ b/playground/src/guards/guard_list.ts
@@ -1,5 +1,5 @@
 /**
- * All guards, and whether the code still has what they name.
+ * The list of all guards, and a check that their texts still occur in the code.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 import { ROUTE_GUARDS } from "./route_guards.ts";
 import { STALL_GUARDS } from "./stall_guards.ts";
 
-/** Every guard that is checked. */
+/** All guards. */
 export const ALL_GUARDS: readonly Guard[] = [
   ...GUARDS,
   ...ROUTE_GUARDS,
@@ -27,19 +27,22 @@
   ...EPOCH_GUARDS,
 ];
 
-/** All that is taken out with a guard. */
+/** Returns all edits that remove a guard. */
 export function editsOf(guard: Guard): readonly Edit[] {
   return [guard, ...guard.also ?? []];
 }
 
-/** Why a guard can't be taken out of the project in a folder, `undefined` where it can. */
-export function faultOfText(guard: Guard, root: string): string | undefined {
-  const faults = editsOf(guard).flatMap(({ file, find }) => {
+/** Returns why a guard cannot be removed from the project at `root`, `undefined` if it can. */
+export function describeTextMismatch(
+  guard: Guard,
+  root: string,
+): string | undefined {
+  const mismatches = editsOf(guard).flatMap(({ file, find }) => {
     const path = join(root, file);
     const count = existsSync(path)
       ? readFileSync(path, "utf8").split(find).length - 1
       : 0;
     return count === 1 ? [] : [`"${find}" stands ${count} times in ${file}`];
   });
-  return faults.length === 0 ? undefined : faults.join("; ");
+  return mismatches.length === 0 ? undefined : mismatches.join("; ");
 }
--- a/playground/src/guards/guards.ts
+++ b/playground/src/guards/guards.ts
@@ -1,5 +1,5 @@
 /**
- * The guards, by the points of the brief.
+ * Guards of the core and the daemon, grouped by requirement.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 const CORE = "packages/core/src";
 const DAEMON = "packages/daemon/src";
 
-/** Every guard that is checked. */
+/** Guards of the core and the daemon. */
 export const GUARDS: readonly Guard[] = [
   {
     point: "at most once",
--- a/playground/src/guards/index.ts
+++ b/playground/src/guards/index.ts
@@ -1,3 +1,3 @@
 export type { Edit, Guard } from "./guard.ts";
-export { faultOfText } from "./guard_list.ts";
-export { copyProject, ROOT, takeOut } from "./project_copy.ts";
+export { describeTextMismatch } from "./guard_list.ts";
+export { copyProject, removeGuard, ROOT } from "./project_copy.ts";
--- a/playground/src/guards/main.ts
+++ b/playground/src/guards/main.ts
@@ -1,8 +1,9 @@
 /**
- * Takes out each guard in a copy of the project and runs the tests there: each must make a test fail.
+ * Removes each guard in a copy of the project and runs the tests there. Each removal must make a test fail.
  *
- * `npm run guards` prints the table, with a line for each guard meanwhile; `--only WORD` takes those whose
- * point or name has the word, `--write` puts the table into docs/GUARDS.md, `--minutes N` bounds the whole.
+ * `npm run guards` prints a line for each guard as it finishes, and the table at the end. `--only WORD` selects
+ * the guards whose point or name contains the word, `--write` writes the table to docs/GUARDS.md, and
+ * `--minutes N` starts no further guard after that time.
  *
  * @module
  */
@@ -11,70 +12,75 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import type { Guard } from "./guard.ts";
-import { ALL_GUARDS, faultOfText } from "./guard_list.ts";
+import { ALL_GUARDS, describeTextMismatch } from "./guard_list.ts";
 import { readOptions } from "./options.ts";
-import { copyProject, ROOT, takeOut } from "./project_copy.ts";
+import { copyProject, removeGuard, ROOT } from "./project_copy.ts";
 import {
-  type Finding,
   formatPage,
   formatSummary,
   formatTable,
+  type GuardResult,
 } from "./report.ts";
 import { testSetsOf } from "./test_sets.ts";
 
-const PARALLEL = 4;
+const MAX_CONCURRENT_GUARDS = 4;
 const RUN_TIMEOUT_MS = 300_000;
 const MAX_OUTPUT_BYTES = 67_108_864;
-/** Failing tests after which a run ends: enough to name. */
-const MOST_FAILURES = 4;
+/** A run stops after this many failing tests, which is enough for the report. */
+const MAX_FAILURES = 4;
 
 const options = readOptions(process.argv.slice(2));
-const chosen = ALL_GUARDS.filter(({ point, name }) =>
+const selectedGuards = ALL_GUARDS.filter(({ point, name }) =>
   options.only.length === 0 ||
   options.only.some((word) => `${point} ${name}`.includes(word))
 );
-const findings = await runAll(chosen, performance.now() + options.time);
-console.log(formatTable(findings));
-console.log(formatSummary(findings));
+const results = await testGuards(
+  selectedGuards,
+  performance.now() + options.timeLimitMs,
+);
+console.log(formatTable(results));
+console.log(formatSummary(results));
 if (options.write) {
-  writeFileSync(join(ROOT, "docs/GUARDS.md"), formatPage(findings));
+  writeFileSync(join(ROOT, "docs/GUARDS.md"), formatPage(results));
 }
-process.exitCode = findings.every(({ kind }) => kind === "seen") ? 0 : 1;
+process.exitCode = results.every(({ kind }) => kind === "seen") ? 0 : 1;
 
-async function runAll(
+async function testGuards(
   guards: readonly Guard[],
   endsAt: number,
-): Promise<Finding[]> {
-  const waiting = guards.map((guard, index) => ({ guard, index }));
-  const findings: Finding[] = [];
-  let done = 0;
-  const work = async (): Promise<void> => {
+): Promise<GuardResult[]> {
+  const queue = guards.map((guard, index) => ({ guard, index }));
+  const results: GuardResult[] = [];
+  let finishedCount = 0;
+  const runQueue = async (): Promise<void> => {
     for (
-      let next = waiting.shift();
+      let next = queue.shift();
       next !== undefined;
-      next = waiting.shift()
+      next = queue.shift()
     ) {
       const { guard, index } = next;
-      const finding = performance.now() < endsAt
-        ? await examine(guard)
+      const result = performance.now() < endsAt
+        ? await testGuard(guard)
         : { guard, kind: "notRun" } as const;
-      findings[index] = finding;
-      done++;
-      console.error(`${done}/${guards.length} ${finding.kind}  ${guard.name}`);
+      results[index] = result;
+      finishedCount++;
+      console.error(
+        `${finishedCount}/${guards.length} ${result.kind}  ${guard.name}`,
+      );
     }
   };
-  await Promise.all(Array.from({ length: PARALLEL }, work));
-  return findings;
+  await Promise.all(Array.from({ length: MAX_CONCURRENT_GUARDS }, runQueue));
+  return results;
 }
 
-/** One guard that can't be taken out, or whose run says nothing, doesn't end the others. */
-async function examine(guard: Guard): Promise<Finding> {
-  const fault = faultOfText(guard, ROOT);
-  if (fault !== undefined) {
-    return { guard, kind: "notFound", detail: fault };
+/** Tests one guard. If it cannot be removed or its run has no result, the other guards are still tested. */
+async function testGuard(guard: Guard): Promise<GuardResult> {
+  const mismatch = describeTextMismatch(guard, ROOT);
+  if (mismatch !== undefined) {
+    return { guard, kind: "notFound", detail: mismatch };
   }
   try {
-    const failed = await runWithout(guard);
+    const failed = await findFailuresWithout(guard);
     return failed.length === 0
       ? { guard, kind: "notSeen" }
       : { guard, kind: "seen", failed };
@@ -83,11 +89,11 @@
   }
 }
 
-async function runWithout(guard: Guard): Promise<string[]> {
+async function findFailuresWithout(guard: Guard): Promise<string[]> {
   const folder = mkdtempSync(join(tmpdir(), "sassafrasstep-guard-"));
   try {
     copyProject(folder);
-    takeOut(guard, folder);
+    removeGuard(guard, folder);
     for (const tests of testSetsOf(guard)) {
       const failed = await runTests(folder, tests);
       if (failed.length > 0) {
@@ -112,7 +118,7 @@
     folder,
     "--reporter=json",
     "--maxWorkers=3",
-    `--bail=${MOST_FAILURES}`,
+    `--bail=${MAX_FAILURES}`,
     ...tests,
   ];
   const output = await new Promise<string>((resolve) => {
@@ -152,7 +158,7 @@
       assertionResults.length === 0
     )
   ) {
-    throw new Error("Cannot judge a guard: no test ran in the copy");
+    throw new Error("Cannot evaluate the guard: no test ran in the copy");
   }
   const failed = report.testResults.flatMap(({ assertionResults }) =>
     assertionResults.filter(({ status }) => status === "failed").map((
--- a/playground/src/guards/options.ts
+++ b/playground/src/guards/options.ts
@@ -8,16 +8,16 @@
 const MS_PER_MINUTE = 60_000;
 const DEFAULT_MINUTES = 60;
 
-/** What is asked for. */
+/** Options from the command line. */
 export interface GuardOptions {
-  /** Words of which a guard's point or name has one; none for all guards. */
+  /** Selects guards whose point or name contains one of these words. Empty for all guards. */
   readonly only: readonly string[];
   readonly write: boolean;
-  /** Milliseconds after which no further guard is taken out. */
-  readonly time: number;
+  /** No further guard is started after this time. */
+  readonly timeLimitMs: number;
 }
 
-/** Reads the command line; a bare word means the same as one after `--only`. */
+/** Parses the command line. A positional argument has the same meaning as a value of `--only`. */
 export function readOptions(args: readonly string[]): GuardOptions {
   const { flags, input } = meow("Usage: guards [--only WORD] [--write]", {
     importMeta: import.meta,
@@ -31,6 +31,6 @@
   return {
     only: [...flags.only ?? [], ...input],
     write: flags.write,
-    time: flags.minutes * MS_PER_MINUTE,
+    timeLimitMs: flags.minutes * MS_PER_MINUTE,
   };
 }
--- a/playground/src/guards/project_copy.ts
+++ b/playground/src/guards/project_copy.ts
@@ -1,5 +1,5 @@
 /**
- * Copies of the project in which guards are taken out.
+ * Copies the project and removes guards from the copy.
  *
  * @module
  */
@@ -19,7 +19,7 @@
 
 /** Root of the project. */
 export const ROOT = fileURLToPath(new URL("../../../", import.meta.url));
-const PACKAGES = {
+const PACKAGE_FOLDERS = {
   core: "packages/core",
   daemon: "packages/daemon",
   cli: "packages/cli",
@@ -27,13 +27,13 @@
   playground: "playground",
   soak: "soak",
 };
-const COPIED = [
+const COPIED_PATHS = [
   "packages",
   "platform",
   "playground",
   "soak",
   "examples",
-  // Without the list, a test that is known to be red would fail in each copy.
+  // Lists tests that are known to fail. Without it they would fail in every copy.
   "KNOWN-RED.txt",
   "package.json",
   "tsconfig.base.json",
@@ -42,9 +42,11 @@
   "vitest.setup.ts",
   "vitest.known_red.ts",
 ];
-/** Copies it, with links to its modules. */
+/** Copies the project to a folder and links its modules. */
 export function copyProject(folder: string): void {
-  for (const name of COPIED.filter((each) => existsSync(join(ROOT, each)))) {
+  for (
+    const name of COPIED_PATHS.filter((path) => existsSync(join(ROOT, path)))
+  ) {
     const filter = (path: string): boolean =>
       !path.includes("/dist") && !path.includes("/node_modules");
     cpSync(join(ROOT, name), join(folder, name), { recursive: true, filter });
@@ -56,13 +58,13 @@
       symlinkSync(join(ROOT, "node_modules", name), join(modules, name));
     }
   }
-  for (const [name, path] of Object.entries(PACKAGES)) {
+  for (const [name, path] of Object.entries(PACKAGE_FOLDERS)) {
     symlinkSync(join(folder, path), join(modules, "@sassafrasstep", name));
   }
 }
 
-/** Takes a guard out of a copy. */
-export function takeOut(guard: Guard, folder: string): void {
+/** Removes a guard from a copy of the project. */
+export function removeGuard(guard: Guard, folder: string): void {
   for (const { file, find, replace } of editsOf(guard)) {
     const path = join(folder, file);
     const text = readFileSync(path, "utf8");
--- a/playground/src/guards/quarantine_guards.ts
+++ b/playground/src/guards/quarantine_guards.ts
@@ -1,5 +1,5 @@
 /**
- * The guards against requests that crash what runs them, and against holding others for it.
+ * Guards against requests that crash their endpoints, and against holding requests that do not.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 const GATEWAY = "packages/core/src/gateway";
 const POINT = "routes: quarantine";
 
-/** Every guard that is checked. */
+/** Guards of the quarantine. */
 export const QUARANTINE_GUARDS: readonly Guard[] = [
   {
     point: POINT,
--- a/playground/src/guards/report.ts
+++ b/playground/src/guards/report.ts
@@ -1,84 +1,84 @@
 /**
- * What taking out guards showed, as a table and as a page.
+ * Formats the results of guard removals as a table and as a page.
  *
  * @module
  */
 import type { Guard } from "./guard.ts";
 
-/** What taking out one guard showed. */
-export type Finding =
+/** Result of removing one guard. */
+export type GuardResult =
   | {
     readonly guard: Guard;
     readonly kind: "seen";
-    /** Tests that fail without it. */
+    /** Tests that fail without the guard. */
     readonly failed: readonly string[];
   }
-  /** No test fails without it. */
+  /** No test fails without the guard. */
   | { readonly guard: Guard; readonly kind: "notSeen" }
-  /** The code has moved on and the list has not. */
+  /** The text of the guard does not occur exactly once in the code, which was changed since. */
   | {
     readonly guard: Guard;
     readonly kind: "notFound";
     readonly detail: string;
   }
-  /** The time was over, or the run said nothing. */
+  /** The time limit was reached, or the run had no result. */
   | {
     readonly guard: Guard;
     readonly kind: "notRun";
     readonly detail?: string;
   };
 
-const SHOWN_TESTS = 3;
+const MAX_SHOWN_TESTS = 3;
 
-/** A row a guard. */
-export function formatTable(findings: readonly Finding[]): string {
+/** Formats a Markdown table with one row per guard. */
+export function formatTable(results: readonly GuardResult[]): string {
   return [
     "| point | guard | file | tests that fail without it |",
     "| --- | --- | --- | --- |",
-    ...findings.map((finding) => {
-      const { point, name, file } = finding.guard;
-      return `| ${point} | ${name} | \`${file}\` | ${testsOf(finding)} |`;
+    ...results.map((result) => {
+      const { point, name, file } = result.guard;
+      return `| ${point} | ${name} | \`${file}\` | ${formatTests(result)} |`;
     }),
   ].join("\n");
 }
 
-function testsOf(finding: Finding): string {
-  switch (finding.kind) {
+function formatTests(result: GuardResult): string {
+  switch (result.kind) {
     case "seen": {
-      const { failed } = finding;
-      const shown = failed.slice(0, SHOWN_TESTS).join("; ");
-      const more = failed.length > SHOWN_TESTS ? " and more" : "";
+      const { failed } = result;
+      const shown = failed.slice(0, MAX_SHOWN_TESTS).join("; ");
+      const more = failed.length > MAX_SHOWN_TESTS ? " and more" : "";
       return (shown + more).replaceAll("|", "/");
     }
     case "notSeen":
       return "**none**";
     case "notFound":
-      return `**not found**: ${finding.detail.replaceAll("|", "/")}`;
+      return `**not found**: ${result.detail.replaceAll("|", "/")}`;
     case "notRun":
       return "**not run**";
   }
 }
 
-/** One line. */
-export function formatSummary(findings: readonly Finding[]): string {
-  const count = (kind: Finding["kind"]): number =>
-    findings.filter((finding) => finding.kind === kind).length;
+/** Formats the counts of all results as one line. */
+export function formatSummary(results: readonly GuardResult[]): string {
+  const count = (kind: GuardResult["kind"]): number =>
+    results.filter((result) => result.kind === kind).length;
   return `${
     count("seen")
-  } of ${findings.length} guards: a test fails without them; ${
+  } of ${results.length} guards: a test fails without them; ${
     count("notSeen")
   } not seen, ${count("notFound")} not found, ${count("notRun")} not run`;
 }
 
-/** docs/GUARDS.md */
-export function formatPage(findings: readonly Finding[]): string {
+/** Formats the contents of docs/GUARDS.md. */
+export function formatPage(results: readonly GuardResult[]): string {
   return `# Guards
 
 Each row was made by \`npm run guards -- --write\`: the guard was taken out in a copy of the project, and
 the tests were run there until a few failed. Without the guard they fail; with it they pass.
 
-${formatSummary(findings)}.
+${formatSummary(results)}.
 
-${formatTable(findings)}
+${formatTable(results)}
 `;
 }
--- a/playground/src/guards/route_guards.ts
+++ b/playground/src/guards/route_guards.ts
@@ -1,5 +1,5 @@
 /**
- * The guards of entries before routes.
+ * Guards of entries that serve routes.
  *
  * @module
  */
@@ -7,9 +7,9 @@
 
 const GATEWAY = "packages/core/src/gateway";
 const FLEET = "packages/core/src/fleet";
-const SHELL = "packages/daemon/src/gateway";
+const DAEMON = "packages/daemon/src/gateway";
 
-/** Every guard that is checked. */
+/** Guards of entries that serve routes. */
 export const ROUTE_GUARDS: readonly Guard[] = [
   {
     point: "routes: at most once",
@@ -229,21 +229,21 @@
   {
     point: "routes: whole answers",
     name: "a torn answer without a length is told from a whole one",
-    file: `${SHELL}/connection_pool.ts`,
+    file: `${DAEMON}/connection_pool.ts`,
     find: "if (this.closeDelimited && isReset(socket)) {",
     replace: "if (this.closeDelimited && socket.errored) {",
   },
   {
     point: "routes: whole answers",
     name: "an answer to another request is not passed on",
-    file: `${SHELL}/outbound_call.ts`,
+    file: `${DAEMON}/outbound_call.ts`,
     find: "if (!head.matches) {",
     replace: "if (head.status === 0) {",
   },
   {
     point: "routes: whole answers",
     name: "a torn event is kept back",
-    file: `${SHELL}/event_splitter.ts`,
+    file: `${DAEMON}/event_splitter.ts`,
     find: "const end = lastBoundary(searched) - this.#tail.length;",
     replace: "const end = chunk.length;",
   },
--- a/playground/src/guards/stall_guards.ts
+++ b/playground/src/guards/stall_guards.ts
@@ -1,5 +1,5 @@
 /**
- * The guards against taking others for silent after a pause of our own.
+ * Guards against treating peers and endpoints as silent after this process itself was paused.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 const GATEWAY = "packages/daemon/src/gateway";
 const POINT = "our own pauses";
 
-/** Every guard that is checked. */
+/** Guards for pauses of the own process. */
 export const STALL_GUARDS: readonly Guard[] = [
   {
     point: POINT,
--- a/playground/src/guards/terms_guards.ts
+++ b/playground/src/guards/terms_guards.ts
@@ -1,5 +1,5 @@
 /**
- * The guards of what endpoints state about themselves.
+ * Guards for the limits, back-off periods and departures that endpoints announce.
  *
  * @module
  */
@@ -7,11 +7,11 @@
 
 const TERMS = "packages/core/src/endpoint_terms";
 const GATEWAY = "packages/core/src/gateway";
-const REST = "routes: endpoints that rest";
+const BACKOFF = "routes: endpoints that rest";
 const LEAVING = "routes: endpoints that leave";
 const LIMITS = "routes: endpoints' limits";
 
-/** Every guard that is checked. */
+/** Guards for what endpoints announce. */
 export const TERMS_GUARDS: readonly Guard[] = [
   {
     point: LIMITS,
@@ -103,7 +103,7 @@
     }],
   },
   {
-    point: REST,
+    point: BACKOFF,
     name: "an endpoint that asked for rest gets none of what is placed",
     file: `${GATEWAY}/endpoint_registry.ts`,
     find: "this.backoffOf(state, now) === 0;",
@@ -115,28 +115,28 @@
     }],
   },
   {
-    point: REST,
+    point: BACKOFF,
     name: "requests after a rest come one by one at first",
     file: `${TERMS}/endpoint_backoffs.ts`,
     find: "backoff.nextRequestAt = after(now, backoff.spacingMs);",
     replace: "backoff.nextRequestAt = now;",
   },
   {
-    point: REST,
+    point: BACKOFF,
     name: "a refusal that says when to come back is no failure",
     file: `${GATEWAY}/call_recovery.ts`,
     find: 'deferred ? "deferred" : "failed"',
     replace: 'deferred ? "failed" : "failed"',
   },
   {
-    point: REST,
+    point: BACKOFF,
     name: "where all rest a request is refused at once",
     file: `${GATEWAY}/call_placer.ts`,
     find: 'return reason === "resting" && wait > MAX_REST_WAIT_MS;',
     replace: 'return reason === "resting" && wait > 1_000_000;',
   },
   {
-    point: REST,
+    point: BACKOFF,
     name: "a rest ends, whatever was stated",
     file: `${TERMS}/endpoint_backoffs.ts`,
     find: "Math.min(MAX_BACKOFF_MS, stated.value * MS_PER_SECOND)",
--- a/playground/src/guards/test_sets.ts
+++ b/playground/src/guards/test_sets.ts
@@ -1,11 +1,11 @@
 /**
- * Which tests are run without a guard.
+ * Selects the tests that are run without a guard.
  *
  * @module
  */
 import type { Guard } from "./guard.ts";
 
-/** Paths of the gateway's side. What isn't below them belongs to the operators' text. */
+/** Folders of the gateway that serves routes. All other code belongs to the core configured by a deployment text. */
 const GATEWAY_PATHS = [
   "packages/core/src/customers/",
   "packages/core/src/endpoint_terms/",
@@ -16,7 +16,7 @@
   "packages/daemon/src/gateway/",
   "platform/",
 ];
-const GATEWAY_SETS = [
+const GATEWAY_TEST_SETS = [
   [
     "packages/core",
     "playground/src/routes/__tests__/routes.test.ts",
@@ -32,7 +32,7 @@
     "packages/daemon/src/timers",
   ],
 ];
-const OPERATORS_SETS = [
+const CORE_TEST_SETS = [
   [
     "packages/core",
     "playground/src/scenario",
@@ -48,9 +48,9 @@
   ],
 ];
 
-/** Sets of tests, the quick ones first: the next set is run only where none of the ones before fails. */
+/** Returns sets of tests, fastest first. A set is run only if no test of the previous sets failed. */
 export function testSetsOf({ file }: Guard): readonly (readonly string[])[] {
   return GATEWAY_PATHS.some((path) => file.startsWith(path))
-    ? GATEWAY_SETS
-    : OPERATORS_SETS;
+    ? GATEWAY_TEST_SETS
+    : CORE_TEST_SETS;
 }
--- a/soak/src/guards_main.ts
+++ b/soak/src/guards_main.ts
@@ -12,9 +12,9 @@
 import { promisify } from "node:util";
 import {
   copyProject,
-  faultOfText,
+  describeTextMismatch,
+  removeGuard,
   ROOT,
-  takeOut,
 } from "@sassafrasstep/playground/guards";
 import { SOAK_GUARDS, type SoakGuard } from "./guard_list.ts";
 
@@ -38,7 +38,7 @@
     guard !== undefined;
     guard = queue.shift()
   ) {
-    const fault = faultOfText(guard, ROOT);
+    const fault = describeTextMismatch(guard, ROOT);
     const detection = fault === undefined
       ? await soakWithoutGuard(guard)
       : undefined;
@@ -52,7 +52,7 @@
   const folder = mkdtempSync(join(tmpdir(), "sassafrasstep-soak-guard-"));
   try {
     copyProject(folder);
-    takeOut(guard, folder);
+    removeGuard(guard, folder);
     const tsc = join(ROOT, "node_modules/.bin/tsc");
     await execFileAsync(tsc, ["-b"], { cwd: folder });
     const main = join(folder, "soak/dist/main.js");
