--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -64,7 +64,7 @@
   readonly #requests: RequestController;
   readonly #quarantine: RequestQuarantine;
   readonly #placement: PlacementController;
-  readonly #listened: StallAdjustedClock;
+  readonly #clock: StallAdjustedClock;
   #effects: Effect[] = [];
   #stopAt: Instant | undefined;
   #handOverAt: Instant | undefined;
@@ -77,7 +77,7 @@
     const emit = (effect: Effect): void => {
       this.#effects.push(effect);
     };
-    this.#listened = new StallAdjustedClock(now);
+    this.#clock = new StallAdjustedClock(now);
     const lifecycle = createLifecycleSection(now);
     const configuration = createConfigurationView();
     const membership = createMembershipSection();
@@ -93,7 +93,7 @@
     });
     this.#membership = new MembershipController(board, membership, {
       emit,
-      listened: this.#listened,
+      clock: this.#clock,
       now,
     });
     this.#actions = new ActionController(board, { emit, now });
@@ -108,7 +108,7 @@
     });
     this.#quarantine = new RequestQuarantine(board, {
       emit,
-      listened: this.#listened,
+      clock: this.#clock,
       now,
     });
     this.#requests = new RequestController(board, {
@@ -167,7 +167,7 @@
 
   /** Informs the controllers of a pause before they make decisions after it. */
   #recordLoop(now: Instant): void {
-    this.#listened.recordTurn(now);
+    this.#clock.recordTurn(now);
     this.#lifecycle.recordTurn(now);
     this.#configuration.handleWake(now);
   }
--- a/packages/core/src/fleet/probe_schedule.ts
+++ b/packages/core/src/fleet/probe_schedule.ts
@@ -33,9 +33,9 @@
   #remainingInRound: Incarnation[] = [];
   #sequence = 0;
 
-  constructor(random: Randomness, listened: StallAdjustedClockView) {
+  constructor(random: Randomness, clock: StallAdjustedClockView) {
     this.#random = random;
-    this.#clock = listened;
+    this.#clock = clock;
   }
 
   /** Returns the next members to ping, without duplicates. */
--- a/packages/core/src/gateway/__tests__/call_controller.test.ts
+++ b/packages/core/src/gateway/__tests__/call_controller.test.ts
@@ -109,7 +109,7 @@
     terms: emptyTerms(),
     limits: {} as never,
     keyLifetime: () => undefined,
-    listened: new StallAdjustedClock(instant(0)),
+    clock: new StallAdjustedClock(instant(0)),
     entries: () => 1,
     regionEntries: () => 1,
   });
--- a/packages/core/src/gateway/__tests__/endpoint_restarts.test.ts
+++ b/packages/core/src/gateway/__tests__/endpoint_restarts.test.ts
@@ -84,7 +84,7 @@
       region: REGION,
       regionByZone: new Map([["z1" as ZoneId, REGION]]),
       catalogue: catalogue as never,
-      listened: new StallAdjustedClock(instant(0)),
+      clock: new StallAdjustedClock(instant(0)),
       isLeaving: () => false,
       backoffOf: () => milliseconds(0),
     });
--- a/packages/core/src/gateway/call_controller.ts
+++ b/packages/core/src/gateway/call_controller.ts
@@ -59,7 +59,7 @@
   readonly limits: CustomerLimits;
   /** Age of the document from which keys are no longer trusted, `undefined` where there is no such limit. */
   readonly keyLifetime: () => Milliseconds | undefined;
-  readonly listened: StallAdjustedClockView;
+  readonly clock: StallAdjustedClockView;
   /** Number of entries that may be alive, including this one. */
   readonly entries: () => number;
   /** Number of live entries in the region, including this one. */
--- a/packages/core/src/gateway/call_recovery.ts
+++ b/packages/core/src/gateway/call_recovery.ts
@@ -51,7 +51,7 @@
   readonly endpoints: EndpointRegistry;
   readonly budget: RetryBudget;
   readonly quarantine: QuarantineController;
-  readonly listened: StallAdjustedClockView;
+  readonly clock: StallAdjustedClockView;
   /** Number of entries that may be alive, including this one. */
   readonly entries: () => number;
   /** Removes a request that is over without sending anything to its caller. */
@@ -221,13 +221,13 @@
     const engine = state.service?.engine !== undefined;
     // Data that arrived while the process was stalled is still unread in its sockets, so only time in which the
     // process was listening counts as silence.
-    const { listened } = this.#deps;
-    const quiet = listened.since(attempt.heardAt ?? sentAt, now);
+    const { clock } = this.#deps;
+    const quiet = clock.since(attempt.heardAt ?? sentAt, now);
     const limit = engine
       ? MAX_ENGINE_SILENCE_MS
       : call.route.objective * MAX_SILENCE_FRACTION;
     const silent = engine
-      ? quiet > limit && listened.since(state.heardAt ?? sentAt, now) > limit
+      ? quiet > limit && clock.since(state.heardAt ?? sentAt, now) > limit
       : attempt.heardAt === undefined && quiet > limit;
     if (!silent) {
       return;
--- a/packages/core/src/gateway/create_quarantine.ts
+++ b/packages/core/src/gateway/create_quarantine.ts
@@ -38,7 +38,7 @@
   readonly catalogue: CatalogueView;
   readonly fleet: FleetController;
   readonly serving: ServingSet;
-  readonly listened: StallAdjustedClockView;
+  readonly clock: StallAdjustedClockView;
   readonly now: () => Instant;
 }
 
@@ -46,10 +46,10 @@
 export function createQuarantine(
   dependencies: QuarantineDependencies,
 ): QuarantineController {
-  const { self, emit, catalogue, fleet, serving, listened, now } = dependencies;
+  const { self, emit, catalogue, fleet, serving, clock, now } = dependencies;
   return new QuarantineController({
     self,
-    clock: listened,
+    clock,
     claimDelay: milliseconds(CLAIM_TIME_MS),
     send: (news, to) =>
       fleet.sender.sendQuarantine(news, selectRecipients(dependencies, to)),
--- a/packages/core/src/gateway/endpoint_registry.ts
+++ b/packages/core/src/gateway/endpoint_registry.ts
@@ -34,7 +34,7 @@
   readonly #region: RegionId;
   readonly #regionByZone: ReadonlyMap<ZoneId, RegionId>;
   readonly #catalogue: CatalogueView;
-  readonly #listened: StallAdjustedClockView;
+  readonly #clock: StallAdjustedClockView;
   readonly #isLeaving: (record: EndpointRecord) => boolean;
   readonly #backoffOf: (record: EndpointRecord, now: Instant) => Milliseconds;
   readonly #states = new Map<EndpointId, EndpointState>();
@@ -44,11 +44,11 @@
   #generation = -1;
 
   constructor(
-    { region, regionByZone, catalogue, listened, isLeaving, backoffOf }: {
+    { region, regionByZone, catalogue, clock, isLeaving, backoffOf }: {
       region: RegionId;
       regionByZone: ReadonlyMap<ZoneId, RegionId>;
       catalogue: CatalogueView;
-      listened: StallAdjustedClockView;
+      clock: StallAdjustedClockView;
       /** Whether an endpoint has announced in an answer that it is leaving. */
       isLeaving: (record: EndpointRecord) => boolean;
       /** Time for which an endpoint has asked this entry to send no requests. */
@@ -58,7 +58,7 @@
     this.#region = region;
     this.#regionByZone = regionByZone;
     this.#catalogue = catalogue;
-    this.#listened = listened;
+    this.#clock = clock;
     this.#isLeaving = isLeaving;
     this.#backoffOf = backoffOf;
   }
@@ -181,7 +181,7 @@
     for (const [from, { receivedAt }] of this.#reports) {
       // After a pause of this process the peer's next reports are still unread. If the pause counted as
       // silence, the engines that the peer uses would look idle.
-      if (this.#listened.since(receivedAt, now) > REPORT_LIFETIME_MS) {
+      if (this.#clock.since(receivedAt, now) > REPORT_LIFETIME_MS) {
         this.#applyReport(from, -1, now);
         this.#reports.delete(from);
       }
--- a/packages/core/src/gateway/gateway.ts
+++ b/packages/core/src/gateway/gateway.ts
@@ -83,7 +83,7 @@
   readonly #coldAllowance: ColdAllowance;
   readonly #serving: ServingSet;
   readonly #quarantine: QuarantineController;
-  readonly #listenedTime: StallAdjustedClock;
+  readonly #clock: StallAdjustedClock;
   readonly #freshnessExchange: FreshnessExchange;
   readonly #customerLimits: CustomerLimits;
   readonly endpointTerms: EndpointTerms;
@@ -100,7 +100,7 @@
     this.self = self;
     this.#bounds = self.bounds;
     this.#lastEventAt = now;
-    this.#listenedTime = new StallAdjustedClock(now);
+    this.#clock = new StallAdjustedClock(now);
     const emit = (effect: GatewayEffect): void => {
       this.#effects.push(effect);
     };
@@ -122,7 +122,7 @@
       region: self.region,
       regionByZone: self.regionByZone,
       catalogue: this.#catalogue,
-      listened: this.#listenedTime,
+      clock: this.#clock,
       isLeaving: (record) => this.endpointTerms.departures.has(record),
       backoffOf: (record, at) =>
         this.endpointTerms.backoffs.waitFor(record, at),
@@ -139,7 +139,7 @@
       seeds: self.seeds,
       pingPeriodMs: PING_INTERVAL_MS,
       random,
-      clock: this.#listenedTime,
+      clock: this.#clock,
       send: (to, message) => emit({ kind: "datagram", to, message }),
       holdings: () => ({
         document: this.#catalogue.document?.version ?? 0 as never,
@@ -174,7 +174,7 @@
       catalogue: this.#catalogue,
       fleet: this.fleet,
       serving: this.#serving,
-      listened: this.#listenedTime,
+      clock: this.#clock,
       now: () => this.#lastEventAt,
     });
     const coldAllowance = new ColdAllowance(self.bounds, now);
@@ -209,7 +209,7 @@
       terms: this.endpointTerms,
       limits: this.#customerLimits,
       keyLifetime: () => this.#keyLifetime(),
-      listened: this.#listenedTime,
+      clock: this.#clock,
       entries: () => this.fleet.possiblyLiveMembers().length + 1,
       regionEntries: () => 1 + this.#endpoints.busyPeerCount(),
     });
@@ -224,7 +224,7 @@
     this.#stopController = new StopController({
       emit,
       calls: this.#calls,
-      listened: this.#listenedTime,
+      clock: this.#clock,
       stopTime: self.bounds.stopTime,
     });
   }
@@ -302,7 +302,7 @@
   }
 
   #detectPause(now: Instant): void {
-    const gap = this.#listenedTime.recordTurn(now);
+    const gap = this.#clock.recordTurn(now);
     this.#lastEventAt = now;
     if (gap < MIN_PAUSE_MS) {
       return;
--- a/packages/core/src/gateway/stop_controller.ts
+++ b/packages/core/src/gateway/stop_controller.ts
@@ -34,23 +34,23 @@
 export class StopController {
   readonly #emit: GatewayEmit;
   readonly #calls: CallController;
-  readonly #listenedTime: StallAdjustedClockView;
+  readonly #clock: StallAdjustedClockView;
   #stopTime: Milliseconds;
   #startedAt: Instant | undefined;
   #refusesNew = false;
   #ended = false;
 
   constructor(
-    { emit, calls, listened, stopTime }: {
+    { emit, calls, clock, stopTime }: {
       emit: GatewayEmit;
       calls: CallController;
-      listened: StallAdjustedClockView;
+      clock: StallAdjustedClockView;
       stopTime: Milliseconds;
     },
   ) {
     this.#emit = emit;
     this.#calls = calls;
-    this.#listenedTime = listened;
+    this.#clock = clock;
     this.#stopTime = stopTime;
   }
 
@@ -87,7 +87,7 @@
     const lingered = now >= after(this.#startedAt, MIN_LINGER_MS);
     const lastArrival = this.#calls.lastArrivalAt ?? this.#startedAt;
     // Requests that arrived while the process was paused have not been read yet.
-    const quiet = this.#listenedTime.since(lastArrival, now) >= QUIET_MS;
+    const quiet = this.#clock.since(lastArrival, now) >= QUIET_MS;
     if (overdue || (lingered && quiet && this.#calls.active === 0)) {
       this.#ended = true;
       const active = this.#calls.active;
--- a/packages/core/src/membership/member_table.ts
+++ b/packages/core/src/membership/member_table.ts
@@ -33,7 +33,7 @@
 export interface MemberTableOptions {
   readonly self: EntryIdentity;
   readonly emit: Emit;
-  readonly listened: StallAdjustedClockView;
+  readonly clock: StallAdjustedClockView;
   /** Maps of the `membership` section, written only by this table. */
   readonly members: Map<Incarnation, Member>;
   readonly gone: Map<Incarnation, Instant>;
@@ -47,10 +47,10 @@
   readonly #members: Map<Incarnation, Member>;
   readonly #ended: Map<Incarnation, Instant>;
 
-  constructor({ self, emit, listened, members, gone }: MemberTableOptions) {
+  constructor({ self, emit, clock, members, gone }: MemberTableOptions) {
     this.#self = self;
     this.#emit = emit;
-    this.#clock = listened;
+    this.#clock = clock;
     this.#members = members;
     this.#ended = gone;
   }
--- a/packages/core/src/membership/membership_controller.ts
+++ b/packages/core/src/membership/membership_controller.ts
@@ -79,9 +79,9 @@
   constructor(
     board: Blackboard,
     section: MembershipSection,
-    { emit, listened, now }: {
+    { emit, clock, now }: {
       emit: Emit;
-      listened: StallAdjustedClockView;
+      clock: StallAdjustedClockView;
       now: Instant;
     },
   ) {
@@ -91,7 +91,7 @@
     this.#members = new MemberTable({
       self: board.self,
       emit,
-      listened,
+      clock,
       members: section.members,
       gone: section.endedIncarnations,
     });
--- a/packages/core/src/quarantine/crash_detector.ts
+++ b/packages/core/src/quarantine/crash_detector.ts
@@ -95,15 +95,15 @@
  */
 export class CrashDetector {
   readonly #isRecordGone: (record: EndpointRecord) => boolean;
-  readonly #listenedTime: StallAdjustedClockView;
+  readonly #clock: StallAdjustedClockView;
   readonly #endpoints = new Map<string, EndpointAttempts>();
 
   constructor(
     isRecordGone: (record: EndpointRecord) => boolean,
-    listenedTime: StallAdjustedClockView,
+    clock: StallAdjustedClockView,
   ) {
     this.#isRecordGone = isRecordGone;
-    this.#listenedTime = listenedTime;
+    this.#clock = clock;
   }
 
   /** Records that a request was sent. */
@@ -246,7 +246,7 @@
     }
     const confirmedClosed = portClosed &&
       lost.some(({ lostAt }) =>
-        this.#listenedTime.since(lostAt, now) >= CLOSED_PORT_WAIT_MS
+        this.#clock.since(lostAt, now) >= CLOSED_PORT_WAIT_MS
       );
     return confirmedClosed ||
       this.#isRecordGone(endpoint.record) &&
@@ -289,7 +289,7 @@
     now: Instant,
   ): boolean {
     return attempt.readingPaused !== true &&
-      this.#listenedTime.since(lastHeardAt(endpoint, attempt), now) >=
+      this.#clock.since(lastHeardAt(endpoint, attempt), now) >=
         SILENCE_TIMEOUT_MS;
   }
 }
--- a/packages/core/src/requests/request_quarantine.ts
+++ b/packages/core/src/requests/request_quarantine.ts
@@ -63,9 +63,9 @@
 
   constructor(
     board: Blackboard,
-    { emit, listened, now }: {
+    { emit, clock, now }: {
       emit: Emit;
-      listened: StallAdjustedClockView;
+      clock: StallAdjustedClockView;
       now: Instant;
     },
   ) {
@@ -74,7 +74,7 @@
     this.#now = now;
     this.#controller = new QuarantineController({
       self: board.self,
-      clock: listened,
+      clock,
       claimDelay: milliseconds(0),
       endpoints: () => this.#listedEndpoints(),
       servingEntries: () => [
