--- a/packages/daemon/src/control/report.ts
+++ b/packages/daemon/src/control/report.ts
@@ -105,13 +105,13 @@
 }
 
 function whyNotNewer({ configuration }: Blackboard): string {
-  const { rejected, missingRevision: missing, platformReachable, deployment } =
+  const { rejected, missingRevision, platformReachable, deployment } =
     configuration;
   if (rejected !== undefined) {
     return `revision ${rejected.revision} was rejected with ${rejected.faults.length} faults`;
   }
-  if (missing !== undefined) {
-    return `revision ${missing} is held by a peer and not fetched yet`;
+  if (missingRevision !== undefined) {
+    return `revision ${missingRevision} is held by a peer and not fetched yet`;
   }
   if (deployment === undefined) {
     return "no text was read yet";
