--- a/packages/core/src/customers/customer_limits.ts
+++ b/packages/core/src/customers/customer_limits.ts
@@ -1,7 +1,7 @@
 /**
  * Enforces customers' limits across all entries without shared storage.
  *
- * Each entry keeps a copy of each customer's bucket and deducts what it admits. One entry per region, the
+ * Each entry keeps its own copy of each customer's token bucket and deducts what it admits. One entry per region, the
  * aggregator, adds up what the entries of its region admit, sends each of them the usage of the others, and
  * exchanges sums with the aggregators of other regions. While all are connected, a customer may use its whole
  * limit at any entry; the limit is not divided, since a share could be smaller than a single request. Entries that
@@ -33,10 +33,10 @@
   SpendingTotals,
 } from "./spending_messages.ts";
 
-/** Time between two messages while any customer is near its limit, and otherwise. */
+/** Time between two messages: shorter while any customer is near its limit, longer otherwise. */
 const NEAR_LIMIT_PERIOD_MS = 100;
 const DEFAULT_PERIOD_MS = 200;
-/** All sums are sent again this often, which makes up for lost datagrams. */
+/** An entry reports all sums again this often, not only changed ones, which makes up for lost datagrams. */
 const FULL_REPORT_PERIOD_MS = 2_000;
 /** An entry without requests for this long sends no reports, and one without reports is sent no totals. */
 const IDLE_TIMEOUT_MS = 2_000;
@@ -97,7 +97,7 @@
   readonly #unreported = new Set<CustomerId>();
   readonly #spendingAggregator: SpendingAggregator;
   #aggregator: AggregatorState | undefined;
-  /** When this entry last sent its own sums. */
+  /** When this entry last created a report of its own sums. */
   #reportedAt = -Infinity;
   /** When this entry last sent totals as the aggregator. */
   #totalsSentAt = -Infinity;
--- a/packages/core/src/gateway/call_router.ts
+++ b/packages/core/src/gateway/call_router.ts
@@ -1,5 +1,6 @@
 /**
- * Routing decisions: whether a request goes to an endpoint of this region, to an entry of another one, or waits.
+ * Routing decisions: whether a request goes to an endpoint of this region, to an entry of another region, or
+ * waits.
  *
  * @module
  */
@@ -33,17 +34,20 @@
 
 /** Cost of relaying a request to another region and back. Shorter waits are not worth it. */
 const RELAY_COST_MS = 200;
-/** A region with a higher utilization gets no requests that could wait at home. */
+/** A region with a higher utilization gets no requests that can wait in their own region. */
 const MAX_REMOTE_UTILIZATION = 0.8;
 const MS_PER_SECOND = 1_000;
-/** Urgency at an engine by rank, from 0 (first) to 9 (last). The most urgent values are left unused. */
+/** Urgency in an engine's queue, from 0 (first) to 9 (last), by request rank. The most urgent values are unused. */
 const URGENCY_BY_RANK = [2, 5, 7] as const;
 const LATE_URGENCY = 8;
 /** Fraction of an endpoint's connections that all entries of the region may use together. */
 const CONNECTION_FRACTION = 0.8;
-/** How long a region that declined a request gets none of its service: its load summary may be as old. */
+/**
+ * How long a region that declined a request gets no further requests of that service. Its load summary may be this
+ * old, so that it does not show the missing capacity yet.
+ */
 const DECLINE_BACKOFF_MS = 400;
-/** Wait for published endpoints that are unusable at present, until more is known about them. */
+/** How long a request waits for published endpoints that cannot be used at present, until more is known about them. */
 const UNAVAILABLE_WAIT_MS = 100;
 
 /** Where a request goes next. */
@@ -72,7 +76,7 @@
 /** Decides where each request goes next. */
 export class CallRouter {
   readonly #sources: RouterSources;
-  /** When a region last declined a request of a service. */
+  /** When a region last declined a request of a service, by region and service. */
   readonly #declined = new Map<string, Instant>();
 
   readonly #places: LocalPlacement;
@@ -111,7 +115,10 @@
     return remote ?? { kind: "wait", wait, reason };
   }
 
-  /** Returns a relay to the region that prefills the prompt's shared prefix for all, if that is worth it. */
+  /**
+   * Returns a relay to the region that prefills the prompt's subject, its last shared part, for all regions.
+   * Returns `undefined` if that is this region, or if a relay is not worth it or not possible.
+   */
   #relayBySubject(call: Call, now: Instant): RoutingDecision | undefined {
     const { prompt } = call.head;
     const parts = prompt === undefined ? [] : sharedParts(prompt);
@@ -151,9 +158,9 @@
 
   /**
    * Waits where endpoints are published but cannot be used at present: suspects that may answer again, or cold
-   * ones that another entry warms up. Callers that are refused at once retry only once, and meet the same gap:
-   * on one day 959 of 1,450 refusals were of this kind. A relayed request is declined instead, because its
-   * first entry has more alternatives.
+   * ones that another entry warms up. Callers that are refused at once retry only once, and are refused again for
+   * the same reason: on one day 959 of 1,450 refusals were of this kind. A relayed request is declined instead,
+   * because its first entry has more alternatives.
    */
   #waitForEndpoints(call: Call): RoutingDecision {
     const { endpoints } = this.#sources;
@@ -173,7 +180,7 @@
       : { kind: "none" };
   }
 
-  /** Returns whether an endpoint may still get a request that was placed at it. */
+  /** Returns whether an endpoint may still get a request that was assigned to it. */
   isStillEligible(call: Call, state: EndpointState, now: Instant): boolean {
     const { endpoints } = this.#sources;
     return endpoints.isInService(state) &&
@@ -182,7 +189,7 @@
       call.services.includes(state.record.service);
   }
 
-  /** Describes the target to the shell. */
+  /** Describes an endpoint for the daemon, which connects to it and sends the request. */
   targetOf(
     call: Call,
     { state, fetchFrom }: ChosenEndpoint,
@@ -211,7 +218,10 @@
       .map(({ record }) => record.incarnation);
   }
 
-  /** Returns a relay to the region that serves the request soonest, if that is sooner than `localWait`. */
+  /**
+   * Returns a relay to the least utilized region that has capacity and is expected to serve the request sooner than
+   * `localWait`. If `localWait` is `Infinity`, every region with endpoints for the request qualifies.
+   */
   #bestPeer(
     call: Call,
     localWait: number,
--- a/packages/core/src/gateway/gateway.ts
+++ b/packages/core/src/gateway/gateway.ts
@@ -1,6 +1,6 @@
 /**
- * All routing decisions of one entry, for requests of callers that name routes: events in, effects
- * out. Uses no sockets, no clock and no unseeded randomness.
+ * Makes all routing decisions of one entry for requests that name a route. Takes events and returns effects. Uses
+ * no sockets, no system clock and no unseeded randomness.
  *
  * @module
  */
@@ -278,12 +278,12 @@
     return this.fleet.record.state === "stopping";
   }
 
-  /** The catalogue for a peer that cannot read it from the platform. */
+  /** Returns the catalogue for a peer that cannot read it from the platform, `undefined` if there is none. */
   snapshot(): CatalogueSnapshot | undefined {
     return this.#catalogue.snapshot();
   }
 
-  /** The entries that a caller should use. */
+  /** Returns the entries that a caller should use. */
   nameEntries(
     question: DirectoryRequest,
     now: Instant,
@@ -423,7 +423,8 @@
   }
 
   /**
-   * How old the document may be, reduced by a margin for clock differences and for delays within the process.
+   * Returns how old the document may be for its keys to be trusted. Reduced by a margin for clock differences and
+   * for delays within the process.
    */
   #keyLifetime(): Milliseconds | undefined {
     const lifetime = this.#bounds.keyLifetime;
--- a/packages/core/src/quarantine/quarantine_controller.ts
+++ b/packages/core/src/quarantine/quarantine_controller.ts
@@ -60,11 +60,12 @@
 export interface QuarantineControllerDependencies extends TrialDependencies {
   readonly clock: StallAdjustedClockView;
   /**
-   * How long a claim of a trial waits for other claims. Exceeds the latency of a message between any two
-   * entries. 0 if requests cannot be queued, in which case trials are not claimed.
+   * How long an entry that claims a trial, in which a single copy of a suspect request is sent, waits for competing
+   * claims. Exceeds the latency of a message between any two entries. 0 if requests cannot be queued, in which case
+   * trials are not claimed.
    */
   readonly claimDelay: Milliseconds;
-  /** Lets the shell probe whether something listens at the endpoint's address. */
+  /** Has the daemon probe whether something listens at the endpoint's address. */
   readonly probePort: (record: EndpointRecord) => void;
   readonly send: (news: QuarantineUpdate, to: UpdateRecipients) => void;
   readonly log: (
@@ -148,7 +149,10 @@
     return trial === "go" ? decision : { kind: "wait" };
   }
 
-  /** Whether this entry must not send a request to another endpoint after it was lost with its endpoint. */
+  /**
+   * Whether a request is held, or was present at so many crashes that it is sent as a trial only. If such a request
+   * is lost with its endpoint, this entry must not send it to another one.
+   */
   isSuspect({ content }: Pick<RequestFingerprint, "content">): boolean {
     return this.holds.has(content) || this.#history.isSuspect(content);
   }
@@ -287,7 +291,10 @@
     this.#holdController.noteAnswered(answered, now);
   }
 
-  /** Announces the requests of a peer's crash reports that were recently answered here. They caused no crash. */
+  /**
+   * Announces which requests of a peer's crash reports were recently answered here, and are therefore not the cause
+   * of the crash.
+   */
   #answerReports({ crashes }: QuarantineUpdate, now: Instant): void {
     for (const { victims, softwareVersion } of crashes) {
       victims.filter(({ content }) => this.#recentAnswers.has(content, now))
--- a/packages/daemon/src/gateway/outbound_call.ts
+++ b/packages/daemon/src/gateway/outbound_call.ts
@@ -39,7 +39,7 @@
 const MAX_HELD_BYTES = 262_144;
 /** How much of an unwanted answer is read so that its connection can be reused. */
 const MAX_DISCARDED_BYTES = 16_384;
-/** How long an unwanted answer is read: the rest may never arrive. */
+/** How long an unwanted answer is read. The limit is needed because the rest may never arrive. */
 const DISCARD_TIMEOUT_MS = 1_000;
 const FIRST_FINAL_STATUS = 200;
 const OK = 200;
@@ -263,7 +263,11 @@
     }, this);
   }
 
-  /** Asks the gateway whether to forward the answer; if not, discards it and returns `undefined`. */
+  /**
+   * Asks the gateway what to do with the answer: `forward` starts a new answer to the caller, `goOn` continues the
+   * stream that a previous attempt began. In other cases the answer is discarded, or the attempt ends if the answer
+   * belongs to another request; then returns `undefined`.
+   */
   #submitHead(mode: "events" | "bytes"): "forward" | "goOn" | undefined {
     const { protocol, dispatch } = this.#context;
     const { id } = this.#attempt;
@@ -366,7 +370,7 @@
   #holdChunk(chunk: Buffer): void {
     this.#heldChunks.push(chunk);
     if (this.#receivedBytes <= MAX_HELD_BYTES) {
-      // Without a report, the endpoint would be treated as silent and the request would be run again.
+      // Without this progress report, the endpoint would be treated as silent and the request would be run again.
       return this.#reportProgress();
     }
     this.#startForwarding("bytes");
@@ -417,7 +421,7 @@
     this.#context.dispatch({ kind: "ended", attempt: this.#attempt.id, end });
   }
 
-  /** Finishes the attempt after an unwanted answer was read to its end. */
+  /** Finishes the attempt after an unwanted answer was read to its end. The connection can be reused. */
   #finishDiscarded(): void {
     this.#stop();
     this.#releaseConnection();
