--- a/playground/src/platform/__tests__/keys_path.test.ts
+++ b/playground/src/platform/__tests__/keys_path.test.ts
@@ -150,6 +150,13 @@
   });
 
   it("writes no key to any log line, metric or status", async () => {
+    await Promise.all(
+      Array.from(
+        { length: 24 },
+        (_, index) => send({ key: "k-scanner-0b1e", entry: index % 3 }),
+      ),
+    );
+    await eventually(() => fleet.output.includes("over_limit"));
     const pages = await Promise.all(
       fleet.entries.flatMap(({ control }) =>
         ["/metrics", "/trpc/status"].map(async (path) =>
